--- a/benchmarks/host_cost.py
+++ b/benchmarks/host_cost.py
@@ -29,9 +29,9 @@
 
 from aiohttp import web
 
-from ryelever.coordination.host_words import FREQUENT_HOSTS, READERS, HostWord
-from ryelever.host_exchange import FAR_WORDS, WORD_INTERVAL
-from ryelever.protocol.host_words import encode_news, encode_word
+from ryelever.coordination.host_heartbeats import FREQUENT_HOSTS, READERS, HostHeartbeat
+from ryelever.host_exchange import HEARTBEAT_INTERVAL, TICKS_PER_ZONE_HEARTBEAT
+from ryelever.protocol.host_messages import encode_heartbeat, encode_news
 from ryelever.state.keyed_record import KeyedRecord, ServerNews
 from tests.standins.platform import configuration
 from tests.standins.platform_store import PlatformStore
@@ -64,7 +64,7 @@
 NAMES_BY_ROLE = {"rests": "zz", "leads": "aa"}
 
 #: Seconds between two records of one backend server.
-HEARTBEAT = 1.2
+RENEWAL_INTERVAL = 1.2
 
 #: Seconds between two news of backend servers that changed, and how many did.
 NEWS_INTERVAL = 0.3
@@ -151,27 +151,33 @@
 
     async def play(self) -> None:
         """Send what the other hosts send, and renew the records of the servers."""
-        await asyncio.gather(self._words(), self._news(), self._heartbeats())
+        await asyncio.gather(
+            self._send_heartbeats(), self._news(), self._renew_records()
+        )
 
-    async def _words(self) -> None:
+    async def _send_heartbeats(self) -> None:
         size = self._size
         n_ticks = -(-size.n_near // FREQUENT_HOSTS)
         while True:
-            await asyncio.sleep(WORD_INTERVAL)
+            await asyncio.sleep(HEARTBEAT_INTERVAL)
             self._sequence += 1
             for index in range(1, size.n_near):
                 if index <= READERS or (self._sequence + index) % n_ticks == 0:
-                    self._send(self._word(f"h{index:03d}", "z0", n_ticks=n_ticks))
-            if self._sequence % FAR_WORDS == 0:
+                    self._send(self._heartbeat(f"h{index:03d}", "z0", n_ticks=n_ticks))
+            if self._sequence % TICKS_PER_ZONE_HEARTBEAT == 0:
                 for zone in range(1, size.n_zones):
-                    self._send(self._word(f"f{zone}", f"z{zone}", n_ticks=FAR_WORDS))
+                    self._send(
+                        self._heartbeat(
+                            f"f{zone}", f"z{zone}", n_ticks=TICKS_PER_ZONE_HEARTBEAT
+                        )
+                    )
 
-    def _word(self, host: str, zone: str, *, n_ticks: int) -> bytes:
+    def _heartbeat(self, host: str, zone: str, *, n_ticks: int) -> bytes:
         first = zone != "z0" or (host == "h001" and not self._leads)
         loads = N_LOADED if zone == "z0" else self._size.n_servers // 16
         # Each host's own, and the same in each run.
         first_loaded = zlib.crc32(host.encode())
-        word = HostWord(
+        heartbeat = HostHeartbeat(
             host=host,
             availability_zone=zone,
             reads_store=zone != "z0" or not self._leads,
@@ -186,11 +192,11 @@
             demand_by_model={"large": 0.5, "small": 0.7},
             plans=(zone,) if first else (),
             address="127.0.0.1:9",
-            interval=n_ticks * WORD_INTERVAL,
+            interval=n_ticks * HEARTBEAT_INTERVAL,
             for_zone=zone != "z0",
             n_hosts=self._size.n_near if zone != "z0" else 1,
         )
-        return encode_word(word)
+        return encode_heartbeat(heartbeat)
 
     async def _news(self) -> None:
         """Tell of one server that changes, as who reads for others would."""
@@ -198,7 +204,7 @@
             await asyncio.sleep(NEWS_INTERVAL)
             start = self._news_end
             self._news_end = start + round(
-                self._size.n_servers * NEWS_INTERVAL / HEARTBEAT
+                self._size.n_servers * NEWS_INTERVAL / RENEWAL_INTERVAL
             )
             index = self._news_end % self._size.n_servers
             key, value = self._entry(index, draining=self._news_end % 2 == 0)
@@ -209,11 +215,11 @@
             for data in encode_news(news):
                 self._send(data)
 
-    async def _heartbeats(self) -> None:
+    async def _renew_records(self) -> None:
         while True:
             for key, value in self._entries:
                 self._store.put("keyed.servers", key, value)
-                await asyncio.sleep(HEARTBEAT / len(self._entries))
+                await asyncio.sleep(RENEWAL_INTERVAL / len(self._entries))
 
     def _send(self, data: bytes) -> None:
         if self.host_address is not None:
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -16,11 +16,11 @@
 
 from msgspec.structs import replace
 
-from ryelever.coordination.host_words import READERS, HostWord, HostWords
-from ryelever.host_exchange import FAR_WORDS, WORD_INTERVAL
+from ryelever.coordination.host_heartbeats import READERS, HostHeartbeat, HostHeartbeats
+from ryelever.host_exchange import HEARTBEAT_INTERVAL, TICKS_PER_ZONE_HEARTBEAT
 from ryelever.log_stream import StreamWriter
 from ryelever.logs import JsonFormatter
-from ryelever.protocol.host_words import decode_datagram, encode_word
+from ryelever.protocol.host_messages import decode_datagram, encode_heartbeat
 from ryelever.protocol.sse import EventCutter
 from ryelever.state.routes import RouteKind
 from tests.test_coordination.test_relaying.relay_fakes import Relaying, head
@@ -31,7 +31,7 @@
 N_ROUNDS = 5
 
 #: Words and log lines of one round.
-N_WORDS = 500
+N_HEARTBEATS = 500
 N_LINES = 5000
 
 #: Heads that a word tells the load of: the groups of a zone.
@@ -64,8 +64,8 @@
     return (time.process_time() - start) / N_STREAMS
 
 
-def _word(host: int, sequence: int) -> HostWord:
-    return HostWord(
+def _heartbeat(host: int, sequence: int) -> HostHeartbeat:
+    return HostHeartbeat(
         host=f"front-{host}",
         availability_zone="z",
         boot=1,
@@ -81,45 +81,47 @@
 def write_time() -> float:
     """Return the seconds to write one word."""
     start = time.process_time()
-    for sequence in range(N_WORDS):
-        encode_word(_word(1, sequence))
-    return (time.process_time() - start) / N_WORDS
+    for sequence in range(N_HEARTBEATS):
+        encode_heartbeat(_heartbeat(1, sequence))
+    return (time.process_time() - start) / N_HEARTBEATS
 
 
-def _heard(n_own: int, n_zones: int) -> HostWords:
+def _heard(n_own: int, n_zones: int) -> HostHeartbeats:
     """Return what a host knows that hears its own zone and one host of each other."""
-    words = HostWords(host="front-0", zone="z")
+    heartbeats = HostHeartbeats(host="front-0", zone="z")
     for host in range(1, n_own):
-        words.take(_word(host, 1), address="10.0.0.1:7000", now=0.0)
+        heartbeats.take(_heartbeat(host, 1), address="10.0.0.1:7000", now=0.0)
     for zone in range(1, n_zones):
-        word = replace(
-            _word(n_own + zone, 1), availability_zone=f"z{zone}", for_zone=True
+        heartbeat = replace(
+            _heartbeat(n_own + zone, 1), availability_zone=f"z{zone}", for_zone=True
         )
-        words.take(word, address="10.0.0.1:7000", now=0.0)
-    return words
+        heartbeats.take(heartbeat, address="10.0.0.1:7000", now=0.0)
+    return heartbeats
 
 
-def words_a_second(n_own: int, n_zones: int) -> float:
+def heartbeats_per_second(n_own: int, n_zones: int) -> float:
     """Return how many words a host hears that neither reads nor speaks."""
-    words = _heard(n_own, n_zones)
-    seldom = WORD_INTERVAL * words.ticks_between_words(now=0.0)
+    heartbeats = _heard(n_own, n_zones)
+    seldom = HEARTBEAT_INTERVAL * heartbeats.ticks_between_heartbeats(now=0.0)
     n_frequent = min(READERS, n_own - 1)
-    near = n_frequent / WORD_INTERVAL + (n_own - 1 - n_frequent) / seldom
-    return near + (n_zones - 1) / (FAR_WORDS * WORD_INTERVAL)
+    near = n_frequent / HEARTBEAT_INTERVAL + (n_own - 1 - n_frequent) / seldom
+    return near + (n_zones - 1) / (TICKS_PER_ZONE_HEARTBEAT * HEARTBEAT_INTERVAL)
 
 
 def take_time(n_own: int, n_zones: int) -> float:
     """Return the seconds to take one word, where so many hosts are heard."""
-    words = _heard(n_own, n_zones)
+    heartbeats = _heard(n_own, n_zones)
     data = [
-        encode_word(_word(1 + index % (n_own - 1), 2 + index))
-        for index in range(N_WORDS)
+        encode_heartbeat(_heartbeat(1 + index % (n_own - 1), 2 + index))
+        for index in range(N_HEARTBEATS)
     ]
     start = time.process_time()
     for datagram in data:
-        words.take(decode_datagram(datagram, peer="front"), address="front", now=0.1)
-        words.in_flight(now=0.1)
-    return (time.process_time() - start) / N_WORDS
+        heartbeats.take(
+            decode_datagram(datagram, peer="front"), address="front", now=0.1
+        )
+        heartbeats.in_flight(now=0.1)
+    return (time.process_time() - start) / N_HEARTBEATS
 
 
 def line_time() -> float:
@@ -158,12 +160,12 @@
     print(f"a stream of one event: {one * 1e6:.0f} us")
     print(f"each further event:    {event * 1e6:.1f} us")
     write = _best(write_time)
-    n_bytes = len(encode_word(_word(1, 1)))
+    n_bytes = len(encode_heartbeat(_heartbeat(1, 1)))
     print(f"a word: {write * 1e6:.0f} us to write, {n_bytes} bytes")
     for n_hosts, n_own, n_zones in FLEETS:
-        rate = words_a_second(n_own, n_zones)
+        rate = heartbeats_per_second(n_own, n_zones)
         take = _best(lambda own=n_own, zones=n_zones: take_time(own, zones))
-        share = (rate * take + write / WORD_INTERVAL) * 100
+        share = (rate * take + write / HEARTBEAT_INTERVAL) * 100
         print(
             f"{n_hosts} hosts: {take * 1e6:.0f} us to take a word,"
             f" {rate:.0f} words a second, {share:.1f}% of a core,"
--- a/benchmarks/stale_balance.py
+++ b/benchmarks/stale_balance.py
@@ -15,7 +15,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from ryelever.coordination.host_words import FREQUENT_HOSTS
+from ryelever.coordination.host_heartbeats import FREQUENT_HOSTS
 from ryelever.coordination.relaying.balance import Balancer
 from ryelever.state.directory import BackendServer, Directory, GroupReport, GroupState
 
--- a/ryelever/coordination/host_words.py
+++ b/ryelever/coordination/host_heartbeats.py
@@ -15,7 +15,7 @@
 
     from ..state.observations import RateLimitRow, SuspicionRow
 
-__all__ = ["HostAddress", "HostWord", "HostWords", "news_of"]
+__all__ = ["HostAddress", "HostHeartbeat", "HostHeartbeats", "urgent_state"]
 
 #: Least seconds of silence after which an entry host counts as gone.  The words of
 #: those that others rely on come every 0.2 s, and four in a row are not lost by
@@ -55,7 +55,7 @@
     availability_zone: str
 
 
-class HostWord(msgspec.Struct, kw_only=True, frozen=True):
+class HostHeartbeat(msgspec.Struct, kw_only=True, frozen=True):
     """Hold what one entry host says of itself.
 
     Attributes
@@ -132,40 +132,40 @@
     knows_servers: bool = False
 
 
-def news_of(word: HostWord) -> tuple[object, ...]:
+def urgent_state(heartbeat: HostHeartbeat) -> tuple[object, ...]:
     """Return the part of a word that others act on at once when it changes.
 
     Each host notices by itself that a group stands still, but in a large zone a host
     has a stream there only now and then: it would send requests there for seconds.
     """
     return (
-        word.interval,
-        word.reads_store,
-        word.knows_servers,
-        word.store_era,
-        word.operator_place,
-        word.stopping,
-        word.configuration_version,
-        word.still,
-        word.moving,
-        word.plans,
-        word.reshapes,
-        word.suspicions,
-        tuple((row.server_id, row.rate) for row in word.rate_limits),
-        word.wanted_servers,
+        heartbeat.interval,
+        heartbeat.reads_store,
+        heartbeat.knows_servers,
+        heartbeat.store_era,
+        heartbeat.operator_place,
+        heartbeat.stopping,
+        heartbeat.configuration_version,
+        heartbeat.still,
+        heartbeat.moving,
+        heartbeat.plans,
+        heartbeat.reshapes,
+        heartbeat.suspicions,
+        tuple((row.server_id, row.rate) for row in heartbeat.rate_limits),
+        heartbeat.wanted_servers,
     )
 
 
-class _Heard(msgspec.Struct, kw_only=True):
+class _Received(msgspec.Struct, kw_only=True):
     """Hold the newest word of one host and when it came."""
 
-    word: HostWord
+    heartbeat: HostHeartbeat
     heard_at: float
 
     @property
     def patience(self) -> float:
         """Return the seconds of silence after which the host counts as gone."""
-        return max(HOST_SILENCE, SILENT_INTERVALS * self.word.interval)
+        return max(HOST_SILENCE, SILENT_INTERVALS * self.heartbeat.interval)
 
     @property
     def lapses_after(self) -> float:
@@ -173,7 +173,7 @@
         return self.heard_at + self.patience - ROUNDING
 
 
-class HostWords:
+class HostHeartbeats:
     """Hold the words of all other entry hosts.
 
     Parameters
@@ -186,7 +186,7 @@
         self._host = host
         self._zone = zone
         self.addresses_by_host: dict[str, HostAddress] = {}
-        self._heard_by_host: dict[str, _Heard] = {}
+        self._heard_by_host: dict[str, _Received] = {}
         self._zone_heard_at: dict[str, float] = {}
         self._zone_asked_at: dict[str, float] = {}
         self._speaker_by_zone: dict[str, str] = {}
@@ -196,12 +196,12 @@
         self._none_lapses_before = float("-inf")
         # The words of this zone; None once one has come or lapsed since they were
         # picked.
-        self._near: list[HostWord] | None = None
+        self._near: list[HostHeartbeat] | None = None
         # Words come hundreds of times a second in a large fleet, and summing over all
         # hosts at each would cost more than all else; so the sum is kept.
         self._in_flight: Counter[str] = Counter()
 
-    def take(self, word: HostWord, *, address: str, now: float) -> bool:
+    def take(self, heartbeat: HostHeartbeat, *, address: str, now: float) -> bool:
         """Take a word; tell whether it is newer than the one that is known.
 
         Parameters
@@ -210,36 +210,36 @@
             Where it came from, and where its host is asked.  A host that was started
             anew while the store is away learns of the others only this way.
         """
-        if word.host == self._host:
+        if heartbeat.host == self._host:
             return False
-        heard = self._heard_by_host.get(word.host)
-        same = heard is not None and heard.word.boot == word.boot
-        if same and word.sequence <= heard.word.sequence:
+        heard = self._heard_by_host.get(heartbeat.host)
+        same = heard is not None and heard.heartbeat.boot == heartbeat.boot
+        if same and heartbeat.sequence <= heard.heartbeat.sequence:
             return False
-        self._forget(word.host)
-        if word.for_zone:
-            self._take_speaker(word)
-        heard = _Heard(word=word, heard_at=now)
-        self._heard_by_host[word.host] = heard
+        self._forget(heartbeat.host)
+        if heartbeat.for_zone:
+            self._take_speaker(heartbeat)
+        heard = _Received(heartbeat=heartbeat, heard_at=now)
+        self._heard_by_host[heartbeat.host] = heard
         self._near = None
         self._none_lapses_before = min(self._none_lapses_before, heard.lapses_after)
-        self._in_flight.update(word.in_flight_by_server)
-        self._zone_heard_at[word.availability_zone] = now
-        self.addresses_by_host[word.host] = HostAddress(
-            host=word.host,
-            address=word.address or address,
-            availability_zone=word.availability_zone,
+        self._in_flight.update(heartbeat.in_flight_by_server)
+        self._zone_heard_at[heartbeat.availability_zone] = now
+        self.addresses_by_host[heartbeat.host] = HostAddress(
+            host=heartbeat.host,
+            address=heartbeat.address or address,
+            availability_zone=heartbeat.availability_zone,
         )
         return True
 
-    def _take_speaker(self, word: HostWord) -> None:
+    def _take_speaker(self, heartbeat: HostHeartbeat) -> None:
         """Let a word for a zone take the place of the former speaker's."""
-        zone = word.availability_zone
+        zone = heartbeat.availability_zone
         former = self._speaker_by_zone.get(zone)
-        if former is not None and former != word.host:
+        if former is not None and former != heartbeat.host:
             self._forget(former)
-        self._speaker_by_zone[zone] = word.host
-        self._n_hosts_by_zone[zone] = word.n_hosts
+        self._speaker_by_zone[zone] = heartbeat.host
+        self._n_hosts_by_zone[zone] = heartbeat.n_hosts
 
     def speaker(self, zone: str) -> str | None:
         """Return the host that spoke last for another zone, if one ever did."""
@@ -256,7 +256,7 @@
             if address.availability_zone == zone
         )
 
-    def near(self, *, now: float) -> list[HostWord]:
+    def near(self, *, now: float) -> list[HostHeartbeat]:
         """Return the newest words of the other hosts of this zone.
 
         The list is not to be changed by who asks.
@@ -264,13 +264,13 @@
         self._forget_silent(now=now)
         if self._near is None:
             self._near = [
-                heard.word
+                heard.heartbeat
                 for heard in self._heard_by_host.values()
-                if heard.word.availability_zone == self._zone
+                if heard.heartbeat.availability_zone == self._zone
             ]
         return self._near
 
-    def ticks_between_words(self, *, now: float) -> int:
+    def ticks_between_heartbeats(self, *, now: float) -> int:
         """Return how many ticks lie between two words to the hosts of this zone."""
         return math.ceil((1 + len(self.near(now=now))) / FREQUENT_HOSTS)
 
@@ -286,15 +286,17 @@
             Whether this host plans for the zone.
         """
         near = self.near(now=now)
-        planners = [word for word in near if self._zone in word.plans]
+        planners = [heartbeat for heartbeat in near if self._zone in heartbeat.plans]
         if planning or planners:
-            return planning and all(self._host < word.host for word in planners)
-        return all(self._host < word.host for word in near)
+            return planning and all(
+                self._host < heartbeat.host for heartbeat in planners
+            )
+        return all(self._host < heartbeat.host for heartbeat in near)
 
-    def living(self, *, now: float) -> list[HostWord]:
+    def living(self, *, now: float) -> list[HostHeartbeat]:
         """Return the newest words of the hosts that are heard."""
         self._forget_silent(now=now)
-        return [heard.word for heard in self._heard_by_host.values()]
+        return [heard.heartbeat for heard in self._heard_by_host.values()]
 
     def _forget_silent(self, *, now: float) -> None:
         """Forget the hosts whose words have lapsed."""
@@ -313,7 +315,7 @@
         if heard is None:
             return
         self._near = None
-        for server_id, count in heard.word.in_flight_by_server.items():
+        for server_id, count in heard.heartbeat.in_flight_by_server.items():
             self._in_flight[server_id] -= count
             if not self._in_flight[server_id]:
                 del self._in_flight[server_id]
@@ -339,17 +341,17 @@
     def demand(self, *, now: float) -> Counter[str]:
         """Return the work that arrives at the other hosts, by model."""
         total: Counter[str] = Counter()
-        for word in self.living(now=now):
-            total.update(word.demand_by_model)
+        for heartbeat in self.living(now=now):
+            total.update(heartbeat.demand_by_model)
         return total
 
     def still(self, *, now: float) -> set[str]:
         """Return the heads whose groups stand still as other hosts see them."""
-        return {head for word in self.living(now=now) for head in word.still}
+        return {head for heartbeat in self.living(now=now) for head in heartbeat.still}
 
     def moving(self, *, now: float) -> set[str]:
         """Return the heads whose streams go on at other hosts, of those in doubt."""
-        return {head for word in self.living(now=now) for head in word.moving}
+        return {head for heartbeat in self.living(now=now) for head in heartbeat.moving}
 
     def unheard_zones(self, *, now: float) -> set[str]:
         """Return the other zones whose hosts were heard once and are no more."""
@@ -361,7 +363,9 @@
 
     def reshaping(self, *, now: float) -> set[str]:
         """Return the zones in which other planners take groups apart."""
-        return {zone for word in self.living(now=now) for zone in word.reshapes}
+        return {
+            zone for heartbeat in self.living(now=now) for zone in heartbeat.reshapes
+        }
 
     def reads_for_zone(self, *, reads_store: bool, now: float) -> bool:
         """Tell whether this host is one of those that read the store for their zone.
@@ -375,17 +379,19 @@
         if not reads_store:
             return True
         return self._is_among_first(
-            word for word in self.near(now=now) if word.reads_store
+            heartbeat for heartbeat in self.near(now=now) if heartbeat.reads_store
         )
 
     def is_among_first(self, *, now: float) -> bool:
         """Tell whether this host would read for its zone if none reached the store."""
         return self._is_among_first(self.near(now=now))
 
-    def _is_among_first(self, words: Iterable[HostWord]) -> bool:
+    def _is_among_first(self, heartbeats: Iterable[HostHeartbeat]) -> bool:
         """Tell whether fewer than two of some hosts that stay come before this one."""
         before = [
-            word for word in words if not word.stopping and word.host < self._host
+            heartbeat
+            for heartbeat in heartbeats
+            if not heartbeat.stopping and heartbeat.host < self._host
         ]
         return len(before) < READERS
 
@@ -416,9 +422,13 @@
             if now - heard_at < ORPHANED:
                 return False
             heard = self.living(now=now)
-        able = [word for word in heard if word.reads_store and not word.stopping]
-        rivals = [word for word in able if zone in word.plans]
+        able = [
+            heartbeat
+            for heartbeat in heard
+            if heartbeat.reads_store and not heartbeat.stopping
+        ]
+        rivals = [heartbeat for heartbeat in able if zone in heartbeat.plans]
         if not planning:
-            return not rivals and all(self._host < word.host for word in able)
-        comes_first = all(self._host < word.host for word in rivals)
+            return not rivals and all(self._host < heartbeat.host for heartbeat in able)
+        comes_first = all(self._host < heartbeat.host for heartbeat in rivals)
         return not rivals or (reads_store and comes_first)
--- a/ryelever/coordination/relaying/limit_shares.py
+++ b/ryelever/coordination/relaying/limit_shares.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from ..host_words import HostWord
+    from ..host_heartbeats import HostHeartbeat
 
 __all__ = ["TokenBucket", "WantedBy", "share_of"]
 
@@ -104,9 +104,9 @@
         """Count this host."""
         self._add(self.host, self.zone, is_wanted=is_wanted)
 
-    def add(self, word: HostWord, *, is_wanted: bool) -> None:
+    def add(self, heartbeat: HostHeartbeat, *, is_wanted: bool) -> None:
         """Count another host of this zone, or who speaks for another zone."""
-        self._add(word.host, word.availability_zone, is_wanted=is_wanted)
+        self._add(heartbeat.host, heartbeat.availability_zone, is_wanted=is_wanted)
 
     @property
     def zones(self) -> set[str]:
--- a/ryelever/coordination/relaying/rate_limits.py
+++ b/ryelever/coordination/relaying/rate_limits.py
@@ -21,7 +21,7 @@
     from collections.abc import Callable, Iterable
 
     from ...state.directory import BackendServer, Directory
-    from ..host_words import HostWord
+    from ..host_heartbeats import HostHeartbeat
 
 __all__ = ["Allowance", "ServerRateLimits"]
 
@@ -202,7 +202,7 @@
     # This host's part
 
     def share_out(
-        self, *, host: str, zone: str, words: list[HostWord], now: float
+        self, *, host: str, zone: str, heartbeats: list[HostHeartbeat], now: float
     ) -> None:
         """Set this host's part of each limit.
 
@@ -210,7 +210,7 @@
         ----------
         host, zone : str
             This host and its availability zone.
-        words : list of HostWord
+        words : list of HostHeartbeat
             The newest words of the hosts that are heard.
         """
         self._drop_outdated(now=now)
@@ -225,8 +225,10 @@
             is_cold = self._rate_while_cold(server_id, now=now) is not None
             wanted_by = WantedBy(host=host, zone=zone, all_share=is_cold)
             wanted_by.add_own(is_wanted=limit.is_wanted(now=now))
-            for word in words:
-                wanted_by.add(word, is_wanted=server_id in word.wanted_servers)
+            for heartbeat in heartbeats:
+                wanted_by.add(
+                    heartbeat, is_wanted=server_id in heartbeat.wanted_servers
+                )
             share = share_of(
                 server_id,
                 max(rate, LEAST_RATE),
--- a/ryelever/coordination/server_reading.py
+++ b/ryelever/coordination/server_reading.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from ..state.keyed_record import ServerNews
-    from .host_words import HostWords
+    from .host_heartbeats import HostHeartbeats
     from .topic import TopicFollower
 
 __all__ = [
@@ -73,7 +73,7 @@
         "_reached_since",
         "_servers",
         "_started_at",
-        "_words",
+        "_heartbeats",
         "_zone",
         "silent_at",
     )
@@ -83,14 +83,14 @@
         *,
         host: str,
         zone: str,
-        words: HostWords,
+        heartbeats: HostHeartbeats,
         servers: TopicFollower,
         hosts: TopicFollower,
         started_at: float,
     ) -> None:
         self._host = host
         self._zone = zone
-        self._words = words
+        self._heartbeats = heartbeats
         self._servers = servers
         self._hosts = hosts
         self._started_at = started_at
@@ -121,7 +121,7 @@
         if self._servers.defers_listing:
             self._servers.defers_listing = not is_turn_to_list(
                 self._host,
-                self._words.hosts_of(self._zone),
+                self._heartbeats.hosts_of(self._zone),
                 known_at=self._hosts_known_at,
                 started_at=self._started_at,
                 now=now,
@@ -155,7 +155,7 @@
         """
         if not is_reachable:
             self._reached_since = None
-            reads = self._words.is_among_first(now=now)
+            reads = self._heartbeats.is_among_first(now=now)
         elif self._reached_since is None:
             self._reached_since = now
         quiet_for = now - max(told_at, self._reached_since or now)
@@ -190,7 +190,7 @@
         """
         if self._missed is None:
             return None
-        is_first = self._words.is_among_first(now=now)
+        is_first = self._heartbeats.is_among_first(now=now)
         patience = GAP_PATIENCE if is_first else OTHERS_GAP_PATIENCE
         if now - self._missed.since <= patience:
             return self._missed.giver
--- a/ryelever/coordination/zone_summary.py
+++ b/ryelever/coordination/zone_summary.py
@@ -18,39 +18,43 @@
     from collections.abc import Iterable
 
     from ..state.observations import RateLimitRow, SuspicionRow
-    from .host_words import HostWord
+    from .host_heartbeats import HostHeartbeat
 
 __all__ = ["zone_summary"]
 
 
-def zone_summary(own: HostWord, others: Iterable[HostWord]) -> HostWord:
+def zone_summary(own: HostHeartbeat, others: Iterable[HostHeartbeat]) -> HostHeartbeat:
     """Return what a host says for its zone.
 
     Parameters
     ----------
-    own : HostWord
+    own : HostHeartbeat
         What it says for itself.
-    others : iterable of HostWord
+    others : iterable of HostHeartbeat
         The newest words of the zone's other hosts.
     """
-    words = [own, *others]
+    heartbeats = [own, *others]
     in_flight: Counter[str] = Counter()
     demand: Counter[str] = Counter()
-    for word in words:
-        in_flight.update(word.in_flight_by_server)
-        demand.update(word.demand_by_model)
+    for heartbeat in heartbeats:
+        in_flight.update(heartbeat.in_flight_by_server)
+        demand.update(heartbeat.demand_by_model)
     return replace(
         own,
-        n_hosts=len(words),
+        n_hosts=len(heartbeats),
         in_flight_by_server=dict(in_flight),
         demand_by_model=dict(demand),
-        still=_union(word.still for word in words),
-        moving=_union(word.moving for word in words),
-        plans=_union(word.plans for word in words),
-        reshapes=_union(word.reshapes for word in words),
-        suspicions=_summed(row for word in words for row in word.suspicions),
-        rate_limits=_newest(row for word in words for row in word.rate_limits),
-        wanted_servers=_union(word.wanted_servers for word in words),
+        still=_union(heartbeat.still for heartbeat in heartbeats),
+        moving=_union(heartbeat.moving for heartbeat in heartbeats),
+        plans=_union(heartbeat.plans for heartbeat in heartbeats),
+        reshapes=_union(heartbeat.reshapes for heartbeat in heartbeats),
+        suspicions=_summed(
+            row for heartbeat in heartbeats for row in heartbeat.suspicions
+        ),
+        rate_limits=_newest(
+            row for heartbeat in heartbeats for row in heartbeat.rate_limits
+        ),
+        wanted_servers=_union(heartbeat.wanted_servers for heartbeat in heartbeats),
     )
 
 
--- a/ryelever/events.py
+++ b/ryelever/events.py
@@ -48,7 +48,7 @@
     "serving_tick",
     "store_returned",
     "sweep",
-    "word_tick",
+    "heartbeat_tick",
 ]
 
 
@@ -324,7 +324,7 @@
     """Announce a ``HostReported``."""
 
 
-class word_tick(Event):
+class heartbeat_tick(Event):
     """Let this host tell the others what it sees."""
 
 
--- a/ryelever/fleet_directory.py
+++ b/ryelever/fleet_directory.py
@@ -25,7 +25,7 @@
 
 if TYPE_CHECKING:
     from .coordination.evacuations import Evacuations
-    from .coordination.host_words import HostWord, HostWords
+    from .coordination.host_heartbeats import HostHeartbeat, HostHeartbeats
     from .coordination.topic import TopicNews
     from .protocol.keyed_log import KeyedLogInterface
     from .protocol.store_documents import StoreDocuments
@@ -100,7 +100,7 @@
         documents: StoreDocuments,
         store: StoreClient,
         directory: Directory,
-        words: HostWords,
+        heartbeats: HostHeartbeats,
         evacuations: Evacuations,
         own_address: str,
     ) -> None:
@@ -110,7 +110,7 @@
         self._documents = documents
         self._store = store
         self._directory = directory
-        self._words = words
+        self._heartbeats = heartbeats
         self._evacuations = evacuations
         self._own_address = own_address
         self._removals = Removals(heartbeat_interval=settings.heartbeat_interval)
@@ -135,13 +135,13 @@
         self._reading = ServerReading(
             host=settings.host,
             zone=settings.availability_zone,
-            words=words,
+            heartbeats=heartbeats,
             servers=self.servers,
             hosts=self.hosts,
             started_at=time.monotonic(),
         )
         self.fetch = HostFetch(
-            words=words,
+            heartbeats=heartbeats,
             take_configuration=self.take_configuration,
             take_servers=self._take_given_servers,
             take_changes=self._take_changes,
@@ -215,7 +215,7 @@
         their own record.
         """
         is_reachable = self._store.is_reachable
-        reads = self._words.reads_for_zone(reads_store=is_reachable, now=now)
+        reads = self._heartbeats.reads_for_zone(reads_store=is_reachable, now=now)
         self.configuration.rests = not reads and self.table is not None
         acknowledged_at = self._acknowledged_at
         knows_all = (
@@ -301,7 +301,7 @@
         """Return the configuration in force as it lies in the store."""
         return self._document
 
-    def note_version(self, word: HostWord, *, now: float) -> None:
+    def note_version(self, heartbeat: HostHeartbeat, *, now: float) -> None:
         """Take word that another entry host has a version in force.
 
         The store may turn this host away, or a read hang on a silent connection,
@@ -309,15 +309,15 @@
         where that doesn't help soon, the other host gives it.  A host that leaves the
         reading to others asks a host of its zone first.
         """
-        if word.configuration_version <= self.version:
+        if heartbeat.configuration_version <= self.version:
             return
         overdue = self.fetch.note_behind(now=now)
-        is_near = word.availability_zone == self._settings.availability_zone
-        is_given = word.configuration_size <= MAX_GIVEN
+        is_near = heartbeat.availability_zone == self._settings.availability_zone
+        is_given = heartbeat.configuration_size <= MAX_GIVEN
         if overdue or not (self.configuration.rests and is_given):
             self.configuration.poke(now=now)
         if overdue or (self.configuration.rests and is_given and is_near):
-            self.fetch.ask_for_configuration(word.host, now=now)
+            self.fetch.ask_for_configuration(heartbeat.host, now=now)
 
     def _take_given_servers(self, given: ServerNews, peer: str) -> None:
         """Take what another host knows, unless the store has answered meanwhile."""
@@ -642,9 +642,9 @@
         for record in news.records:
             address = self._documents.host(record.key, record.value)
             if address is None:
-                self._words.addresses_by_host.pop(record.key, None)
+                self._heartbeats.addresses_by_host.pop(record.key, None)
             else:
-                self._words.addresses_by_host[record.key] = address
+                self._heartbeats.addresses_by_host[record.key] = address
         if news.complete:
             self._settle_listing(now=time.monotonic())
             self._store.ask_now(self.servers)
--- a/ryelever/host_exchange.py
+++ b/ryelever/host_exchange.py
@@ -10,42 +10,42 @@
 from msgspec.structs import replace
 
 from .coordination.fan_out import fan_out
-from .coordination.host_words import news_of
+from .coordination.host_heartbeats import urgent_state
 from .coordination.zone_summary import zone_summary
 from .errors import RyeleverError
 from .events import Datagram, peers_send, server_news
 from .logs import log_event
-from .protocol.host_words import (
+from .protocol.host_messages import (
     RelayedDatagram,
     decode_datagram,
+    encode_heartbeat,
     encode_news,
     encode_relayed,
-    encode_word,
 )
 from .state.keyed_record import ServerNews
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from .coordination.host_words import HostAddress, HostWord, HostWords
+    from .coordination.host_heartbeats import HostAddress, HostHeartbeat, HostHeartbeats
     from .coordination.relaying import Balancer, CrashWatch, StillnessWatch
     from .relay_settings import RelaySettings
 
-__all__ = ["HostExchange", "WORD_INTERVAL"]
+__all__ = ["HostExchange", "HEARTBEAT_INTERVAL"]
 
 #: Seconds between two words to the hosts of the same availability zone, where there
 #: are few.  What another host sends to a group is known within this time, a seventh
 #: of a stream.
-WORD_INTERVAL = 0.2
+HEARTBEAT_INTERVAL = 0.2
 
 #: Ticks between two words to another zone: bytes between zones are paid for, and load
 #: there matters less.
-FAR_WORDS = 3
+TICKS_PER_ZONE_HEARTBEAT = 3
 
 
 #: Seconds after its start within which a host hears the others of its zone, and those
 #: that speak for other zones.
-FIRST_WORDS = 1.0
+DISCOVERY_TIME = 1.0
 
 
 class HostExchange(BaseComponent):
@@ -65,16 +65,16 @@
         self,
         *,
         settings: RelaySettings,
-        words: HostWords,
+        heartbeats: HostHeartbeats,
         balancer: Balancer,
         stillness: StillnessWatch,
         crashes: CrashWatch,
-        describe: Callable[[], HostWord],
-        take_version: Callable[[HostWord], None],
+        describe: Callable[[], HostHeartbeat],
+        take_version: Callable[[HostHeartbeat], None],
     ) -> None:
         super().__init__()
         self._settings = settings
-        self._words = words
+        self._heartbeats = heartbeats
         self._balancer = balancer
         self._stillness = stillness
         self._crashes = crashes
@@ -83,8 +83,8 @@
         self._boot = int.from_bytes(os.urandom(7), "big")
         self._sequence = 0
         self._n_spread = 0
-        self._near_news: tuple[object, ...] = ()
-        self._far_news: tuple[object, ...] = ()
+        self._last_near_state: tuple[object, ...] = ()
+        self._last_far_state: tuple[object, ...] = ()
         self._heard: set[str] = set()
         self._unheard_zones: set[str] = set()
         self._started_at = time.monotonic()
@@ -94,53 +94,58 @@
         """Return how many other entry hosts of the zone are heard."""
         return len(self._heard)
 
-    @handler("word_tick")
+    @handler("heartbeat_tick")
     def _on_tick(self) -> None:
         now = time.monotonic()
         self._sequence += 1
         described = self._describe()
         planning = self._settings.availability_zone in described.plans
-        speaks = self._words.speaks(planning=planning, now=now)
+        speaks = self._heartbeats.speaks(planning=planning, now=now)
         # Others rely on who speaks or reads for them, and notice soon if it is lost.
-        relied_on = speaks or self._words.reads_for_zone(
+        relied_on = speaks or self._heartbeats.reads_for_zone(
             reads_store=described.reads_store, now=now
         )
-        usual_ticks = self._words.ticks_between_words(now=now)
+        usual_ticks = self._heartbeats.ticks_between_heartbeats(now=now)
         n_ticks = 1 if relied_on else usual_ticks
-        word = self._own_word(described, interval=n_ticks * WORD_INTERVAL, now=now)
-        if self._sequence % n_ticks == 0 or news_of(word) != self._near_news:
-            self._near_news = news_of(word)
-            data = encode_word(word)
+        heartbeat = self._own_heartbeat(
+            described, interval=n_ticks * HEARTBEAT_INTERVAL, now=now
+        )
+        if (
+            self._sequence % n_ticks == 0
+            or urgent_state(heartbeat) != self._last_near_state
+        ):
+            self._last_near_state = urgent_state(heartbeat)
+            data = encode_heartbeat(heartbeat)
             if relied_on:
                 self._spread_near(data)
             else:
                 self._send(data, self._near_hosts())
         if speaks:
-            self._speak(word, now=now)
-        self._balancer.peers_in_flight_by_id = self._words.in_flight(now=now)
-        self._balancer.unheard_zones = self._words.unheard_zones(now=now)
+            self._speak(heartbeat, now=now)
+        self._balancer.peers_in_flight_by_id = self._heartbeats.in_flight(now=now)
+        self._balancer.unheard_zones = self._heartbeats.unheard_zones(now=now)
         self._balancer.hear(
-            interval=WORD_INTERVAL * usual_ticks,
-            n_near=len(self._words.near(now=now)),
-            n_hosts=self._words.n_hosts(now=now),
+            interval=HEARTBEAT_INTERVAL * usual_ticks,
+            n_near=len(self._heartbeats.near(now=now)),
+            n_hosts=self._heartbeats.n_hosts(now=now),
         )
         self._share_limits(now=now)
         self._log_hearing(now=now)
 
     def _share_limits(self, *, now: float) -> None:
-        if self._balancer.limits.is_empty or now - self._started_at < FIRST_WORDS:
+        if self._balancer.limits.is_empty or now - self._started_at < DISCOVERY_TIME:
             # A host that has heard nobody yet would take all of a limit.
             return
         self._balancer.limits.share_out(
             host=self._settings.host,
             zone=self._settings.availability_zone,
-            words=self._words.living(now=now),
+            heartbeats=self._heartbeats.living(now=now),
             now=now,
         )
 
-    def _own_word(
-        self, described: HostWord, *, interval: float, now: float
-    ) -> HostWord:
+    def _own_heartbeat(
+        self, described: HostHeartbeat, *, interval: float, now: float
+    ) -> HostHeartbeat:
         return replace(
             described,
             boot=self._boot,
@@ -155,49 +160,53 @@
             },
         )
 
-    def _speak(self, own: HostWord, *, now: float) -> None:
+    def _speak(self, own: HostHeartbeat, *, now: float) -> None:
         """Tell the other zones what there is to say for this one, if it is time."""
         summary = replace(
-            zone_summary(own, self._words.near(now=now)),
+            zone_summary(own, self._heartbeats.near(now=now)),
             for_zone=True,
-            interval=FAR_WORDS * WORD_INTERVAL,
+            interval=TICKS_PER_ZONE_HEARTBEAT * HEARTBEAT_INTERVAL,
         )
-        news = news_of(summary)
-        if self._sequence % FAR_WORDS and news == self._far_news:
+        news = urgent_state(summary)
+        if self._sequence % TICKS_PER_ZONE_HEARTBEAT and news == self._last_far_state:
             return
-        self._far_news = news
-        data = encode_word(summary)
+        self._last_far_state = news
+        data = encode_heartbeat(summary)
         for zone in self._far_zones():
             # Who spoke last may be lost, so that another one is told as well.
-            others = self._words.hosts_of(zone)
-            told = {others[self._sequence // FAR_WORDS % len(others)]}
-            told.add(self._words.speaker(zone) or "")
+            others = self._heartbeats.hosts_of(zone)
+            told = {others[self._sequence // TICKS_PER_ZONE_HEARTBEAT % len(others)]}
+            told.add(self._heartbeats.speaker(zone) or "")
             self._send(data, told)
 
     @handler("peers_received")
     def _on_received(self, datagrams: list[Datagram]) -> None:
         now = time.monotonic()
         for datagram in datagrams:
-            word = decode_datagram(datagram.data, peer=datagram.address)
-            if isinstance(word, RelayedDatagram):
-                self._send_on(word)
-                word = decode_datagram(word.data, peer=datagram.address)
-            if isinstance(word, RyeleverError):
-                log_event("word_unreadable", peer=datagram.address, why=str(word))
-            elif isinstance(word, ServerNews):
-                self._take_news(replace(word, giver=datagram.address))
-            elif isinstance(word, RelayedDatagram):
+            heartbeat = decode_datagram(datagram.data, peer=datagram.address)
+            if isinstance(heartbeat, RelayedDatagram):
+                self._send_on(heartbeat)
+                heartbeat = decode_datagram(heartbeat.data, peer=datagram.address)
+            if isinstance(heartbeat, RyeleverError):
+                log_event("word_unreadable", peer=datagram.address, why=str(heartbeat))
+            elif isinstance(heartbeat, ServerNews):
+                self._take_news(replace(heartbeat, giver=datagram.address))
+            elif isinstance(heartbeat, RelayedDatagram):
                 log_event("word_unreadable", peer=datagram.address, why="relayed twice")
-            elif self._words.take(word, address=datagram.address, now=now):
-                if word.for_zone and not word.passed_on:
+            elif self._heartbeats.take(heartbeat, address=datagram.address, now=now):
+                if heartbeat.for_zone and not heartbeat.passed_on:
                     # The zone's other hosts hear of this one only here.
-                    self._spread_near(encode_word(replace(word, passed_on=True)))
-                self._take_still(word, now=now)
-                self._take_version(word)
-                self._balancer.limits.heard(word.rate_limits, now=now)
-                if word.suspicions:
-                    self._crashes.heard(word.suspicions, host=word.host, now=now)
-        self._balancer.peers_in_flight_by_id = self._words.in_flight(now=now)
+                    self._spread_near(
+                        encode_heartbeat(replace(heartbeat, passed_on=True))
+                    )
+                self._take_still(heartbeat, now=now)
+                self._take_version(heartbeat)
+                self._balancer.limits.heard(heartbeat.rate_limits, now=now)
+                if heartbeat.suspicions:
+                    self._crashes.heard(
+                        heartbeat.suspicions, host=heartbeat.host, now=now
+                    )
+        self._balancer.peers_in_flight_by_id = self._heartbeats.in_flight(now=now)
         self._share_limits(now=now)
 
     @handler("server_news")
@@ -207,7 +216,7 @@
 
     def _take_news(self, news: ServerNews) -> None:
         self.fire(server_news(news), "directory")
-        reader = self._words.addresses_by_host.get(news.reader)
+        reader = self._heartbeats.addresses_by_host.get(news.reader)
         knows_already = reader is not None and self._is_near(reader)
         if not news.passed_on and not knows_already:
             # News cross between zones once, to who speaks for one, who tells it; the
@@ -219,7 +228,7 @@
     def _pass_on(self, news: ServerNews) -> None:
         """Tell this zone, and one host of each other one."""
         told = {
-            self._words.speaker(zone) or self._words.hosts_of(zone)[0]
+            self._heartbeats.speaker(zone) or self._heartbeats.hosts_of(zone)[0]
             for zone in self._far_zones()
         }
         for data in encode_news(news):
@@ -230,13 +239,13 @@
         """Return the other zones that have entry hosts."""
         zones = {
             address.availability_zone
-            for address in self._words.addresses_by_host.values()
+            for address in self._heartbeats.addresses_by_host.values()
         }
         return sorted(zones - {self._settings.availability_zone})
 
     def _near_hosts(self) -> list[str]:
         """Return the other hosts of this zone, sorted."""
-        hosts = self._words.hosts_of(self._settings.availability_zone)
+        hosts = self._heartbeats.hosts_of(self._settings.availability_zone)
         return [host for host in hosts if host != self._settings.host]
 
     def _is_near(self, address: HostAddress) -> bool:
@@ -248,7 +257,9 @@
         For what comes often or is long, and comes from one host or few: the link of
         that one would carry it as many times as the zone has hosts.
         """
-        living = {word.host for word in self._words.near(now=time.monotonic())}
+        living = {
+            heartbeat.host for heartbeat in self._heartbeats.near(now=time.monotonic())
+        }
         self._n_spread += 1
         relayers = fan_out(self._near_hosts(), living=living, turn=self._n_spread)
         self._send_each(
@@ -269,7 +280,7 @@
 
     def _send_each(self, data_by_host: Iterable[tuple[str, bytes]]) -> None:
         """Send each of some hosts that are known a datagram, all in one event."""
-        by_host = self._words.addresses_by_host
+        by_host = self._heartbeats.addresses_by_host
         datagrams = [
             Datagram(address=by_host[host].address, data=data)
             for host, data in data_by_host
@@ -278,14 +289,14 @@
         if datagrams:
             self.fire(peers_send(datagrams), "peers")
 
-    def _take_still(self, word: HostWord, *, now: float) -> None:
+    def _take_still(self, heartbeat: HostHeartbeat, *, now: float) -> None:
         """Leave groups alone that stand still for another host, and not here."""
-        for server_id in word.still:
+        for server_id in heartbeat.still:
             if not self._stillness.moves(server_id, now=now):
                 self._balancer.stands_still(server_id, now=now)
 
     def _log_hearing(self, *, now: float) -> None:
-        heard = {word.host for word in self._words.near(now=now)}
+        heard = {heartbeat.host for heartbeat in self._heartbeats.near(now=now)}
         for host in heard - self._heard:
             log_event("peer_heard", peer=host)
         for host in self._heard - heard:
--- a/ryelever/host_fetch.py
+++ b/ryelever/host_fetch.py
@@ -15,7 +15,7 @@
     outbound_send,
 )
 from .logs import log_event, log_warning
-from .protocol.host_words import (
+from .protocol.host_messages import (
     BUSY_STATUS,
     CONFIGURATION_PATH,
     SERVERS_PATH,
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from .coordination.host_words import HostWord, HostWords
+    from .coordination.host_heartbeats import HostHeartbeat, HostHeartbeats
     from .state.keyed_record import ServerNews
 
 __all__ = ["HostFetch"]
@@ -61,13 +61,13 @@
     def __init__(
         self,
         *,
-        words: HostWords,
+        heartbeats: HostHeartbeats,
         take_configuration: Callable[[bytes, str], None],
         take_servers: Callable[[ServerNews, str], None],
         take_changes: Callable[[ServerNews], None],
     ) -> None:
         super().__init__()
-        self._words = words
+        self._heartbeats = heartbeats
         self._take_configuration = take_configuration
         self._take_servers = take_servers
         self._take_changes = take_changes
@@ -100,7 +100,7 @@
 
     def ask_for_configuration(self, host: str, *, now: float) -> None:
         """Ask a host that has a newer configuration, unless one was asked just now."""
-        address = self._words.addresses_by_host.get(host)
+        address = self._heartbeats.addresses_by_host.get(host)
         asked_lately = now - self._configuration_asked_at < FETCH_RETRY
         if address is not None and not asked_lately:
             self._configuration_asked_at = now
@@ -111,8 +111,8 @@
 
         One that is giving them to others refuses at once, and the next one is asked.
         """
-        givers = self._knowing(self._words.near(now=now)) or self._knowing(
-            self._words.living(now=now)
+        givers = self._knowing(self._heartbeats.near(now=now)) or self._knowing(
+            self._heartbeats.living(now=now)
         )
         if givers and not self._waits_for_servers:
             self._waits_for_servers = True
@@ -128,9 +128,10 @@
             return
         givers = [
             address.address
-            for word in self._words.living(now=now)
-            if word.configuration_version >= 0
-            and (address := self._words.addresses_by_host.get(word.host)) is not None
+            for heartbeat in self._heartbeats.living(now=now)
+            if heartbeat.configuration_version >= 0
+            and (address := self._heartbeats.addresses_by_host.get(heartbeat.host))
+            is not None
         ]
         if givers:
             self._servers_asked_at = now
@@ -148,7 +149,7 @@
         pause = now - self._changes_asked_at
         if self._waits_for_changes or pause < CHANGES_RETRY:
             return
-        others = self._knowing(self._words.near(now=now))
+        others = self._knowing(self._heartbeats.near(now=now))
         self._n_changes_asked += 1
         if others and (not giver or self._n_changes_asked % 2 == 0):
             giver = self._next_of(others)
@@ -157,13 +158,13 @@
             self._waits_for_changes = True
             self._ask(changes_path(offset, era=era), giver)
 
-    def _knowing(self, words: Iterable[HostWord]) -> list[str]:
+    def _knowing(self, heartbeats: Iterable[HostHeartbeat]) -> list[str]:
         """Return where hosts are asked that know all backend servers."""
-        by_host = self._words.addresses_by_host
+        by_host = self._heartbeats.addresses_by_host
         return [
-            by_host[word.host].address
-            for word in words
-            if word.knows_servers and word.host in by_host
+            by_host[heartbeat.host].address
+            for heartbeat in heartbeats
+            if heartbeat.knows_servers and heartbeat.host in by_host
         ]
 
     def _next_of(self, givers: list[str]) -> str:
--- a/ryelever/host_offers.py
+++ b/ryelever/host_offers.py
@@ -8,7 +8,7 @@
 from circuits import BaseComponent, handler
 
 from .coordination.paced_giving import PacedGiving
-from .protocol.host_words import (
+from .protocol.host_messages import (
     BUSY_STATUS,
     CONFIGURATION_PATH,
     SERVERS_PATH,
--- a/ryelever/platform/messages.py
+++ b/ryelever/platform/messages.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ..coordination.relaying import AnswerHead, Headers, NamedLimit, RelayArrival
-from . import words
+from . import wire_names
 
 if TYPE_CHECKING:
     from ..coordination.relaying import RelayAttempt
@@ -48,20 +48,20 @@
         """
         found = dict(head)
         # The second number, the most tokens to write, says little of how many come.
-        n_prompt = _number(found.get(words.TOKENS, b"").partition(b",")[0])
-        deadline = _number(found.get(words.DEADLINE, b""))
+        n_prompt = _number(found.get(wire_names.TOKENS, b"").partition(b",")[0])
+        deadline = _number(found.get(wire_names.DEADLINE, b""))
         host = found.get(b"host", b"").decode("latin-1").lower()
         path = target.partition(b"?")[0].decode("latin-1")
-        key = found.get(words.KEY)
+        key = found.get(wire_names.KEY)
         return RelayArrival(
-            request_id=found.get(words.REQUEST_ID, b"").decode("latin-1"),
+            request_id=found.get(wire_names.REQUEST_ID, b"").decode("latin-1"),
             host=host.partition(":")[0],
             path=path,
             content=content,
             key=None if key is None else key.decode("latin-1"),
-            model=found.get(words.MODEL, b"").decode("latin-1"),
+            model=found.get(wire_names.MODEL, b"").decode("latin-1"),
             n_prompt=n_prompt,
-            last_event_id=found.get(words.LAST_EVENT_ID, b"").decode("latin-1"),
+            last_event_id=found.get(wire_names.LAST_EVENT_ID, b"").decode("latin-1"),
             deadline=now + deadline / 1000 if deadline else None,
             arrived_at=now,
         )
@@ -70,33 +70,33 @@
         self, head: Headers, attempt: RelayAttempt, *, now: float
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers of one attempt at a backend server."""
-        dropped = PER_CONNECTION | words.SET_BY_ENTRY_HOST | _nominated(head)
+        dropped = PER_CONNECTION | wire_names.SET_BY_ENTRY_HOST | _nominated(head)
         if attempt.last_event_id:
-            dropped = dropped | {words.LAST_EVENT_ID}
+            dropped = dropped | {wire_names.LAST_EVENT_ID}
         headers = [pair for pair in head if pair[0] not in dropped]
         left = max(1, int((attempt.deadline - now) * 1000) - WAY_BACK)
-        headers.append((words.DEADLINE, str(left).encode()))
-        headers.append((words.EXPECTED_SERVER, attempt.server_id.encode()))
+        headers.append((wire_names.DEADLINE, str(left).encode()))
+        headers.append((wire_names.EXPECTED_SERVER, attempt.server_id.encode()))
         if attempt.account:
-            headers.append((words.ACCOUNT, attempt.account.encode()))
+            headers.append((wire_names.ACCOUNT, attempt.account.encode()))
         if attempt.priority is not None:
-            headers.append((words.PRIORITY, str(attempt.priority).encode()))
+            headers.append((wire_names.PRIORITY, str(attempt.priority).encode()))
         if attempt.last_event_id:
-            headers.append((words.LAST_EVENT_ID, attempt.last_event_id.encode()))
+            headers.append((wire_names.LAST_EVENT_ID, attempt.last_event_id.encode()))
         return headers
 
     def answer_head(self, status: int, headers: Headers) -> AnswerHead:
         """Read the head of a backend server's answer."""
         found = dict(headers)
-        not_run = words.NOT_RUN in found or status == WRONG_SERVER
+        not_run = wire_names.NOT_RUN in found or status == WRONG_SERVER
         return AnswerHead(
             status=status,
-            request_id=found.get(words.REQUEST_ID, b"").decode("latin-1"),
-            signed=words.SIGNATURE in found,
+            request_id=found.get(wire_names.REQUEST_ID, b"").decode("latin-1"),
+            signed=wire_names.SIGNATURE in found,
             not_run=not_run,
             wrong_server=status == WRONG_SERVER,
             encoded=b"content-encoding" in found,
-            rate_limit=_named_limit(found.get(words.RATE_LIMIT)),
+            rate_limit=_named_limit(found.get(wire_names.RATE_LIMIT)),
             headers=self._passed_back(headers),
         )
 
@@ -104,9 +104,9 @@
         self, request_id: str, *, retry_after: float | None
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers of an answer that the entry host gives itself."""
-        headers = [(words.REQUEST_ID, request_id.encode("latin-1"))]
+        headers = [(wire_names.REQUEST_ID, request_id.encode("latin-1"))]
         if retry_after is not None:
-            headers.append((words.RETRY_AFTER, f"{retry_after:.2f}".encode()))
+            headers.append((wire_names.RETRY_AFTER, f"{retry_after:.2f}".encode()))
         return headers
 
     def _passed_back(self, headers: Headers) -> list[tuple[bytes, bytes]]:
--- a/ryelever/platform/orders.py
+++ b/ryelever/platform/orders.py
@@ -9,7 +9,7 @@
 from ..protocol.json_codec import decode, encode
 from ..protocol.keyed_log import LogCall
 from .documents import ReportedGroup
-from .words import EXPECTED_SERVER
+from .wire_names import EXPECTED_SERVER
 
 __all__ = ["PlatformOrders"]
 
--- a/ryelever/platform/records.py
+++ b/ryelever/platform/records.py
@@ -7,10 +7,10 @@
 import msgspec
 
 from ..coordination.groups import GroupRecord, Member
-from ..coordination.host_words import HostAddress
+from ..coordination.host_heartbeats import HostAddress
 from ..logs import log_warning
 from ..protocol.json_codec import decode, encode
-from . import words
+from . import wire_names
 from .documents import read_configuration, read_reported, read_server
 
 if TYPE_CHECKING:
@@ -42,11 +42,11 @@
 class PlatformRecords:
     """Read and write records, as ``StoreDocuments`` has them."""
 
-    operator_topic = words.OPERATOR_TOPIC
-    configuration_key = words.CONFIGURATION_KEY
-    servers_topic = words.SERVERS_TOPIC
-    hosts_topic = words.HOSTS_TOPIC
-    groups_topic = words.GROUPS_TOPIC
+    operator_topic = wire_names.OPERATOR_TOPIC
+    configuration_key = wire_names.CONFIGURATION_KEY
+    servers_topic = wire_names.SERVERS_TOPIC
+    hosts_topic = wire_names.HOSTS_TOPIC
+    groups_topic = wire_names.GROUPS_TOPIC
 
     def configuration(
         self, data: bytes, *, peer: str
@@ -56,9 +56,9 @@
 
     def evacuated_zone(self, key: str) -> str | None:
         """Return the zone that a key of the operator's topic asks to evacuate."""
-        if not key.startswith(words.EVACUATION_KEY):
+        if not key.startswith(wire_names.EVACUATION_KEY):
             return None
-        return key.removeprefix(words.EVACUATION_KEY)
+        return key.removeprefix(wire_names.EVACUATION_KEY)
 
     def server(
         self, server_id: str, data: bytes, *, peer: str
--- a/ryelever/platform/store.py
+++ b/ryelever/platform/store.py
@@ -25,7 +25,7 @@
     NewestPage,
     ReadPage,
 )
-from . import words
+from . import wire_names
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -99,7 +99,7 @@
 
     def era(self, headers: Mapping[str, str]) -> int | None:
         """Return the era that an answer bears; None where it bears none."""
-        text = headers.get(words.ERA, "")
+        text = headers.get(wire_names.ERA, "")
         return int(text) if text.isascii() and text.isdecimal() else None
 
     def newest_page(
--- a/ryelever/protocol/host_words.py
+++ b/ryelever/protocol/host_messages.py
@@ -14,7 +14,7 @@
 from msgspec.structs import replace
 
 from ..coordination.evacuations import OperatorPlace
-from ..coordination.host_words import HostWord
+from ..coordination.host_heartbeats import HostHeartbeat
 from ..errors import Category, RyeleverError
 from ..state.keyed_record import KeyedRecord, ServerNews
 from ..state.observations import RateLimitRow, SuspicionRow
@@ -33,7 +33,7 @@
     "encode_news",
     "encode_relayed",
     "encode_servers",
-    "encode_word",
+    "encode_heartbeat",
     "read_changes_path",
 ]
 
@@ -50,7 +50,7 @@
 
 #: First byte of a datagram: what follows.  A form that changes gets another letter, so
 #: that hosts of two versions, as while one replaces the other, misread nothing.
-WORD = b"s"
+HEARTBEAT = b"s"
 NEWS = b"n"
 COMPRESSED_NEWS = b"z"
 RELAYED = b"r"
@@ -132,24 +132,24 @@
     return RELAYED + message.to_bytes_packed()
 
 
-def encode_word(word: HostWord) -> bytes:
+def encode_heartbeat(heartbeat: HostHeartbeat) -> bytes:
     """Return a word as one datagram."""
-    message = _schema.HostWord.new_message(
-        sequence=word.sequence, state=_encode_state(word)
+    message = _schema.HostHeartbeat.new_message(
+        sequence=heartbeat.sequence, state=_encode_state(heartbeat)
     )
-    loads = list(word.in_flight_by_server.items())[:MAX_SERVERS]
+    loads = list(heartbeat.in_flight_by_server.items())[:MAX_SERVERS]
     message.loadedServers = [server for server, _ in loads]
     message.inFlight = [count for _, count in loads]
     message.demands = [
         {"model": model, "groups": groups}
-        for model, groups in word.demand_by_model.items()
+        for model, groups in heartbeat.demand_by_model.items()
     ]
-    if word.rate_limits:
-        limits = word.rate_limits[:MAX_LIMITED]
+    if heartbeat.rate_limits:
+        limits = heartbeat.rate_limits[:MAX_LIMITED]
         message.rateLimits = [_encode_limit(row) for row in limits]
-    if word.wanted_servers:
-        message.wantedServers = list(word.wanted_servers[:MAX_LIMITED])
-    return WORD + message.to_bytes_packed()
+    if heartbeat.wanted_servers:
+        message.wantedServers = list(heartbeat.wanted_servers[:MAX_LIMITED])
+    return HEARTBEAT + message.to_bytes_packed()
 
 
 def _encode_limit(row: RateLimitRow) -> dict[str, object]:
@@ -161,31 +161,31 @@
     }
 
 
-def _encode_state(word: HostWord) -> bytes:
+def _encode_state(heartbeat: HostHeartbeat) -> bytes:
     message = _schema.HostState.new_message(
-        host=word.host,
-        availabilityZone=word.availability_zone,
-        boot=word.boot,
-        readsStore=word.reads_store,
-        stopping=word.stopping,
-        configurationVersion=word.configuration_version,
-        configurationSize=word.configuration_size,
-        address=word.address,
-        interval=word.interval,
-        forZone=word.for_zone,
-        nHosts=word.n_hosts,
-        passedOn=word.passed_on,
-        knowsServers=word.knows_servers,
-        storeEra=word.store_era,
-        evacuatedZones=list(word.evacuated_zones),
-        operatorEra=word.operator_place.era,
-        operatorOffset=word.operator_place.offset,
-        still=list(word.still[:MAX_SERVERS]),
-        plans=list(word.plans),
-        reshapes=list(word.reshapes),
-        moving=list(word.moving[:MAX_SERVERS]),
+        host=heartbeat.host,
+        availabilityZone=heartbeat.availability_zone,
+        boot=heartbeat.boot,
+        readsStore=heartbeat.reads_store,
+        stopping=heartbeat.stopping,
+        configurationVersion=heartbeat.configuration_version,
+        configurationSize=heartbeat.configuration_size,
+        address=heartbeat.address,
+        interval=heartbeat.interval,
+        forZone=heartbeat.for_zone,
+        nHosts=heartbeat.n_hosts,
+        passedOn=heartbeat.passed_on,
+        knowsServers=heartbeat.knows_servers,
+        storeEra=heartbeat.store_era,
+        evacuatedZones=list(heartbeat.evacuated_zones),
+        operatorEra=heartbeat.operator_place.era,
+        operatorOffset=heartbeat.operator_place.offset,
+        still=list(heartbeat.still[:MAX_SERVERS]),
+        plans=list(heartbeat.plans),
+        reshapes=list(heartbeat.reshapes),
+        moving=list(heartbeat.moving[:MAX_SERVERS]),
     )
-    if word.suspicions:
+    if heartbeat.suspicions:
         message.suspicions = [
             {
                 "fingerprint": row.fingerprint,
@@ -194,7 +194,7 @@
                 "repeated": row.repeated,
                 "proved": row.proved,
             }
-            for row in word.suspicions
+            for row in heartbeat.suspicions
         ]
     return message.to_bytes_packed()
 
@@ -267,7 +267,7 @@
 
 def decode_datagram(
     data: bytes, *, peer: str
-) -> HostWord | ServerNews | RelayedDatagram | RyeleverError:
+) -> HostHeartbeat | ServerNews | RelayedDatagram | RyeleverError:
     """Read a datagram, or say why it is none of ours.
 
     No ``Result`` is made of it: that takes as long as reading the rest of a word, and
@@ -279,8 +279,8 @@
         if data[:1] == COMPRESSED_NEWS:
             packed = _decompressed(data[1:], max_words=MAX_WORDS)
             return _decode_news(packed, max_words=MAX_WORDS)
-        if data[:1] == WORD:
-            return _decode_word(data[1:])
+        if data[:1] == HEARTBEAT:
+            return _decode_heartbeat(data[1:])
         if data[:1] == RELAYED:
             return _decode_relayed(data[1:])
         why = "unknown first byte"
@@ -344,8 +344,8 @@
     return RelayedDatagram(hosts=tuple(message.hosts), data=bytes(message.datagram))
 
 
-def _decode_word(data: bytes) -> HostWord:
-    message = _schema.HostWord.from_bytes_packed(
+def _decode_heartbeat(data: bytes) -> HostHeartbeat:
+    message = _schema.HostHeartbeat.from_bytes_packed(
         data, traversal_limit_in_words=MAX_WORDS
     )
     return replace(
@@ -370,12 +370,12 @@
 
 
 @lru_cache(maxsize=MAX_STATES)
-def _decode_state(data: bytes) -> HostWord:
+def _decode_state(data: bytes) -> HostHeartbeat:
     """Return a word without what differs from one to the next."""
     message = _schema.HostState.from_bytes_packed(
         data, traversal_limit_in_words=MAX_WORDS
     )
-    return HostWord(
+    return HostHeartbeat(
         host=message.host,
         availability_zone=message.availabilityZone,
         boot=message.boot,
--- a/ryelever/protocol/store_documents.py
+++ b/ryelever/protocol/store_documents.py
@@ -8,7 +8,7 @@
     from expression import Result
 
     from ..coordination.groups import GroupOrder, GroupRecord, OrderOutcome
-    from ..coordination.host_words import HostAddress
+    from ..coordination.host_heartbeats import HostAddress
     from ..errors import RyeleverError
     from ..state.directory import BackendServer
     from ..state.routes import RouteTable
--- a/ryelever/relay_application.py
+++ b/ryelever/relay_application.py
@@ -10,7 +10,7 @@
 from .addresses import split_address
 from .coordination.evacuations import Evacuations
 from .coordination.groups import ZonePlanner
-from .coordination.host_words import HostWord, HostWords
+from .coordination.host_heartbeats import HostHeartbeat, HostHeartbeats
 from .coordination.quarantine import Quarantine
 from .coordination.relaying import (
     Balancer,
@@ -20,16 +20,16 @@
 )
 from .events import (
     control_tick,
+    heartbeat_tick,
     peers_look,
     serving_tick,
     sweep,
-    word_tick,
 )
 from .exit_codes import ExitCode
 from .fault_log import FaultLog
 from .fleet_directory import FleetDirectory
 from .group_planning import GroupPlanning
-from .host_exchange import WORD_INTERVAL, HostExchange
+from .host_exchange import HEARTBEAT_INTERVAL, HostExchange
 from .host_offers import HostOffers
 from .logs import log_event
 from .metrics import Metrics
@@ -121,7 +121,9 @@
         self.metrics = Metrics()
         self._log_writer = log_writer
         self.directory = Directory()
-        self.words = HostWords(host=settings.host, zone=settings.availability_zone)
+        self.heartbeats = HostHeartbeats(
+            host=settings.host, zone=settings.availability_zone
+        )
         self.evacuations = Evacuations(log=log_event)
         self.store = StoreClient(address=settings.store_address, era_of=log.era)
         # Where a host is told something over UDP, it is asked over TCP.
@@ -142,7 +144,7 @@
             documents=documents,
             store=self.store,
             directory=self.directory,
-            words=self.words,
+            heartbeats=self.heartbeats,
             evacuations=self.evacuations,
             own_address=self.peers.address,
         )
@@ -177,7 +179,7 @@
                 ratio=settings.repeat_ratio,
                 slack=settings.repeat_slack,
                 window=settings.repeat_window,
-                n_hosts=lambda: self.words.n_hosts(now=time.monotonic()),
+                n_hosts=lambda: self.heartbeats.n_hosts(now=time.monotonic()),
             ),
             stillness=StillnessWatch(),
             crashes=crashes,
@@ -196,7 +198,7 @@
         )
         self.exchange = HostExchange(
             settings=settings,
-            words=self.words,
+            heartbeats=self.heartbeats,
             balancer=self.balancer,
             stillness=self.relay.stillness,
             crashes=crashes,
@@ -247,7 +249,7 @@
         return table.limits if table is not None else ConnectionLimits()
 
     def _plans_for(self, zone: str, planning: bool) -> bool:
-        return not self.shutdown.stopping and self.words.plans_for(
+        return not self.shutdown.stopping and self.heartbeats.plans_for(
             zone,
             planning=planning,
             reads_store=self._reads_store(),
@@ -257,15 +259,15 @@
     def _still_heads(self) -> set[str]:
         now = time.monotonic()
         stillness = self.relay.stillness
-        still = self.words.still(now=now).union(stillness.still(now=now))
+        still = self.heartbeats.still(now=now).union(stillness.still(now=now))
         # A host that has lost its way to a head sees a group stand still that serves
         # all others.
-        moving = self.words.moving(now=now)
+        moving = self.heartbeats.moving(now=now)
         return {head for head in still - moving if not stillness.moves(head, now=now)}
 
     def _moving_heads(self, *, now: float) -> tuple[str, ...]:
         """Return the heads that others saw stand still, and that move here."""
-        in_doubt = self.words.still(now=now)
+        in_doubt = self.heartbeats.still(now=now)
         return tuple(
             head for head in in_doubt if self.relay.stillness.moves(head, now=now)
         )
@@ -295,17 +297,17 @@
     def _reshaping(self, zone: str) -> set[str]:
         """Return the zones besides this one in which groups are taken apart."""
         own = set(self.planning.reshaped_zones())
-        return (own | self.words.reshaping(now=time.monotonic())) - {zone}
+        return (own | self.heartbeats.reshaping(now=time.monotonic())) - {zone}
 
     def _demand(self) -> dict[str, float]:
         now = time.monotonic()
-        total = self.words.demand(now=now)
+        total = self.heartbeats.demand(now=now)
         total.update(self.relay.demand.by_model(now=now))
         return total
 
-    def _describe_host(self) -> HostWord:
+    def _describe_host(self) -> HostHeartbeat:
         now = time.monotonic()
-        return HostWord(
+        return HostHeartbeat(
             host=self.settings.host,
             availability_zone=self.settings.availability_zone,
             address=self.peers.address,
@@ -325,11 +327,13 @@
             demand_by_model=self.relay.demand.by_model(now=now),
         )
 
-    def _take_version(self, word: HostWord) -> None:
+    def _take_version(self, heartbeat: HostHeartbeat) -> None:
         now = time.monotonic()
-        self.store.note_era(word.store_era, peer=word.host, now=now)
-        self.evacuations.heard(word.evacuated_zones, as_of=word.operator_place)
-        self.fleet.note_version(word, now=now)
+        self.store.note_era(heartbeat.store_era, peer=heartbeat.host, now=now)
+        self.evacuations.heard(
+            heartbeat.evacuated_zones, as_of=heartbeat.operator_place
+        )
+        self.fleet.note_version(heartbeat, now=now)
 
     # Readiness
 
@@ -401,7 +405,7 @@
         timers.every(PEERS_LOOK, peers_look, "peers")
         timers.every(CONTROL_TICK, control_tick, *CONTROL_CHANNELS)
         timers.every(self._serving_tick, serving_tick, "relay")
-        timers.every(WORD_INTERVAL, word_tick, "exchange")
+        timers.every(HEARTBEAT_INTERVAL, heartbeat_tick, "exchange")
         timers.every(SWEEP, sweep, *SWEPT_CHANNELS, self.channel)
         log_event(
             "started",
--- a/ryelever/schema/host_words.capnp
+++ b/ryelever/schema/host_words.capnp
@@ -2,7 +2,7 @@
 # What entry hosts that relay requests tell each other over UDP, several times a second.
 
 # What differs from one word of a host to the next.
-struct HostWord {
+struct HostHeartbeat {
   sequence @0 :UInt32;
   # Requests in flight from the sender: backend servers, and as many numbers.  Columns
   # are read in a quarter of the time of a list of pairs.
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -10,10 +10,14 @@
 
 from msgspec.structs import replace
 
-from ryelever.coordination.host_words import HostAddress, HostWord, HostWords
+from ryelever.coordination.host_heartbeats import (
+    HostAddress,
+    HostHeartbeat,
+    HostHeartbeats,
+)
 from ryelever.coordination.relaying.actions import RelayAttempt, RelayRefusal
 from ryelever.events import Datagram
-from ryelever.host_exchange import WORD_INTERVAL, HostExchange
+from ryelever.host_exchange import HEARTBEAT_INTERVAL, HostExchange
 from ryelever.platform.messages import PlatformMessages
 from ryelever.state.directory import BackendServer
 from ryelever.state.routes import RouteKind
@@ -112,17 +116,17 @@
         self._fleet = fleet
         self.exchange = HostExchange(
             settings=settings_of(name, zone=zone),
-            words=HostWords(host=name, zone=zone),
+            heartbeats=HostHeartbeats(host=name, zone=zone),
             balancer=self.balancer,
             stillness=self.stillness,
             crashes=self.crashes,
             describe=self._describe,
-            take_version=lambda word: None,
+            take_version=lambda heartbeat: None,
         )
         self.exchange.fire = self._fired
 
-    def _describe(self) -> HostWord:
-        return HostWord(
+    def _describe(self) -> HostHeartbeat:
+        return HostHeartbeat(
             host=self.name,
             availability_zone=self.zone,
             address=self.name,
@@ -267,7 +271,7 @@
         for other in self.hosts.values():
             _introduce(host, other)
             _introduce(other, host)
-        self._every(WORD_INTERVAL, host.exchange._on_tick)
+        self._every(HEARTBEAT_INTERVAL, host.exchange._on_tick)
         self._every(TICK, lambda: host.requests.tick(now=self.now))
         self.at(0.5, lambda: self._call(host))
 
@@ -318,4 +322,4 @@
     address = HostAddress(
         host=other.name, address=other.name, availability_zone=other.zone
     )
-    host.exchange._words.addresses_by_host[other.name] = address
+    host.exchange._heartbeats.addresses_by_host[other.name] = address
--- a/tests/test_coordination/test_host_words.py
+++ b/tests/test_coordination/test_host_words.py
@@ -8,35 +8,35 @@
 from msgspec.structs import replace
 
 from ryelever.coordination.evacuations import OperatorPlace
-from ryelever.coordination.host_words import (
+from ryelever.coordination.host_heartbeats import (
     FREQUENT_HOSTS,
     HOST_SILENCE,
     ORPHANED,
     READERS,
     SILENT_INTERVALS,
     ZONE_SILENCE,
-    HostWord,
-    HostWords,
+    HostHeartbeat,
+    HostHeartbeats,
 )
 from ryelever.coordination.zone_summary import zone_summary
 from ryelever.errors import RyeleverError
-from ryelever.protocol.host_words import (
+from ryelever.protocol.host_messages import (
     COMPRESSED_NEWS,
     MAX_DATAGRAM,
     MAX_NEWS_DATAGRAMS,
     decode_datagram,
     decode_servers,
+    encode_heartbeat,
     encode_news,
     encode_servers,
-    encode_word,
 )
 from ryelever.state.keyed_record import KeyedRecord, ServerNews
 from ryelever.state.observations import RateLimitRow, SuspicionRow
 
 
-def _word(
+def _heartbeat(
     host: str, *, sequence: int = 1, boot: int = 1, **changes: object
-) -> HostWord:
+) -> HostHeartbeat:
     values = {
         "host": host,
         "availability_zone": "z",
@@ -46,20 +46,20 @@
         "stopping": False,
         "configuration_version": 7,
     }
-    return HostWord(**(values | changes))
+    return HostHeartbeat(**(values | changes))
 
 
-def _take(words: HostWords, word: HostWord, *, now: float) -> bool:
-    return words.take(word, address="10.0.0.1:7000", now=now)
+def _take(heartbeats: HostHeartbeats, heartbeat: HostHeartbeat, *, now: float) -> bool:
+    return heartbeats.take(heartbeat, address="10.0.0.1:7000", now=now)
 
 
 @pytest.fixture
-def words() -> HostWords:
-    return HostWords(host="b", zone="z")
+def heartbeats() -> HostHeartbeats:
+    return HostHeartbeats(host="b", zone="z")
 
 
 def test_a_word_survives_its_way() -> None:
-    word = _word(
+    heartbeat = _heartbeat(
         "a",
         in_flight_by_server={"i1": 3},
         demand_by_model={"m": 0.5},
@@ -79,7 +79,7 @@
             ),
         ),
     )
-    assert decode_datagram(encode_word(word), peer="a") == word
+    assert decode_datagram(encode_heartbeat(heartbeat), peer="a") == heartbeat
 
 
 @pytest.mark.parametrize(
@@ -185,51 +185,55 @@
 def test_a_word_fits_into_a_datagram() -> None:
     names = {f"i-{index:08x}": 13 for index in range(400)}
     limits = [RateLimitRow(server_id=name, rate=1 / 3, age=0.1) for name in names]
-    word = _word(
+    heartbeat = _heartbeat(
         "a",
         in_flight_by_server=names,
         still=tuple(names),
         rate_limits=tuple(limits),
         wanted_servers=tuple(names),
     )
-    assert len(encode_word(word)) <= MAX_DATAGRAM
+    assert len(encode_heartbeat(heartbeat)) <= MAX_DATAGRAM
 
 
-def test_old_words_are_dropped(words: HostWords) -> None:
-    assert _take(words, _word("a", sequence=2), now=0.0)
-    assert not _take(words, _word("a", sequence=1), now=0.1)
+def test_old_words_are_dropped(heartbeats: HostHeartbeats) -> None:
+    assert _take(heartbeats, _heartbeat("a", sequence=2), now=0.0)
+    assert not _take(heartbeats, _heartbeat("a", sequence=1), now=0.1)
     # A host that was started anew counts from the start.
-    assert _take(words, _word("a", sequence=1, boot=2), now=0.2)
-    assert not _take(words, _word("b"), now=0.3)
+    assert _take(heartbeats, _heartbeat("a", sequence=1, boot=2), now=0.2)
+    assert not _take(heartbeats, _heartbeat("b"), now=0.3)
 
 
-def test_loads_of_living_hosts_add_up(words: HostWords) -> None:
-    _take(words, _word("a", in_flight_by_server={"i1": 3}), now=0.0)
+def test_loads_of_living_hosts_add_up(heartbeats: HostHeartbeats) -> None:
+    _take(heartbeats, _heartbeat("a", in_flight_by_server={"i1": 3}), now=0.0)
     _take(
-        words,
-        _word("c", in_flight_by_server={"i1": 2, "i2": 1}),
+        heartbeats,
+        _heartbeat("c", in_flight_by_server={"i1": 2, "i2": 1}),
         now=0.5,
     )
-    assert words.in_flight(now=0.6) == {"i1": 5, "i2": 1}
-    assert words.in_flight(now=0.1 + HOST_SILENCE) == {"i1": 2, "i2": 1}
+    assert heartbeats.in_flight(now=0.6) == {"i1": 5, "i2": 1}
+    assert heartbeats.in_flight(now=0.1 + HOST_SILENCE) == {"i1": 2, "i2": 1}
 
 
-def test_words_of_the_zone_follow_each_word_and_each_silence(words: HostWords) -> None:
+def test_words_of_the_zone_follow_each_word_and_each_silence(
+    heartbeats: HostHeartbeats,
+) -> None:
     """Compare the words that are kept with those of living hosts picked anew."""
     newest: dict[str, float] = {}
     for step in range(200):
         now = step * 0.13
         host = "acdef"[step * 7 % 5] if step % 40 < 25 else "c"
         interval = 0.2 * (1 + step % 4)
-        _take(words, _word(host, sequence=step, interval=interval), now=now)
+        _take(heartbeats, _heartbeat(host, sequence=step, interval=interval), now=now)
         newest[host] = now + max(HOST_SILENCE, SILENT_INTERVALS * interval)
         if step % 3:
             living = {host for host, lapses_at in newest.items() if lapses_at > now}
-            assert {word.host for word in words.near(now=now)} == living
-            assert {word.host for word in words.living(now=now)} == living
+            assert {heartbeat.host for heartbeat in heartbeats.near(now=now)} == living
+            assert {
+                heartbeat.host for heartbeat in heartbeats.living(now=now)
+            } == living
 
 
-def test_loads_follow_each_word_and_each_silence(words: HostWords) -> None:
+def test_loads_follow_each_word_and_each_silence(heartbeats: HostHeartbeats) -> None:
     """Compare the sum that is kept with one over the newest words of living hosts."""
     newest: dict[str, tuple[float, dict[str, int]]] = {}
     for step in range(200):
@@ -237,8 +241,8 @@
         host = "acdef"[step * 7 % 5] if step % 40 < 25 else "c"
         loads = {f"i{step % 3}": step % 4, f"i{3 + step % 2}": 1 + step % 5}
         _take(
-            words,
-            _word(host, sequence=step, in_flight_by_server=loads),
+            heartbeats,
+            _heartbeat(host, sequence=step, in_flight_by_server=loads),
             now=now,
         )
         newest[host] = (now, loads)
@@ -247,53 +251,61 @@
             if now - heard_at <= HOST_SILENCE:
                 for server_id, count in told.items():
                     expected[server_id] = expected.get(server_id, 0) + count
-        found = words.in_flight(now=now)
+        found = heartbeats.in_flight(now=now)
         assert {key: found[key] for key in expected} == expected
         assert sum(found.values()) == sum(expected.values())
 
 
-def _plans(words: HostWords, *, planning: bool = False, now: float = 0.0) -> bool:
-    return words.plans_for("z", planning=planning, reads_store=True, now=now)
+def _plans(
+    heartbeats: HostHeartbeats, *, planning: bool = False, now: float = 0.0
+) -> bool:
+    return heartbeats.plans_for("z", planning=planning, reads_store=True, now=now)
 
 
-def test_the_first_host_that_reaches_the_store_plans(words: HostWords) -> None:
-    assert _plans(words)
-    _take(words, _word("c"), now=0.0)
-    assert _plans(words)
-    _take(words, _word("a", reads_store=False), now=0.0)
-    assert _plans(words)
-    _take(words, _word("a", sequence=2), now=0.0)
-    assert not _plans(words)
-    assert _plans(words, now=0.1 + HOST_SILENCE)
+def test_the_first_host_that_reaches_the_store_plans(
+    heartbeats: HostHeartbeats,
+) -> None:
+    assert _plans(heartbeats)
+    _take(heartbeats, _heartbeat("c"), now=0.0)
+    assert _plans(heartbeats)
+    _take(heartbeats, _heartbeat("a", reads_store=False), now=0.0)
+    assert _plans(heartbeats)
+    _take(heartbeats, _heartbeat("a", sequence=2), now=0.0)
+    assert not _plans(heartbeats)
+    assert _plans(heartbeats, now=0.1 + HOST_SILENCE)
 
 
-def test_who_plans_goes_on_planning(words: HostWords) -> None:
+def test_who_plans_goes_on_planning(heartbeats: HostHeartbeats) -> None:
     """Show that a host that comes back takes nothing over.
 
     Symptom: nothing is mended for a second after a host is back.
     Sequence: the first host by name is killed, another plans, the first is back.
     Cause: each change of planner costs the time to read and to settle.
     """
-    _take(words, _word("a"), now=0.0)
-    assert _plans(words, planning=True)
-    _take(words, _word("c", plans=("z",)), now=0.0)
-    assert not _plans(words, planning=False)
+    _take(heartbeats, _heartbeat("a"), now=0.0)
+    assert _plans(heartbeats, planning=True)
+    _take(heartbeats, _heartbeat("c", plans=("z",)), now=0.0)
+    assert not _plans(heartbeats, planning=False)
     # Of two that plan, the first by name goes on.
-    assert _plans(words, planning=True)
-    _take(words, _word("a", sequence=2, plans=("z",)), now=0.0)
-    assert not _plans(words, planning=True)
+    assert _plans(heartbeats, planning=True)
+    _take(heartbeats, _heartbeat("a", sequence=2, plans=("z",)), now=0.0)
+    assert not _plans(heartbeats, planning=True)
 
 
-def test_a_stopping_host_plans_no_more(words: HostWords) -> None:
-    _take(words, _word("a", stopping=True, plans=("z",)), now=0.0)
-    assert _plans(words)
+def test_a_stopping_host_plans_no_more(heartbeats: HostHeartbeats) -> None:
+    _take(heartbeats, _heartbeat("a", stopping=True, plans=("z",)), now=0.0)
+    assert _plans(heartbeats)
 
 
-def test_a_host_without_the_store_begins_no_planning(words: HostWords) -> None:
-    assert not words.plans_for("z", planning=False, reads_store=False, now=0.0)
+def test_a_host_without_the_store_begins_no_planning(
+    heartbeats: HostHeartbeats,
+) -> None:
+    assert not heartbeats.plans_for("z", planning=False, reads_store=False, now=0.0)
 
 
-def test_who_plans_goes_on_while_nobody_reaches_the_store(words: HostWords) -> None:
+def test_who_plans_goes_on_while_nobody_reaches_the_store(
+    heartbeats: HostHeartbeats,
+) -> None:
     """Show that groups that lost a member are ended during an outage.
 
     Symptom: it takes a second after an outage to begin mending.
@@ -302,15 +314,17 @@
     """
 
     def plans(now: float) -> bool:
-        return words.plans_for("z", planning=True, reads_store=False, now=now)
+        return heartbeats.plans_for("z", planning=True, reads_store=False, now=now)
 
-    _take(words, _word("a", reads_store=False), now=0.0)
+    _take(heartbeats, _heartbeat("a", reads_store=False), now=0.0)
     assert plans(0.0)
-    _take(words, _word("c", sequence=2, plans=("z",)), now=0.1)
+    _take(heartbeats, _heartbeat("c", sequence=2, plans=("z",)), now=0.1)
     assert not plans(0.1)
 
 
-def test_who_plans_hands_over_only_to_one_that_plans(words: HostWords) -> None:
+def test_who_plans_hands_over_only_to_one_that_plans(
+    heartbeats: HostHeartbeats,
+) -> None:
     """Show that a zone keeps its planner when the store goes away bit by bit.
 
     Symptom: nobody plans for a zone through six seconds of an outage.
@@ -320,49 +334,51 @@
     """
 
     def plans(now: float) -> bool:
-        return words.plans_for("z", planning=True, reads_store=False, now=now)
+        return heartbeats.plans_for("z", planning=True, reads_store=False, now=now)
 
-    _take(words, _word("a"), now=0.0)
+    _take(heartbeats, _heartbeat("a"), now=0.0)
     assert plans(0.0)
-    _take(words, _word("a", sequence=2, reads_store=False), now=0.2)
+    _take(heartbeats, _heartbeat("a", sequence=2, reads_store=False), now=0.2)
     assert plans(0.2)
 
 
-def test_a_zone_without_hosts_is_planned_for_by_others(words: HostWords) -> None:
+def test_a_zone_without_hosts_is_planned_for_by_others(
+    heartbeats: HostHeartbeats,
+) -> None:
     def plans(now: float) -> bool:
-        return words.plans_for("y", planning=False, reads_store=True, now=now)
+        return heartbeats.plans_for("y", planning=False, reads_store=True, now=now)
 
     assert not plans(0.0)
     assert not plans(ORPHANED - 0.1)
     assert plans(ORPHANED)
-    _take(words, _word("a", availability_zone="y"), now=ORPHANED)
+    _take(heartbeats, _heartbeat("a", availability_zone="y"), now=ORPHANED)
     assert not plans(ORPHANED + 0.1)
 
 
-def test_hosts_are_known_by_their_words(words: HostWords) -> None:
+def test_hosts_are_known_by_their_words(heartbeats: HostHeartbeats) -> None:
     """Show that a host that was started anew needs no store to find the others."""
-    words.take(_word("a"), address="10.0.0.7:7000", now=0.0)
-    assert words.addresses_by_host["a"].address == "10.0.0.7:7000"
-    words.take(_word("a", boot=2), address="10.0.0.8:7000", now=0.1)
-    assert words.addresses_by_host["a"].address == "10.0.0.8:7000"
+    heartbeats.take(_heartbeat("a"), address="10.0.0.7:7000", now=0.0)
+    assert heartbeats.addresses_by_host["a"].address == "10.0.0.7:7000"
+    heartbeats.take(_heartbeat("a", boot=2), address="10.0.0.8:7000", now=0.1)
+    assert heartbeats.addresses_by_host["a"].address == "10.0.0.8:7000"
 
 
-def test_a_zone_none_of_whose_hosts_is_heard(words: HostWords) -> None:
-    _take(words, _word("a", availability_zone="y"), now=0.0)
-    _take(words, _word("c", availability_zone="y"), now=1.0)
-    assert words.unheard_zones(now=1.0 + ZONE_SILENCE) == set()
-    assert words.unheard_zones(now=1.1 + ZONE_SILENCE) == {"y"}
-    _take(words, _word("a", sequence=2, availability_zone="y"), now=4.0)
-    assert words.unheard_zones(now=4.0) == set()
+def test_a_zone_none_of_whose_hosts_is_heard(heartbeats: HostHeartbeats) -> None:
+    _take(heartbeats, _heartbeat("a", availability_zone="y"), now=0.0)
+    _take(heartbeats, _heartbeat("c", availability_zone="y"), now=1.0)
+    assert heartbeats.unheard_zones(now=1.0 + ZONE_SILENCE) == set()
+    assert heartbeats.unheard_zones(now=1.1 + ZONE_SILENCE) == {"y"}
+    _take(heartbeats, _heartbeat("a", sequence=2, availability_zone="y"), now=4.0)
+    assert heartbeats.unheard_zones(now=4.0) == set()
 
 
-def test_what_other_hosts_say_of_groups_and_zones(words: HostWords) -> None:
-    _take(words, _word("a", still=("h1", "h2"), reshapes=("x",)), now=0.0)
-    _take(words, _word("c", moving=("h1",), reshapes=("y",)), now=0.5)
-    assert words.still(now=0.6) == {"h1", "h2"}
-    assert words.moving(now=0.6) == {"h1"}
-    assert words.reshaping(now=0.6) == {"x", "y"}
-    assert words.reshaping(now=0.1 + HOST_SILENCE) == {"y"}
+def test_what_other_hosts_say_of_groups_and_zones(heartbeats: HostHeartbeats) -> None:
+    _take(heartbeats, _heartbeat("a", still=("h1", "h2"), reshapes=("x",)), now=0.0)
+    _take(heartbeats, _heartbeat("c", moving=("h1",), reshapes=("y",)), now=0.5)
+    assert heartbeats.still(now=0.6) == {"h1", "h2"}
+    assert heartbeats.moving(now=0.6) == {"h1"}
+    assert heartbeats.reshaping(now=0.6) == {"x", "y"}
+    assert heartbeats.reshaping(now=0.1 + HOST_SILENCE) == {"y"}
 
 
 @pytest.mark.parametrize(
@@ -389,39 +405,48 @@
     ],
 )
 def test_the_first_of_a_zone_read_for_it(
-    words: HostWords, others: list[tuple[str, dict]], reads_store: bool, reads: bool
+    heartbeats: HostHeartbeats,
+    others: list[tuple[str, dict]],
+    reads_store: bool,
+    reads: bool,
 ) -> None:
     assert READERS == 2
     for host, changes in others:
-        _take(words, _word(host, **changes), now=0.0)
-    assert words.reads_for_zone(reads_store=reads_store, now=0.1) is reads
+        _take(heartbeats, _heartbeat(host, **changes), now=0.0)
+    assert heartbeats.reads_for_zone(reads_store=reads_store, now=0.1) is reads
 
 
-def test_the_next_host_reads_when_one_that_read_falls_silent(words: HostWords) -> None:
+def test_the_next_host_reads_when_one_that_read_falls_silent(
+    heartbeats: HostHeartbeats,
+) -> None:
     """Lose one of the hosts that read the store for a zone.
 
     Symptom: a change of configuration is in force late.  Sequence: a host that reads
     for its zone is killed or cut off.  Cause: the others rest and wait for its word.
     """
     for host in ("a", "a2"):
-        _take(words, _word(host), now=0.0)
-    _take(words, _word("a", sequence=2), now=HOST_SILENCE)
-    assert not words.reads_for_zone(reads_store=True, now=HOST_SILENCE)
-    assert words.reads_for_zone(reads_store=True, now=HOST_SILENCE + 0.01)
+        _take(heartbeats, _heartbeat(host), now=0.0)
+    _take(heartbeats, _heartbeat("a", sequence=2), now=HOST_SILENCE)
+    assert not heartbeats.reads_for_zone(reads_store=True, now=HOST_SILENCE)
+    assert heartbeats.reads_for_zone(reads_store=True, now=HOST_SILENCE + 0.01)
 
 
-def test_a_host_that_speaks_seldom_is_missed_later(words: HostWords) -> None:
-    _take(words, _word("a", interval=2.0, in_flight_by_server={"i1": 1}), now=0.0)
+def test_a_host_that_speaks_seldom_is_missed_later(heartbeats: HostHeartbeats) -> None:
+    _take(
+        heartbeats,
+        _heartbeat("a", interval=2.0, in_flight_by_server={"i1": 1}),
+        now=0.0,
+    )
     limit = 2.0 * SILENT_INTERVALS
-    assert words.in_flight(now=limit) == {"i1": 1}
-    assert words.in_flight(now=limit + 0.01) == {}
+    assert heartbeats.in_flight(now=limit) == {"i1": 1}
+    assert heartbeats.in_flight(now=limit + 0.01) == {}
 
 
-def test_words_in_large_zones_are_less_frequent(words: HostWords) -> None:
+def test_words_in_large_zones_are_less_frequent(heartbeats: HostHeartbeats) -> None:
     intervals = []
     for n_others in range(3 * FREQUENT_HOSTS):
-        intervals.append(words.ticks_between_words(now=0.0))
-        _take(words, _word(f"h{n_others}"), now=0.0)
+        intervals.append(heartbeats.ticks_between_heartbeats(now=0.0))
+        _take(heartbeats, _heartbeat(f"h{n_others}"), now=0.0)
     assert (
         intervals == [1] * FREQUENT_HOSTS + [2] * FREQUENT_HOSTS + [3] * FREQUENT_HOSTS
     )
@@ -451,35 +476,37 @@
     ],
 )
 def test_one_host_speaks_for_a_zone(
-    words: HostWords,
+    heartbeats: HostHeartbeats,
     others: list[tuple[str, tuple[str, ...]]],
     planning: bool,
     speaks: bool,
 ) -> None:
     for host, plans in others:
-        _take(words, _word(host, plans=plans), now=0.0)
-    assert words.speaks(planning=planning, now=0.1) is speaks
+        _take(heartbeats, _heartbeat(host, plans=plans), now=0.0)
+    assert heartbeats.speaks(planning=planning, now=0.1) is speaks
 
 
-def test_the_newest_word_for_a_zone_counts_alone(words: HostWords) -> None:
+def test_the_newest_word_for_a_zone_counts_alone(heartbeats: HostHeartbeats) -> None:
     """Change the host that speaks for a zone.
 
     Symptom: servers of a zone look twice as loaded.  Sequence: another host speaks
     for the zone while the former one's word still counts.  Cause: both were added.
     """
     far = {"availability_zone": "y", "for_zone": True, "n_hosts": 5}
-    _take(words, _word("y1", in_flight_by_server={"i1": 3}, **far), now=0.0)
-    _take(words, _word("y2", in_flight_by_server={"i1": 4}, **far), now=0.1)
-    assert words.in_flight(now=0.2) == {"i1": 4}
-    assert words.speaker("y") == "y2"
+    _take(heartbeats, _heartbeat("y1", in_flight_by_server={"i1": 3}, **far), now=0.0)
+    _take(heartbeats, _heartbeat("y2", in_flight_by_server={"i1": 4}, **far), now=0.1)
+    assert heartbeats.in_flight(now=0.2) == {"i1": 4}
+    assert heartbeats.speaker("y") == "y2"
     # Hosts that are not heard any more may still serve.
-    assert words.n_hosts(now=60.0) == 6
+    assert heartbeats.n_hosts(now=60.0) == 6
 
 
 def test_what_is_said_for_a_zone() -> None:
     row = SuspicionRow(fingerprint="f", n_crashes=1, crash="i1")
-    own = _word("a", in_flight_by_server={"i1": 1}, still=("h1",), suspicions=(row,))
-    other = _word(
+    own = _heartbeat(
+        "a", in_flight_by_server={"i1": 1}, still=("h1",), suspicions=(row,)
+    )
+    other = _heartbeat(
         "b",
         in_flight_by_server={"i1": 2, "i2": 1},
         demand_by_model={"m": 0.5},
@@ -501,12 +528,12 @@
         RateLimitRow(server_id="i1", rate=1.5, age=0.25, started_at=7),
         RateLimitRow(server_id="i2", rate=None, age=1.0),
     )
-    word = replace(
-        _word("a"),
+    heartbeat = replace(
+        _heartbeat("a"),
         rate_limits=rows,
         wanted_servers=("i1",),
         store_era=3,
         evacuated_zones=("x",),
         operator_place=OperatorPlace(3, 17),
     )
-    assert decode_datagram(encode_word(word), peer="a") == word
+    assert decode_datagram(encode_heartbeat(heartbeat), peer="a") == heartbeat
--- a/tests/test_coordination/test_relaying/test_relay_requests.py
+++ b/tests/test_coordination/test_relaying/test_relay_requests.py
@@ -401,7 +401,7 @@
     named += [NamedLimit(text="?", rate=None), None]
     for number, rate_limit in enumerate(named, start=1):
         relaying.balancer.limits.share_out(
-            host="a", zone="z", words=[], now=number - 0.8
+            host="a", zone="z", heartbeats=[], now=number - 0.8
         )
         relaying.arrive(SAFE, number=number, now=float(number))
         answer = head(f"r{number}", rate_limit=rate_limit)
--- a/tests/test_coordination/test_relaying/test_server_rate_limits.py
+++ b/tests/test_coordination/test_relaying/test_server_rate_limits.py
@@ -5,7 +5,7 @@
 import pytest
 from msgspec.structs import replace
 
-from ryelever.coordination.host_words import HostWord
+from ryelever.coordination.host_heartbeats import HostHeartbeat
 from ryelever.coordination.relaying import NamedLimit
 from ryelever.coordination.relaying.limit_shares import (
     TokenBucket,
@@ -48,11 +48,11 @@
 
 
 def _share_out(limits: ServerRateLimits, *, now: float) -> None:
-    limits.share_out(host="y1", zone="y", words=[], now=now)
+    limits.share_out(host="y1", zone="y", heartbeats=[], now=now)
 
 
-def _word(host: str, zone: str) -> HostWord:
-    return HostWord(
+def _heartbeat(host: str, zone: str) -> HostHeartbeat:
+    return HostHeartbeat(
         host=host,
         availability_zone=zone,
         reads_store=True,
@@ -70,11 +70,11 @@
             wanted_by.add_own(is_wanted=host in wanting)
             for other in hosts:
                 if other != host:
-                    wanted_by.add(_word(other, zone), is_wanted=other in wanting)
+                    wanted_by.add(_heartbeat(other, zone), is_wanted=other in wanting)
             for far, far_hosts in HOSTS_BY_ZONE.items():
                 if far != zone:
                     is_wanted = bool(wanting & set(far_hosts))
-                    wanted_by.add(_word(far_hosts[0], far), is_wanted=is_wanted)
+                    wanted_by.add(_heartbeat(far_hosts[0], far), is_wanted=is_wanted)
             shares[host] = share_of("i1", rate, home_zone="y", wanted_by=wanted_by)
     return shares
 
@@ -207,7 +207,7 @@
     assert [attempt.server_id for attempt in relaying.sent] == ["p0"]
     relaying.requests.attempt_failed(relaying.sent[0].id, "reset", sent=True, now=0.2)
     assert len(relaying.sent) == 1
-    relaying.balancer.limits.share_out(host="a", zone="z", words=[], now=0.2)
+    relaying.balancer.limits.share_out(host="a", zone="z", heartbeats=[], now=0.2)
     relaying.requests.tick(now=0.9)
     assert [attempt.server_id for attempt in relaying.sent] == ["p0", "p1"]
 
@@ -216,7 +216,7 @@
     """Return a host whose only server for plain requests takes so many a second."""
     relaying = Relaying(n_servers=1)
     relaying.balancer.limits.answered("p0", rate, sent_at=0.0, now=0.0)
-    relaying.balancer.limits.share_out(host="a", zone="z", words=[], now=0.0)
+    relaying.balancer.limits.share_out(host="a", zone="z", heartbeats=[], now=0.0)
     return relaying
 
 
@@ -236,10 +236,10 @@
     assert [attempt.request_number for attempt in relaying.sent] == [1, 2]
 
 
-def _has_part(relaying: Relaying, host: str, others: list[HostWord]) -> bool:
+def _has_part(relaying: Relaying, host: str, others: list[HostHeartbeat]) -> bool:
     """Divide the limit as a host of that name, and tell whether it has a part."""
     limits = relaying.balancer.limits
-    limits.share_out(host=host, zone="z", words=others, now=0.0)
+    limits.share_out(host=host, zone="z", heartbeats=others, now=0.0)
     return limits.allowance("p0", seconds=1.0, now=0.0).rate > 0
 
 
@@ -247,7 +247,7 @@
     """Guard against waiting at a host that has no part of the only limit."""
     relaying = Relaying(n_servers=1)
     relaying.balancer.limits.answered("p0", 2.0, sent_at=0.0, now=0.0)
-    others = [replace(_word(name, "z"), wanted_servers=("p0",)) for name in "bcd"]
+    others = [replace(_heartbeat(name, "z"), wanted_servers=("p0",)) for name in "bcd"]
     # As the first that has none among these.
     assert next(name for name in "efghi" if not _has_part(relaying, name, others))
     relaying.arrive(RouteKind.AT_MOST_ONCE, now=0.0)
--- a/tests/test_coordination/test_requests/test_requests.py
+++ b/tests/test_coordination/test_requests/test_requests.py
@@ -33,10 +33,10 @@
 
 def seen(bench: Bench) -> str:
     """Write down what the table asked for, one word an action."""
-    return " ".join(filter(None, map(_word, bench.actions)))
+    return " ".join(filter(None, map(_heartbeat, bench.actions)))
 
 
-def _word(action: object) -> str:
+def _heartbeat(action: object) -> str:
     match action:
         case SendAttempt():
             return f"send-{action.target.name}+{len(action.delivered)}"
--- a/tests/test_fleet_directory.py
+++ b/tests/test_fleet_directory.py
@@ -10,7 +10,11 @@
 
 from ryelever import fleet_directory
 from ryelever.coordination.evacuations import Evacuations
-from ryelever.coordination.host_words import HostAddress, HostWord, HostWords
+from ryelever.coordination.host_heartbeats import (
+    HostAddress,
+    HostHeartbeat,
+    HostHeartbeats,
+)
 from ryelever.coordination.listing_turn import LISTERS, TURN, UNANNOUNCED
 from ryelever.coordination.removals import ENTRIES_BACK, OUTAGE
 from ryelever.coordination.said_records import REPORTED_FOR
@@ -28,7 +32,7 @@
 from ryelever.host_fetch import ASKED_FIRST, CHANGES_RETRY
 from ryelever.platform.records import PlatformRecords
 from ryelever.platform.store import StoreCalls
-from ryelever.protocol.host_words import (
+from ryelever.protocol.host_messages import (
     CONFIGURATION_PATH,
     SERVERS_PATH,
     decode_datagram,
@@ -94,7 +98,7 @@
             documents=PlatformRecords(),
             store=StoreClient(address="127.0.0.1:1", era_of=lambda headers: None),
             directory=self.directory,
-            words=HostWords(host=name, zone="z"),
+            heartbeats=HostHeartbeats(host=name, zone="z"),
             evacuations=Evacuations(log=lambda event, **fields: None),
             own_address="127.0.0.1:2",
         )
@@ -207,9 +211,9 @@
     )
 
 
-def _word_of(host: str, **changes: object) -> HostWord:
+def _heartbeat_of(host: str, **changes: object) -> HostHeartbeat:
     """Return the word of a host that knows all and reaches the store."""
-    word = HostWord(
+    heartbeat = HostHeartbeat(
         host=host,
         availability_zone="z",
         boot=1,
@@ -219,12 +223,14 @@
         configuration_version=7,
         knows_servers=True,
     )
-    return replace(word, **changes)
+    return replace(heartbeat, **changes)
 
 
-def _hear(host: Host, *words: HostWord) -> None:
-    for word in words:
-        host.fleet._words.take(word, address="10.0.0.7:7000", now=time.monotonic())
+def _hear(host: Host, *heartbeats: HostHeartbeat) -> None:
+    for heartbeat in heartbeats:
+        host.fleet._heartbeats.take(
+            heartbeat, address="10.0.0.7:7000", now=time.monotonic()
+        )
 
 
 def test_a_host_that_missed_news_gets_them_from_another(clock: Clock) -> None:
@@ -232,7 +238,7 @@
     reader, other = Host("a"), Host("c")
     for host in (reader, other):
         host.listed(_put("i1", 0), end=1)
-    _hear(other, _word_of("a"), _word_of("b"))
+    _hear(other, _heartbeat_of("a"), _heartbeat_of("b"))
     reader.read(_put("i1", 1, state="draining"), _put("i2", 2), end=3)
     missed_one = reader.read(_put("i3", 3), end=4)
     other.fleet._on_passed_on(missed_one)
@@ -253,7 +259,7 @@
     reader, other = Host("a"), Host("c")
     for host in (reader, other):
         host.listed(_put("i1", 0), end=1)
-    _hear(other, _word_of("a"), _word_of("b"))
+    _hear(other, _heartbeat_of("a"), _heartbeat_of("b"))
     reader.read(_put("i2", 1), end=2)
     call = None
     for offset in range(2, 8):
@@ -308,7 +314,7 @@
     reader, giver, other = Host("a"), Host("b"), Host("c")
     for host in (reader, giver, other):
         host.listed(_put("i1", 0), end=1)
-    _hear(other, _word_of("b"))
+    _hear(other, _heartbeat_of("b"))
     for host in (giver, other):
         host.fleet._on_passed_on(reader.read(_put("i1", 1), end=2))
     reader.read(_put("i2", 2), end=3)
@@ -351,7 +357,7 @@
     while call is None and clock.now < began + 2 * RESTS_WITHOUT_NEWS:
         clock.now += 0.1
         sequence = round(10 * clock.now)
-        _hear(host, *(_word_of(name, sequence=sequence) for name in ("a", "b")))
+        _hear(host, *(_heartbeat_of(name, sequence=sequence) for name in ("a", "b")))
         host.fleet._rest_or_read(now=clock.now)
         call = host.fleet.servers.next_call(now=clock.now)
     waited = clock.now - began
@@ -364,7 +370,7 @@
     fleet = host.fleet
     fleet._on_started()
     for name in others:
-        fleet._words.addresses_by_host[name] = HostAddress(
+        fleet._heartbeats.addresses_by_host[name] = HostAddress(
             host=name, address="10.0.0.7:7000", availability_zone="z"
         )
     fleet._take_announced(StoreAnswer(status=200))
@@ -380,7 +386,7 @@
     giver.fleet.servers.answered_at = clock.now
     _start_among(other, [f"h{index}" for index in range(20)])
     assert other.fleet.servers.next_call(now=clock.now) is None
-    _hear(other, _word_of("h3"))
+    _hear(other, _heartbeat_of("h3"))
     other.fleet._on_tick()
     [asked] = [ask for ask in other.asked if ask.path == SERVERS_PATH]
     # One that gives the list to others refuses; the next one is asked.
@@ -432,8 +438,8 @@
     """
     giver, other = Host("a"), Host("b")
     giver.listed(_put("i1", 0), _put("i2", 1), end=2)
-    word = _word_of("a", reads_store=False, knows_servers=False)
-    other.fleet._words.take(word, address="10.0.0.7:7000", now=clock.now)
+    heartbeat = _heartbeat_of("a", reads_store=False, knows_servers=False)
+    other.fleet._heartbeats.take(heartbeat, address="10.0.0.7:7000", now=clock.now)
     other.fleet._on_tick()
     assert [ask for ask in other.asked if ask.path == SERVERS_PATH] == []
     clock.now += 0.5
@@ -492,12 +498,14 @@
     them, though the store was giving them.
     """
     host = Host("b")
-    word = _word_of("a", knows_servers=False)
+    heartbeat = _heartbeat_of("a", knows_servers=False)
     follower = host.fleet.servers
     for number in range(20):
         clock.now += 0.4
-        host.fleet._words.take(
-            replace(word, sequence=1 + number), address="10.0.0.7:7000", now=clock.now
+        host.fleet._heartbeats.take(
+            replace(heartbeat, sequence=1 + number),
+            address="10.0.0.7:7000",
+            now=clock.now,
         )
         follower.next_call(now=clock.now)
         item = b'{"key": "i%d", "value": "e30=", "offset": 0}' % number
@@ -508,8 +516,8 @@
     assert [ask for ask in host.asked if ask.path == SERVERS_PATH] == []
     # Once the store has fallen silent, the others are asked.
     clock.now += 1.1
-    host.fleet._words.take(
-        replace(word, sequence=99), address="10.0.0.7:7000", now=clock.now
+    host.fleet._heartbeats.take(
+        replace(heartbeat, sequence=99), address="10.0.0.7:7000", now=clock.now
     )
     host.fleet._on_tick()
     assert [ask.path for ask in host.asked if ask.path == SERVERS_PATH]
@@ -689,12 +697,12 @@
     return host
 
 
-def _newer(host: Host, *, zone: str = "z", size: int = 100) -> HostWord:
+def _newer(host: Host, *, zone: str = "z", size: int = 100) -> HostHeartbeat:
     """Return the word of a host that has a newer configuration."""
-    host.fleet._words.addresses_by_host["a"] = HostAddress(
+    host.fleet._heartbeats.addresses_by_host["a"] = HostAddress(
         host="a", address="10.0.0.9:7000", availability_zone=zone
     )
-    return HostWord(
+    return HostHeartbeat(
         host="a",
         availability_zone=zone,
         boot=1,
@@ -735,9 +743,9 @@
     that one was asked.
     """
     host = _resting("b")
-    word = _newer(host)
-    host.fleet.note_version(word, now=clock.now)
-    host.fleet.note_version(word, now=clock.now + ASKED_FIRST + 0.01)
+    heartbeat = _newer(host)
+    host.fleet.note_version(heartbeat, now=clock.now)
+    host.fleet.note_version(heartbeat, now=clock.now + ASKED_FIRST + 0.01)
     assert host.fleet.configuration.next_call(now=clock.now + 0.4) is not None
 
 
@@ -750,8 +758,10 @@
     """
     host = _resting("c")
     for name in ("a", "b"):
-        word = _newer(host)
-        host.fleet._words.take(replace(word, host=name), address=name, now=clock.now)
+        heartbeat = _newer(host)
+        host.fleet._heartbeats.take(
+            replace(heartbeat, host=name), address=name, now=clock.now
+        )
     host.fleet._store.answered_at = clock.now
     host.fleet._store._failing_since = None
     follower = host.fleet.hosts
--- a/tests/test_host_exchange.py
+++ b/tests/test_host_exchange.py
@@ -8,11 +8,19 @@
 import pytest
 
 from ryelever.coordination.fan_out import MAX_RECEIVERS
-from ryelever.coordination.host_words import HostAddress, HostWord, HostWords
+from ryelever.coordination.host_heartbeats import (
+    HostAddress,
+    HostHeartbeat,
+    HostHeartbeats,
+)
 from ryelever.coordination.quarantine import Quarantine
 from ryelever.coordination.relaying import Balancer, CrashWatch, StillnessWatch
 from ryelever.events import Datagram
-from ryelever.host_exchange import FAR_WORDS, WORD_INTERVAL, HostExchange
+from ryelever.host_exchange import (
+    HEARTBEAT_INTERVAL,
+    TICKS_PER_ZONE_HEARTBEAT,
+    HostExchange,
+)
 from ryelever.state.directory import Directory
 from ryelever.state.keyed_record import KeyedRecord, ServerNews
 
@@ -52,18 +60,18 @@
 
     def _exchange(self, host: str) -> HostExchange:
         zone = self._zone_by_host[host]
-        words = HostWords(host=host, zone=zone)
+        heartbeats = HostHeartbeats(host=host, zone=zone)
         for other, other_zone in self._zone_by_host.items():
-            words.addresses_by_host[other] = HostAddress(
+            heartbeats.addresses_by_host[other] = HostAddress(
                 host=other, address=other, availability_zone=other_zone
             )
         exchange = HostExchange(
             settings=settings_of(host, zone=zone),
-            words=words,
+            heartbeats=heartbeats,
             balancer=Balancer(directory=Directory(), zone=zone),
             stillness=StillnessWatch(),
             crashes=CrashWatch(quarantine=Quarantine()),
-            describe=lambda: HostWord(
+            describe=lambda: HostHeartbeat(
                 host=host,
                 availability_zone=zone,
                 address=host,
@@ -73,7 +81,7 @@
                 still=self.still_by_host.get(host, ()),
                 plans=(zone,),
             ),
-            take_version=lambda word: None,
+            take_version=lambda heartbeat: None,
         )
         exchange.fire = lambda event, channel: self._fired(host, event, channel)
         return exchange
@@ -101,7 +109,7 @@
 def network() -> Network:
     """Return hosts that have heard each other."""
     network = Network()
-    for _ in range(FAR_WORDS):
+    for _ in range(TICKS_PER_ZONE_HEARTBEAT):
         for exchange in network.exchanges_by_host.values():
             exchange._on_tick()
     network.deliver(at_most=100)
@@ -154,8 +162,8 @@
     assert taken == dict.fromkeys(zone_by_host, 1) | {"x000": 0}
 
 
-def _words_to(network: Network, host: str) -> HostWords:
-    return network.exchanges_by_host[host]._words
+def _heartbeats_at(network: Network, host: str) -> HostHeartbeats:
+    return network.exchanges_by_host[host]._heartbeats
 
 
 def test_one_host_speaks_for_its_zone(network: Network) -> None:
@@ -166,30 +174,30 @@
     """
     for name, exchange in network.exchanges_by_host.items():
         exchange._balancer.record("i1").in_flight = ord(name)
-    for _ in range(2 * FAR_WORDS):
+    for _ in range(2 * TICKS_PER_ZONE_HEARTBEAT):
         for exchange in network.exchanges_by_host.values():
             exchange._on_tick()
         network.deliver(at_most=network.n_sent + 100)
-    heard = _words_to(network, "a").living(now=time.monotonic())
-    assert [(word.host, word.for_zone, word.n_hosts) for word in heard] == [
-        ("b", True, 3)
-    ]
-    assert _words_to(network, "a").in_flight(now=time.monotonic()) == {
+    heard = _heartbeats_at(network, "a").living(now=time.monotonic())
+    assert [
+        (heartbeat.host, heartbeat.for_zone, heartbeat.n_hosts) for heartbeat in heard
+    ] == [("b", True, 3)]
+    assert _heartbeats_at(network, "a").in_flight(now=time.monotonic()) == {
         "i1": sum(map(ord, "bcd"))
     }
     # Those that don't speak hear of the other zone from the one that does.
     for name in "cd":
-        words = _words_to(network, name)
-        assert words.speaker("x") == "a"
-        assert words.in_flight(now=time.monotonic())["i1"] == sum(
+        heartbeats = _heartbeats_at(network, name)
+        assert heartbeats.speaker("x") == "a"
+        assert heartbeats.in_flight(now=time.monotonic())["i1"] == sum(
             ord(other) for other in "abcd" if other != name
         )
-        assert words.n_hosts(now=time.monotonic()) == len(ZONE_BY_HOST)
+        assert heartbeats.n_hosts(now=time.monotonic()) == len(ZONE_BY_HOST)
 
 
 def test_a_word_for_a_zone_is_passed_on_once(network: Network) -> None:
     before = network.n_sent
-    for _ in range(FAR_WORDS):
+    for _ in range(TICKS_PER_ZONE_HEARTBEAT):
         network.exchanges_by_host["a"]._on_tick()
     network.deliver(at_most=before + 100)
     # To who speaks there and to one more, whichever tells the two others first.
@@ -207,12 +215,12 @@
     """
     told: set[str] = set()
     network.lost = "b"
-    for _ in range(3 * FAR_WORDS):
+    for _ in range(3 * TICKS_PER_ZONE_HEARTBEAT):
         network.exchanges_by_host["a"]._on_tick()
     network.deliver(at_most=network.n_sent + 100)
     for name in "cd":
-        heard = _words_to(network, name)._heard_by_host["a"].word
-        if heard.sequence > FAR_WORDS:
+        heard = _heartbeats_at(network, name)._heard_by_host["a"].heartbeat
+        if heard.sequence > TICKS_PER_ZONE_HEARTBEAT:
             told.add(name)
     assert told == {"c", "d"}
 
@@ -226,16 +234,16 @@
     lost groups were equally seldom.
     """
     for exchange in network.exchanges_by_host.values():
-        exchange._words.ticks_between_words = lambda now: 10**6
-        exchange._words.reads_for_zone = lambda reads_store, now: False
+        exchange._heartbeats.ticks_between_heartbeats = lambda now: 10**6
+        exchange._heartbeats.reads_for_zone = lambda reads_store, now: False
     network.still_by_host["d"] = ("h1",)
     for name in "db":
         network.exchanges_by_host[name]._on_tick()
         network.deliver(at_most=network.n_sent + 100)
     now = time.monotonic()
     for name in "bc":
-        assert _words_to(network, name).still(now=now) == {"h1"}
-    assert _words_to(network, "a").still(now=now) == {"h1"}
+        assert _heartbeats_at(network, name).still(now=now) == {"h1"}
+    assert _heartbeats_at(network, "a").still(now=now) == {"h1"}
     # What has not changed is not told again before its time.
     before = network.n_sent
     network.exchanges_by_host["d"]._on_tick()
@@ -246,14 +254,16 @@
 def test_a_host_that_will_tell_less_often_says_so(network: Network) -> None:
     """Guard against living hosts that count as gone while a large zone starts."""
     for exchange in network.exchanges_by_host.values():
-        exchange._words.reads_for_zone = lambda reads_store, now: False
-        exchange._words.speaks = lambda planning, now: False
+        exchange._heartbeats.reads_for_zone = lambda reads_store, now: False
+        exchange._heartbeats.speaks = lambda planning, now: False
     teller = network.exchanges_by_host["d"]
     # None of the next words is due at these intervals, but for the first.
     teller._sequence = 4 * 7
     for n_ticks in (1, 4, 7):
-        teller._words.ticks_between_words = lambda now, n_ticks=n_ticks: n_ticks
+        teller._heartbeats.ticks_between_heartbeats = lambda now, n_ticks=n_ticks: (
+            n_ticks
+        )
         teller._on_tick()
         network.deliver(at_most=network.n_sent + 100)
-        heard = _words_to(network, "b")._heard_by_host["d"].word
-        assert heard.interval == pytest.approx(n_ticks * WORD_INTERVAL)
+        heard = _heartbeats_at(network, "b")._heard_by_host["d"].heartbeat
+        assert heard.interval == pytest.approx(n_ticks * HEARTBEAT_INTERVAL)
--- a/tests/test_platform/test_words.py
+++ b/tests/test_platform/test_wire_names.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import ryelever
-from ryelever.platform import words
+from ryelever.platform import wire_names
 
 PACKAGE = Path(ryelever.__file__).parent
 
@@ -42,7 +42,7 @@
 def _headers() -> list[str]:
     return [
         value.decode()
-        for value in vars(words).values()
+        for value in vars(wire_names).values()
         if isinstance(value, bytes) and b"-" in value
     ]
 
