--- a/benchmarks/host_cost.py
+++ b/benchmarks/host_cost.py
@@ -31,8 +31,8 @@
 
 from ryelever.coordination.host_heartbeats import FREQUENT_HOSTS, READERS, HostHeartbeat
 from ryelever.host_exchange import HEARTBEAT_INTERVAL, TICKS_PER_ZONE_HEARTBEAT
-from ryelever.protocol.host_messages import encode_heartbeat, encode_news
-from ryelever.state.keyed_record import KeyedRecord, ServerNews
+from ryelever.protocol.host_messages import encode_heartbeat, encode_updates
+from ryelever.state.keyed_record import KeyedRecord, ServerUpdates
 from tests.standins.platform import configuration
 from tests.standins.platform_store import PlatformStore
 
@@ -67,7 +67,7 @@
 RENEWAL_INTERVAL = 1.2
 
 #: Seconds between two news of backend servers that changed, and how many did.
-NEWS_INTERVAL = 0.3
+UPDATE_INTERVAL = 0.3
 N_CHANGED = 1
 
 #: Seconds before the measured window, in which a host takes up what there is.
@@ -121,7 +121,7 @@
             self._store.put("keyed.servers", key, value)
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sequence = 0
-        self._news_end = size.n_servers
+        self._updates_end = size.n_servers
         self.host_address: tuple[str, int] | None = None
 
     def _entry(self, index: int, *, draining: bool = False) -> tuple[str, bytes]:
@@ -152,7 +152,7 @@
     async def play(self) -> None:
         """Send what the other hosts send, and renew the records of the servers."""
         await asyncio.gather(
-            self._send_heartbeats(), self._news(), self._renew_records()
+            self._send_heartbeats(), self._send_updates(), self._renew_records()
         )
 
     async def _send_heartbeats(self) -> None:
@@ -198,21 +198,21 @@
         )
         return encode_heartbeat(heartbeat)
 
-    async def _news(self) -> None:
+    async def _send_updates(self) -> None:
         """Tell of one server that changes, as who reads for others would."""
         while not self._leads:
-            await asyncio.sleep(NEWS_INTERVAL)
-            start = self._news_end
-            self._news_end = start + round(
-                self._size.n_servers * NEWS_INTERVAL / RENEWAL_INTERVAL
+            await asyncio.sleep(UPDATE_INTERVAL)
+            start = self._updates_end
+            self._updates_end = start + round(
+                self._size.n_servers * UPDATE_INTERVAL / RENEWAL_INTERVAL
             )
-            index = self._news_end % self._size.n_servers
-            key, value = self._entry(index, draining=self._news_end % 2 == 0)
+            index = self._updates_end % self._size.n_servers
+            key, value = self._entry(index, draining=self._updates_end % 2 == 0)
             record = KeyedRecord(key=key, value=value, offset=start)
-            news = ServerNews(
-                reader="h001", start=start, end=self._news_end, records=[record]
+            updates = ServerUpdates(
+                reader="h001", start=start, end=self._updates_end, records=[record]
             )
-            for data in encode_news(news):
+            for data in encode_updates(updates):
                 self._send(data)
 
     async def _renew_records(self) -> None:
--- a/ryelever/application.py
+++ b/ryelever/application.py
@@ -13,7 +13,7 @@
 from .coordination.confirmation import Confirmations
 from .coordination.limits import AccountLimits
 from .coordination.planner import Planner
-from .coordination.readiness import Knowledge, Readiness
+from .coordination.readiness import Readiness, ReadinessInputs
 from .coordination.requests import RequestState
 from .dump import Dump
 from .events import control_tick, serving_tick, sweep
@@ -205,13 +205,13 @@
         """Tell whether enough is known of the fleet to serve."""
         stream = placement_stream(self.settings.availability_zone)
         placement = self.streams.streams_by_name[stream]
-        knowledge = Knowledge(
+        inputs = ReadinessInputs(
             has_configuration=self.configuration.version != NO_VERSION,
             has_hosts=bool(self.fleet.hosts_by_name),
             has_placement=placement.caught_up_at != float("-inf"),
-            n_unheard=self.fleet.n_unheard(),
+            n_unreported=self.fleet.n_unreported(),
         )
-        return self._readiness.look(knowledge, now=time.monotonic())
+        return self._readiness.look(inputs, now=time.monotonic())
 
     def _in_flight(self) -> InFlight:
         streams = self.streams.streams_by_name
--- a/ryelever/coordination/evacuations.py
+++ b/ryelever/coordination/evacuations.py
@@ -9,10 +9,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-__all__ = ["Evacuations", "OperatorPlace"]
+__all__ = ["Evacuations", "OperatorPosition"]
 
 
-class OperatorPlace(msgspec.Struct, frozen=True, order=True):
+class OperatorPosition(msgspec.Struct, frozen=True, order=True):
     """Say up to where the operator's topic was read; later ones compare as greater.
 
     Attributes
@@ -42,7 +42,7 @@
     ----------
     zones : frozenset of str
         The evacuated zones.
-    as_of : OperatorPlace
+    as_of : OperatorPosition
         Up to where the operator's topic was read for this.
     """
 
@@ -51,9 +51,9 @@
     def __init__(self, *, log: Callable[..., None]) -> None:
         self._log = log
         self.zones: frozenset[str] = frozenset()
-        self.as_of = OperatorPlace()
+        self.as_of = OperatorPosition()
 
-    def listed(self, zones: Iterable[str], *, as_of: OperatorPlace) -> None:
+    def listed(self, zones: Iterable[str], *, as_of: OperatorPosition) -> None:
         """Take all requests that the store holds.
 
         A store that has come back from an older copy may lack some until the operator
@@ -64,15 +64,15 @@
         known = self.zones if as_of.era != self.as_of.era else frozenset()
         self._set(known.union(zones), as_of=as_of)
 
-    def requested(self, zone: str, *, as_of: OperatorPlace) -> None:
+    def requested(self, zone: str, *, as_of: OperatorPosition) -> None:
         """Take a request to evacuate a zone."""
         self._set(self.zones | {zone}, as_of=as_of)
 
-    def ended(self, zone: str, *, as_of: OperatorPlace) -> None:
+    def ended(self, zone: str, *, as_of: OperatorPosition) -> None:
         """Take word that a zone is used again."""
         self._set(self.zones - {zone}, as_of=as_of)
 
-    def heard(self, zones: Iterable[str], *, as_of: OperatorPlace) -> None:
+    def heard(self, zones: Iterable[str], *, as_of: OperatorPosition) -> None:
         """Take what another host knows, if it is newer.
 
         What it has read in a later era may be an older copy, and of two hosts at the
@@ -84,7 +84,7 @@
         known = frozenset() if is_later else self.zones
         self._set(known.union(zones), as_of=as_of)
 
-    def _set(self, zones: frozenset[str], *, as_of: OperatorPlace) -> None:
+    def _set(self, zones: frozenset[str], *, as_of: OperatorPosition) -> None:
         self.as_of = as_of
         former, self.zones = self.zones, zones
         for zone in sorted(zones - former):
--- a/ryelever/coordination/groups/keeper.py
+++ b/ryelever/coordination/groups/keeper.py
@@ -63,7 +63,7 @@
         Longest time in seconds that a member takes to join.
     patience : float
         Seconds for which a member may be missing from the list.
-    list_is_silent : callable
+    list_is_stale : callable
         Tell whether the list has shown nothing for a while, as in an outage.
     log : callable
         Take one line about a decision: its name and its fields.
@@ -76,7 +76,7 @@
         stall_time: float,
         join_limit: float,
         patience: float,
-        list_is_silent: Callable[[], bool],
+        list_is_stale: Callable[[], bool],
         log: Callable[..., None],
     ) -> None:
         super().__init__(directory=directory)
@@ -84,7 +84,7 @@
             directory=directory, groups=self, stall_time=stall_time
         )
         self._patience = patience
-        self._list_is_silent = list_is_silent
+        self._list_is_stale = list_is_stale
         self.join_limit = join_limit
         self._log = log
         self._lost_by_id: dict[str, float] = {}
@@ -120,7 +120,7 @@
                 # While the list is silent, only members that are asked show that they
                 # are ready, or open.
                 asked = tuple(kept.silent_members)
-                if self._list_is_silent():
+                if self._list_is_stale():
                     asked = kept.record.member_ids
                 orders += kept.due_probes(asked, urgent=True, now=now)
             elif kept.phase is GroupPhase.ENDING:
@@ -234,7 +234,7 @@
             # head opened all were.
             has_shown = now - kept.serving_since > MEMBERS_SHOWN
             serves = kept.phase is GroupPhase.SERVING
-            if serves and has_shown and not self._list_is_silent():
+            if serves and has_shown and not self._list_is_stale():
                 return "member_left"
             return ""
         kept.joined_by_id[server.id] = server
--- a/ryelever/coordination/groups/zone_planner.py
+++ b/ryelever/coordination/groups/zone_planner.py
@@ -91,7 +91,7 @@
         Return the work that arrives at all hosts, in groups kept busy, by model.
     is_evacuated : callable
         Tell whether the servers of an availability zone are to get nothing new.
-    list_is_silent : callable
+    list_is_stale : callable
         Tell whether the list of backend servers has shown nothing for a while.
     observe : callable
         Take the name of a phase and the seconds that a group has spent in it.
@@ -110,7 +110,7 @@
         demand: Callable[[], Mapping[str, float]],
         reshaping: Callable[[], set[str]],
         observe: Callable[[str, float], None],
-        list_is_silent: Callable[[], bool],
+        list_is_stale: Callable[[], bool],
         stall_time: float,
         since: float,
         log: Callable[..., None],
@@ -122,7 +122,7 @@
         self._directory = directory
         self._table = table
         self._reshaping = reshaping
-        self._list_is_silent = list_is_silent
+        self._list_is_stale = list_is_stale
         self._turn = ReshapingTurn(zone=zone)
         self._log = log
         self.times = GroupTimes(observe=observe)
@@ -138,7 +138,7 @@
             stall_time=stall_time,
             join_limit=LONGEST_JOIN,
             patience=0.0 if is_own else FOREIGN_PATIENCE,
-            list_is_silent=list_is_silent,
+            list_is_stale=list_is_stale,
             log=log,
         )
         self._idle = IdleServers(zone=zone, keeper=self.keeper, log=log)
@@ -356,7 +356,7 @@
         """End the groups whose members are worth more in another one."""
         if self._is_evacuated(self._zone):
             return
-        if self._appending is not None or self._list_is_silent():
+        if self._appending is not None or self._list_is_stale():
             # While the store is away no group can be formed of what is freed: three
             # zones that ended one each lost half of a model's groups for the outage.
             return
--- a/ryelever/coordination/host_heartbeats.py
+++ b/ryelever/coordination/host_heartbeats.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from .evacuations import OperatorPlace
+from .evacuations import OperatorPosition
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -94,7 +94,7 @@
         Hosts that it speaks for.
     evacuated_zones : tuple of str
         Zones that are evacuated, as far as it knows.
-    operator_place : OperatorPlace
+    operator_position : OperatorPosition
         Up to where the operator's topic was read for that.
     store_era : int
         Highest era of the store that it has seen or heard of; 0 before any.
@@ -126,7 +126,7 @@
     for_zone: bool = False
     n_hosts: int = 1
     evacuated_zones: tuple[str, ...] = ()
-    operator_place: OperatorPlace = OperatorPlace()
+    operator_position: OperatorPosition = OperatorPosition()
     store_era: int = 0
     passed_on: bool = False
     knows_servers: bool = False
@@ -143,7 +143,7 @@
         heartbeat.reads_store,
         heartbeat.knows_servers,
         heartbeat.store_era,
-        heartbeat.operator_place,
+        heartbeat.operator_position,
         heartbeat.stopping,
         heartbeat.configuration_version,
         heartbeat.still,
--- a/ryelever/coordination/listing_turn.py
+++ b/ryelever/coordination/listing_schedule.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-__all__ = ["LISTERS", "TURN", "UNANNOUNCED", "is_turn_to_list"]
+__all__ = ["LISTERS", "TURN", "UNANNOUNCED", "may_list"]
 
 #: Hosts of a zone that list at once.  The others are given the list by them: each
 #: would read two megabytes of 3,000 servers, and reads of all hosts share the store's
@@ -21,7 +21,7 @@
 UNANNOUNCED = 1.0
 
 
-def is_turn_to_list(
+def may_list(
     host: str,
     hosts_of_zone: Iterable[str],
     *,
--- a/ryelever/coordination/readiness.py
+++ b/ryelever/coordination/readiness.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["Knowledge", "Readiness"]
+__all__ = ["ReadinessInputs", "Readiness"]
 
 #: Seconds, from the first look that finds configuration and list, for which placement
 #: and reports are waited for.  A host that starts while the log is away then serves
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Knowledge:
+class ReadinessInputs:
     """Hold what an entry host knows of the fleet at a time.
 
     Attributes
@@ -24,14 +24,14 @@
         The platform's list was read.
     has_placement : bool
         The own zone's placement was read to its end.
-    n_unheard : int
+    n_unreported : int
         Live engines of the own zone that neither reported nor failed to answer.
     """
 
     has_configuration: bool
     has_hosts: bool
     has_placement: bool
-    n_unheard: int
+    n_unreported: int
 
 
 class Readiness:
@@ -46,7 +46,7 @@
         self._ready = False
         self._listed_at: float | None = None
 
-    def look(self, knowledge: Knowledge, *, now: float) -> bool:
+    def look(self, inputs: ReadinessInputs, *, now: float) -> bool:
         """Tell whether this host is ready, at a monotonic time.
 
         Once ready it stays so: a gap in knowledge later on may be everybody's, and
@@ -54,11 +54,11 @@
         """
         if self._ready:
             return True
-        if not (knowledge.has_configuration and knowledge.has_hosts):
+        if not (inputs.has_configuration and inputs.has_hosts):
             return False
         if self._listed_at is None:
             self._listed_at = now
-        knows_fleet = knowledge.has_placement and not knowledge.n_unheard
+        knows_fleet = inputs.has_placement and not inputs.n_unreported
         waited = now - self._listed_at >= KNOWLEDGE_TIMEOUT
         self._ready = knows_fleet or waited
         return self._ready
--- a/ryelever/coordination/said_records.py
+++ b/ryelever/coordination/reported_records.py
@@ -11,7 +11,7 @@
 
     from ..state.directory import BackendServer
 
-__all__ = ["REPORTED_FOR", "SaidRecords"]
+__all__ = ["REPORTED_FOR", "ReportedRecords"]
 
 #: Seconds after the list is read again for which what servers said themselves goes on
 #: before it.  What is read first was written before the outage, and is older; servers
@@ -19,7 +19,7 @@
 REPORTED_FOR = 3.0
 
 
-class SaidRecords:
+class ReportedRecords:
     """Hold what servers said while the list was silent, and what it has shown since.
 
     A record that was written before an outage and is read after it would show a head
@@ -29,18 +29,18 @@
     __slots__ = (
         "_listed_by_server",
         "_read_again_at",
-        "_said_by_server",
+        "_reported_by_server",
         "_seen_by_server",
     )
 
     def __init__(self) -> None:
-        self._said_by_server: dict[str, bytes] = {}
+        self._reported_by_server: dict[str, bytes] = {}
         # Each server as the list had it before it said anything itself.
         self._seen_by_server: dict[str, BackendServer] = {}
         self._listed_by_server: dict[str, bytes] = {}
         self._read_again_at: float | None = None
 
-    def say(
+    def add(
         self, records: list[KeyedRecord], *, seen_by_id: Mapping[str, BackendServer]
     ) -> None:
         """Take records that go before the list until it was read again for a while.
@@ -55,18 +55,18 @@
             seen = seen_by_id.get(record.key)
             if seen is not None:
                 self._seen_by_server.setdefault(record.key, seen)
-            self._said_by_server[record.key] = record.value
+            self._reported_by_server[record.key] = record.value
 
     @property
     def is_empty(self) -> bool:
         """Tell whether nothing goes before the list."""
-        return not self._said_by_server
+        return not self._reported_by_server
 
     def holds(self, server_id: str) -> bool:
         """Tell whether a server's own word goes before its entry now."""
-        return server_id in self._said_by_server
+        return server_id in self._reported_by_server
 
-    def is_overtaken(self, listed: BackendServer, said: BackendServer) -> bool:
+    def is_superseded(self, listed: BackendServer, said: BackendServer) -> bool:
         """Tell whether an entry is of a later start than what its server has said.
 
         It is, where its start is neither that one's nor the one which the list showed
@@ -79,7 +79,7 @@
 
     def forget(self, server_id: str) -> None:
         """Let the list go before what a server has said."""
-        self._said_by_server.pop(server_id, None)
+        self._reported_by_server.pop(server_id, None)
         self._seen_by_server.pop(server_id, None)
         self._listed_by_server.pop(server_id, None)
 
@@ -88,7 +88,7 @@
 
         That an entry is gone counts at once.
         """
-        said = self._said_by_server.get(record.key)
+        said = self._reported_by_server.get(record.key)
         if said is None or not record.value:
             return None
         if self._read_again_at is None:
@@ -102,7 +102,7 @@
         if since is None or now - since < REPORTED_FOR:
             return []
         held_back, self._listed_by_server = self._listed_by_server, {}
-        self._said_by_server.clear()
+        self._reported_by_server.clear()
         self._seen_by_server.clear()
         self._read_again_at = None
         return [
--- a/ryelever/coordination/server_reading.py
+++ b/ryelever/coordination/server_reading.py
@@ -11,17 +11,17 @@
 
 import msgspec
 
-from .listing_turn import UNANNOUNCED, is_turn_to_list
+from .listing_schedule import UNANNOUNCED, may_list
 
 if TYPE_CHECKING:
-    from ..state.keyed_record import ServerNews
+    from ..state.keyed_record import ServerUpdates
     from .host_heartbeats import HostHeartbeats
     from .topic import TopicFollower
 
 __all__ = [
     "GAP_PATIENCE",
     "OTHERS_GAP_PATIENCE",
-    "RESTS_WITHOUT_NEWS",
+    "MAX_UPDATE_SILENCE",
     "SILENT_OUTAGE",
     "ServerReading",
 ]
@@ -34,7 +34,7 @@
 
 #: Seconds without news for which a host leaves the reading to the readers of its zone.
 #: Where the one that reads is lost, another one of them begins within half of it.
-RESTS_WITHOUT_NEWS = 2.0
+MAX_UPDATE_SILENCE = 2.0
 
 #: The same after which it takes the store for lost, as far as entries that lapse are
 #: concerned: before it reads the store itself, it can't know.
@@ -45,7 +45,7 @@
     """Say since when this host misses news, and which host has told of them."""
 
     since: float
-    giver: str
+    provider: str
 
 
 class ServerReading:
@@ -119,7 +119,7 @@
             if acknowledged_at is not None and self._hosts.listed_at > acknowledged_at:
                 self._hosts_known_at = now
         if self._servers.defers_listing:
-            self._servers.defers_listing = not is_turn_to_list(
+            self._servers.defers_listing = not may_list(
                 self._host,
                 self._heartbeats.hosts_of(self._zone),
                 known_at=self._hosts_known_at,
@@ -129,12 +129,12 @@
 
     # Reading
 
-    def rest_or_read(
+    def suspend_or_read(
         self,
         *,
         reads: bool,
         is_reachable: bool,
-        told_at: float,
+        last_update_at: float,
         read_at: float,
         now: float,
     ) -> None:
@@ -149,7 +149,7 @@
             Whether this host is a reader of its zone.
         is_reachable : bool
             Whether the store answers this host.
-        told_at, read_at : float
+        last_update_at, read_at : float
             Monotonic times at which another host told of something, and at which
             anything was read, here or elsewhere.
         """
@@ -158,16 +158,16 @@
             reads = self._heartbeats.is_among_first(now=now)
         elif self._reached_since is None:
             self._reached_since = now
-        quiet_for = now - max(told_at, self._reached_since or now)
-        self._servers.rests = (
-            not reads and self._servers.is_current and quiet_for < RESTS_WITHOUT_NEWS
+        quiet_for = now - max(last_update_at, self._reached_since or now)
+        self._servers.suspended = (
+            not reads and self._servers.is_current and quiet_for < MAX_UPDATE_SILENCE
         )
-        if self._servers.rests and now - read_at > SILENT_OUTAGE:
+        if self._servers.suspended and now - read_at > SILENT_OUTAGE:
             self.silent_at = now
 
     # What is missed
 
-    def note_missed(self, news: ServerNews, *, now: float) -> None:
+    def note_missed(self, updates: ServerUpdates, *, now: float) -> None:
         """Take news of which this host misses something.
 
         The store has it too, with all that says nothing new: one host that misses a
@@ -175,15 +175,15 @@
         the store's link and their own.
         """
         since = now if self._missed is None else self._missed.since
-        self._missed = _Missed(since=since, giver=news.giver)
-        if news.reader < self._host:
+        self._missed = _Missed(since=since, provider=updates.provider)
+        if updates.reader < self._host:
             self._servers.leave_to_others(now=now)
 
     def caught_up(self) -> None:
         """Take note that some of what was missed has come."""
         self._missed = None
 
-    def giver(self, *, now: float) -> str | None:
+    def provider(self, *, now: float) -> str | None:
         """Return who is to be asked for what is missed; None where nobody is.
 
         Once nobody has given anything for long, this host reads the store.
@@ -193,6 +193,6 @@
         is_first = self._heartbeats.is_among_first(now=now)
         patience = GAP_PATIENCE if is_first else OTHERS_GAP_PATIENCE
         if now - self._missed.since <= patience:
-            return self._missed.giver
+            return self._missed.provider
         self._servers.read_on()
         return None
--- a/ryelever/coordination/overtaken_records.py
+++ b/ryelever/coordination/superseded_records.py
@@ -9,10 +9,10 @@
 
     from ..state.keyed_record import KeyedRecord
 
-__all__ = ["OvertakenRecords"]
+__all__ = ["SupersededRecords"]
 
 
-class OvertakenRecords:
+class SupersededRecords:
     """Hold up to where the records of each key are older than its listed one.
 
     Pages of a listing are no snapshot: what was appended after the first page was made
@@ -38,7 +38,7 @@
             record.key: record.offset for record in records if record.offset >= end
         }
 
-    def holds(self, record: KeyedRecord) -> bool:
+    def supersedes(self, record: KeyedRecord) -> bool:
         """Tell whether the listing has shown this record, or a later one of its key."""
         listed_offset = self._listed_offset_by_key.get(record.key)
         if listed_offset is None:
--- a/ryelever/coordination/topic.py
+++ b/ryelever/coordination/topic.py
@@ -17,9 +17,9 @@
         NewestPage,
         ReadPage,
     )
-    from ..state.keyed_record import ServerNews
+    from ..state.keyed_record import ServerUpdates
 
-__all__ = ["TopicFollower", "TopicNews"]
+__all__ = ["TopicFollower", "TopicUpdates"]
 
 #: Seconds for which a read waits for a record where they are rare.  Longer ones cost
 #: less, and a connection that has gone silent shows only after them; until then other
@@ -55,7 +55,7 @@
     READING = "reading"
 
 
-class TopicNews(msgspec.Struct, kw_only=True, frozen=True):
+class TopicUpdates(msgspec.Struct, kw_only=True, frozen=True):
     """Hold what an answer brought.
 
     Attributes
@@ -102,7 +102,7 @@
     partition: int = 0
     interval: float = 0.0
     wait: float = RARE_WAIT
-    rests: bool = False
+    suspended: bool = False
     defers_listing: bool = False
     offset: int = 0
     era: int = 0
@@ -136,7 +136,7 @@
         """Return the call that is due, if there is one."""
         if self.is_waiting or now < self._due_at:
             return None
-        if self.rests and self._phase is _Phase.READING and not self._is_poked:
+        if self.suspended and self._phase is _Phase.READING and not self._is_poked:
             return None
         if self.defers_listing and self._phase is _Phase.LISTING and not self._after:
             return None
@@ -216,11 +216,13 @@
                 self.leave_to_others(now=now)
         return follows
 
-    def is_behind(self, news: ServerNews) -> bool:
+    def is_behind(self, updates: ServerUpdates) -> bool:
         """Tell whether another host has read what this one must be given."""
-        if self._phase is not _Phase.READING or news.era != self.era:
+        if self._phase is not _Phase.READING or updates.era != self.era:
             return False
-        return news.start > self.offset or (news.to_fetch and news.end > self.offset)
+        return updates.start > self.offset or (
+            updates.to_fetch and updates.end > self.offset
+        )
 
     def leave_to_others(self, *, now: float) -> None:
         """Read nothing for a while, as what is missed comes from another host."""
@@ -244,7 +246,7 @@
 
     def answered(
         self, status: int, body: bytes, *, era: int | None = None, now: float
-    ) -> Result[TopicNews, RyeleverError]:
+    ) -> Result[TopicUpdates, RyeleverError]:
         """Take an answer.
 
         Parameters
@@ -255,12 +257,12 @@
         if era is not None and not self._belongs(era):
             self.is_waiting = False
             self.answered_at = now
-            return Ok(TopicNews(records=[]))
+            return Ok(TopicUpdates(records=[]))
         listing = self._asked_phase is _Phase.LISTING
         if listing and self._phase is _Phase.READING:
             # What another host gave meanwhile is as new as this answer.
             self.is_waiting = False
-            return Ok(TopicNews(records=[]))
+            return Ok(TopicUpdates(records=[]))
         if listing:
             outcome = self.log.newest_page(status, body).map(self._take_listing)
         else:
@@ -303,25 +305,25 @@
         self._due_at = now + min(MAX_PAUSE, FIRST_PAUSE * 2**self._n_failures)
         self._n_failures += 1
 
-    def _take_listing(self, page: NewestPage) -> TopicNews:
+    def _take_listing(self, page: NewestPage) -> TopicUpdates:
         if not self._after:
             self._listed = []
             self.offset = page.end
         self._listed += page.records
         if page.more and page.records:
             self._after = page.records[-1].key
-            return TopicNews(records=[])
+            return TopicUpdates(records=[])
         self._after = ""
         self._phase = _Phase.READING
-        return TopicNews(records=self._listed, complete=True)
+        return TopicUpdates(records=self._listed, complete=True)
 
-    def _take_read(self, page: ReadPage) -> TopicNews:
+    def _take_read(self, page: ReadPage) -> TopicUpdates:
         if page.expired:
             self._phase = _Phase.LISTING
-            return TopicNews(records=[])
+            return TopicUpdates(records=[])
         start = self.offset
         # What another host has passed on meanwhile is not taken twice.
         records = [record for record in page.records if record.offset >= start]
         if records:
             self.offset = records[-1].offset + 1
-        return TopicNews(records=records, start=start)
+        return TopicUpdates(records=records, start=start)
--- a/ryelever/coordination/paced_giving.py
+++ b/ryelever/coordination/transfer_rate.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-__all__ = ["LINK_SHARE", "PacedGiving"]
+__all__ = ["LINK_SHARE", "TransferRate"]
 
 #: Part of the host's link that what it gives may take; callers need the rest.
 LINK_SHARE = 0.4
 
 
-class PacedGiving:
+class TransferRate:
     """Decide whether something long is given now.
 
     Who is refused asks another host.  Each that was given it gives it in turn, so
@@ -30,6 +30,6 @@
         """Tell whether what was given before has left."""
         return now >= self._free_at
 
-    def gave(self, size: int, *, now: float) -> None:
+    def record_sent(self, size: int, *, now: float) -> None:
         """Take note of some bytes that are leaving."""
         self._free_at = max(now, self._free_at) + size / self._rate
--- a/ryelever/emulator/fleet.py
+++ b/ryelever/emulator/fleet.py
@@ -214,7 +214,7 @@
             demand=lambda: self.deployment.demand if self.now >= 0 else {},
             reshaping=lambda: self._reshaping(zone),
             observe=lambda phase, seconds: None,
-            list_is_silent=lambda: False,
+            list_is_stale=lambda: False,
             stall_time=self.deployment.stall_time,
             since=self.now,
             log=lambda event, **fields: None,
--- a/ryelever/events.py
+++ b/ryelever/events.py
@@ -44,7 +44,7 @@
     "peers_send",
     "relayed_gone",
     "relayed_request",
-    "server_news",
+    "server_updates",
     "serving_tick",
     "store_returned",
     "sweep",
@@ -216,8 +216,8 @@
     body: bytes
 
 
-class server_news(Event):
-    """Announce a ``ServerNews`` that was read, or passed on by another host."""
+class server_updates(Event):
+    """Announce a ``ServerUpdates`` that was read, or passed on by another host."""
 
 
 class server_reported(Event):
--- a/ryelever/fleet_directory.py
+++ b/ryelever/fleet_directory.py
@@ -9,24 +9,24 @@
 from circuits import BaseComponent, handler
 
 from .coordination.change_history import ChangeHistory
-from .coordination.evacuations import OperatorPlace
-from .coordination.overtaken_records import OvertakenRecords
+from .coordination.evacuations import OperatorPosition
 from .coordination.removals import Removals
-from .coordination.said_records import SaidRecords
+from .coordination.reported_records import ReportedRecords
 from .coordination.server_reading import ServerReading
+from .coordination.superseded_records import SupersededRecords
 from .coordination.topic import BUSY_WAIT, TopicFollower
 from .events import (
     directory_changed,
-    server_news,
+    server_updates,
 )
 from .host_fetch import HostFetch
 from .logs import log_event, log_warning
-from .state.keyed_record import KeyedRecord, ServerNews
+from .state.keyed_record import KeyedRecord, ServerUpdates
 
 if TYPE_CHECKING:
     from .coordination.evacuations import Evacuations
     from .coordination.host_heartbeats import HostHeartbeat, HostHeartbeats
-    from .coordination.topic import TopicNews
+    from .coordination.topic import TopicUpdates
     from .protocol.keyed_log import KeyedLogInterface
     from .protocol.store_documents import StoreDocuments
     from .relay_settings import RelaySettings
@@ -49,7 +49,7 @@
 #: host that passes them on, after which what servers say themselves goes before the
 #: list.  Reads are answered within 0.2 s, and the list is newer than a report, which
 #: is as of some tenths of a second ago.
-LIST_SILENCE = 1.0
+LIST_STALE_AFTER = 1.0
 
 #: Seconds after the store's return from an older copy within which all servers that
 #: reach it have written their entries again.
@@ -62,7 +62,7 @@
 #: Longest configuration in bytes that hosts of a zone ask each other for rather than
 #: the store.  Thirty of them ask at once, and half a megabyte takes 0.2 s of a link of
 #: 20 Mbit/s.
-MAX_GIVEN = 16 << 10
+MAX_FETCHED_CONFIGURATION = 16 << 10
 
 #: Entries that can't be read of which is remembered that it was logged.  A writer that
 #: makes up keys would fill the memory otherwise.
@@ -128,8 +128,8 @@
         self._document = b""
         self._in_force_since: float | None = None
         self._data_by_server: dict[str, bytes] = {}
-        self._overtaken = OvertakenRecords()
-        self._said = SaidRecords()
+        self._superseded = SupersededRecords()
+        self._reported = ReportedRecords()
         self._unreadable: set[str] = set()
         self._history = ChangeHistory()
         self._reading = ServerReading(
@@ -143,7 +143,7 @@
         self.fetch = HostFetch(
             heartbeats=heartbeats,
             take_configuration=self.take_configuration,
-            take_servers=self._take_given_servers,
+            take_servers=self._apply_fetched_servers,
             take_changes=self._take_changes,
         ).register(self)
         self._announced_at = float("-inf")
@@ -164,12 +164,12 @@
     def _on_tick(self) -> None:
         now = time.monotonic()
         self._note_reads()
-        self._rest_or_read(now=now)
+        self._suspend_or_read(now=now)
         for server_id in self._removals.due(now=now):
             self._remove(server_id, now=now)
         held_back = [
             record
-            for record in self._said.due(now=now)
+            for record in self._reported.due(now=now)
             if record.key in self._data_by_server
         ]
         self._take_records(held_back, now=now)
@@ -178,7 +178,7 @@
         if not self.servers.is_current:
             if self.servers.defers_listing:
                 self.fetch.ask_who_knows_servers(now=now)
-            if self.list_is_silent():
+            if self.list_is_stale():
                 self.fetch.ask_for_servers(now=now)
         unannounced = self._acknowledged_at is None
         if unannounced and now - self._announced_at > ANNOUNCE_RETRY:
@@ -199,15 +199,15 @@
         """
         self._known_better |= self._data_by_server.keys()
         self.servers.list_again()
-        if not self.configuration.rests:
+        if not self.configuration.suspended:
             self.configuration.list_again()
-        if not self.hosts.rests:
+        if not self.hosts.suspended:
             self.hosts.list_again()
         # This host's address may be among what is lost.
         self._acknowledged_at = None
         self._announced_at = float("-inf")
 
-    def _rest_or_read(self, *, now: float) -> None:
+    def _suspend_or_read(self, *, now: float) -> None:
         """Leave it to others of the zone to read what is rarely written, or do it.
 
         A host that starts is found by its words.  Of two that start at once each
@@ -216,16 +216,16 @@
         """
         is_reachable = self._store.is_reachable
         reads = self._heartbeats.reads_for_zone(reads_store=is_reachable, now=now)
-        self.configuration.rests = not reads and self.table is not None
+        self.configuration.suspended = not reads and self.table is not None
         acknowledged_at = self._acknowledged_at
         knows_all = (
             acknowledged_at is not None and self.hosts.asked_at > acknowledged_at
         )
-        self.hosts.rests = not reads and knows_all
-        self._reading.rest_or_read(
+        self.hosts.suspended = not reads and knows_all
+        self._reading.suspend_or_read(
             reads=reads,
             is_reachable=is_reachable,
-            told_at=self._store.passed_on_at,
+            last_update_at=self._store.passed_on_at,
             read_at=self._read_at,
             now=now,
         )
@@ -244,23 +244,25 @@
 
     # Configuration
 
-    def _take_configuration(self, news: TopicNews) -> None:
-        for record in news.records:
+    def _take_configuration(self, updates: TopicUpdates) -> None:
+        for record in updates.records:
             if record.key == self._documents.configuration_key and record.value:
                 self.take_configuration(record.value, self._settings.store_address)
         follower = self.configuration
-        if news.complete:
-            zones = [self._documents.evacuated_zone(item.key) for item in news.records]
-            as_of = OperatorPlace(follower.era, follower.offset)
+        if updates.complete:
+            zones = [
+                self._documents.evacuated_zone(item.key) for item in updates.records
+            ]
+            as_of = OperatorPosition(follower.era, follower.offset)
             self._evacuations.listed(filter(None, zones), as_of=as_of)
             return
-        for record in news.records:
+        for record in updates.records:
             self._take_evacuation(record)
 
     def _take_evacuation(self, record: KeyedRecord) -> None:
         """Take a record of the operator's topic that was just written."""
         zone = self._documents.evacuated_zone(record.key)
-        as_of = OperatorPlace(self.configuration.era, record.offset + 1)
+        as_of = OperatorPosition(self.configuration.era, record.offset + 1)
         if zone is None or as_of <= self._evacuations.as_of:
             return
         if record.value:
@@ -313,13 +315,13 @@
             return
         overdue = self.fetch.note_behind(now=now)
         is_near = heartbeat.availability_zone == self._settings.availability_zone
-        is_given = heartbeat.configuration_size <= MAX_GIVEN
-        if overdue or not (self.configuration.rests and is_given):
+        is_given = heartbeat.configuration_size <= MAX_FETCHED_CONFIGURATION
+        if overdue or not (self.configuration.suspended and is_given):
             self.configuration.poke(now=now)
-        if overdue or (self.configuration.rests and is_given and is_near):
+        if overdue or (self.configuration.suspended and is_given and is_near):
             self.fetch.ask_for_configuration(heartbeat.host, now=now)
 
-    def _take_given_servers(self, given: ServerNews, peer: str) -> None:
+    def _apply_fetched_servers(self, given: ServerUpdates, peer: str) -> None:
         """Take what another host knows, unless the store has answered meanwhile."""
         if self.servers.is_current:
             return
@@ -327,21 +329,21 @@
         self.servers.take_over(end=given.end, era=given.era, now=now)
         log_event("servers_given", peer=peer, n=len(given.records))
         if given.reported:
-            self._take_said(given.records, now=now)
+            self._apply_reported(given.records, now=now)
         else:
             self._take_records(given.records, now=now)
 
-    def all_servers(self) -> ServerNews | None:
+    def all_servers(self) -> ServerUpdates | None:
         """Return the records of all backend servers, or None before they are known."""
         if not self.servers.is_current:
             return None
-        return ServerNews(
+        return ServerUpdates(
             reader=self._settings.host,
             start=0,
             end=self.servers.offset,
             era=self.servers.era,
             # Some of it may be what servers said while the list was silent.
-            reported=self.list_is_silent() or not self._said.is_empty,
+            reported=self.list_is_stale() or not self._reported.is_empty,
             records=[
                 KeyedRecord(key=server_id, value=data, offset=0)
                 for server_id, data in self._data_by_server.items()
@@ -350,33 +352,35 @@
 
     # Backend servers
 
-    def _take_servers(self, news: TopicNews) -> None:
+    def _take_servers(self, updates: TopicUpdates) -> None:
         now = time.monotonic()
         self._note_reads()
-        if news.complete:
-            changed = self._take_shown(self._believed(news.records, now=now), now=now)
+        if updates.complete:
+            changed = self._take_shown(
+                self._believed(updates.records, now=now), now=now
+            )
         else:
-            changed = self._take_listed(news.records, now=now)
-        if news.start >= 0:
-            passed_on = ServerNews(
+            changed = self._take_listed(updates.records, now=now)
+        if updates.start >= 0:
+            passed_on = ServerUpdates(
                 reader=self._settings.host,
-                start=news.start,
+                start=updates.start,
                 end=self.servers.offset,
                 era=self.servers.era,
                 # A host that was started since then may have listed an older copy.
-                records=news.records if self._has_returned(now=now) else changed,
+                records=updates.records if self._has_returned(now=now) else changed,
             )
             self._history.add(
                 passed_on.records,
-                start=news.start,
+                start=updates.start,
                 end=passed_on.end,
                 era=passed_on.era,
             )
             self._reading.caught_up()
-            self.fire(server_news(passed_on), "exchange")
-        if news.complete:
-            self._overtaken.take_listing(news.records, end=self.servers.offset)
-            listed = {record.key for record in news.records}
+            self.fire(server_updates(passed_on), "exchange")
+        if updates.complete:
+            self._superseded.take_listing(updates.records, end=self.servers.offset)
+            listed = {record.key for record in updates.records}
             for server_id in set(self._directory.by_id) - listed:
                 self._removals.add(server_id, now=now)
         for server_id in self._removals.due(now=now):
@@ -396,26 +400,26 @@
             return []
         return [item for item in records if item.key not in self._known_better]
 
-    @handler("server_news")
-    def _on_passed_on(self, news: ServerNews) -> None:
+    @handler("server_updates")
+    def _on_passed_on(self, updates: ServerUpdates) -> None:
         """Take what another host has read, if it follows what was seen here."""
         now = time.monotonic()
-        if news.reported:
-            if self.list_is_silent():
-                self._take_said(news.records, now=now)
+        if updates.reported:
+            if self.list_is_stale():
+                self._apply_reported(updates.records, now=now)
             return
-        self._store.note_era(news.era, peer=news.reader, now=now)
-        if self.servers.is_behind(news):
-            self._reading.note_missed(news, now=now)
+        self._store.note_era(updates.era, peer=updates.reader, now=now)
+        if self.servers.is_behind(updates):
+            self._reading.note_missed(updates, now=now)
             self._store.heard(now=now)
             self._ask_for_missed(now=now)
             return
-        yields = news.reader < self._settings.host
-        if self._take_part(news, yields=yields, now=now):
+        yields = updates.reader < self._settings.host
+        if self._take_part(updates, yields=yields, now=now):
             self._reading.caught_up()
             self._store.heard(now=now)
 
-    def _take_part(self, news: ServerNews, *, yields: bool, now: float) -> bool:
+    def _take_part(self, updates: ServerUpdates, *, yields: bool, now: float) -> bool:
         """Take what another host has read or kept, if it follows what was seen here.
 
         Parameters
@@ -425,41 +429,41 @@
         """
         known_to = self.servers.offset
         follows = self.servers.advance(
-            start=news.start,
-            end=news.end,
-            era=news.era,
+            start=updates.start,
+            end=updates.end,
+            era=updates.era,
             yields=yields,
             now=now,
         )
         if not follows:
             return False
-        records = [record for record in news.records if record.offset >= known_to]
-        self._history.add(records, start=known_to, end=news.end, era=news.era)
+        records = [record for record in updates.records if record.offset >= known_to]
+        self._history.add(records, start=known_to, end=updates.end, era=updates.era)
         self._take_listed(records, now=now)
         return True
 
     def _ask_for_missed(self, *, now: float) -> None:
-        giver = self._reading.giver(now=now)
-        if giver is not None:
+        provider = self._reading.provider(now=now)
+        if provider is not None:
             self.fetch.ask_for_changes(
-                self.servers.offset, era=self.servers.era, giver=giver, now=now
+                self.servers.offset, era=self.servers.era, provider=provider, now=now
             )
 
-    def _take_changes(self, news: ServerNews) -> None:
+    def _take_changes(self, updates: ServerUpdates) -> None:
         """Take what another host has kept of what this one missed."""
         now = time.monotonic()
-        self._store.note_era(news.era, peer=news.reader, now=now)
+        self._store.note_era(updates.era, peer=updates.reader, now=now)
         known_to = self.servers.offset
-        self._take_part(news, yields=False, now=now)
+        self._take_part(updates, yields=False, now=now)
         if self.servers.offset > known_to:
             self._reading.caught_up()
 
-    def changes_since(self, offset: int, era: int) -> ServerNews | None:
+    def changes_since(self, offset: int, era: int) -> ServerUpdates | None:
         """Return what changed of the backend servers, or None where it isn't known."""
         records = self._history.since(offset, era=era)
         if records is None or offset == self._history.end:
             return None
-        return ServerNews(
+        return ServerUpdates(
             reader=self._settings.host,
             start=offset,
             end=self._history.end,
@@ -467,15 +471,15 @@
             records=records,
         )
 
-    def list_is_silent(self) -> bool:
+    def list_is_stale(self) -> bool:
         """Tell whether nothing was read of the backend servers for a while."""
-        return time.monotonic() - self._read_at > LIST_SILENCE
+        return time.monotonic() - self._read_at > LIST_STALE_AFTER
 
     @handler("server_reported")
     def _on_reported(self, server_id: str, report: bytes) -> None:
         """Take what a server says itself where the list can't show it."""
         known = self._data_by_server.get(server_id)
-        if known is None or not self.list_is_silent():
+        if known is None or not self.list_is_stale():
             return
         merged = self._documents.reported(known, report, peer=server_id)
         if merged.is_error():
@@ -484,21 +488,21 @@
             )
             return
         record = KeyedRecord(key=server_id, value=merged.ok, offset=0)
-        if self._take_said([record], now=time.monotonic()):
-            news = ServerNews(
+        if self._apply_reported([record], now=time.monotonic()):
+            updates = ServerUpdates(
                 reader=self._settings.host,
                 start=0,
                 end=0,
                 records=[record],
                 reported=True,
             )
-            self.fire(server_news(news), "exchange")
+            self.fire(server_updates(updates), "exchange")
 
-    def _take_said(
+    def _apply_reported(
         self, records: list[KeyedRecord], *, now: float
     ) -> list[KeyedRecord]:
         """Take what goes before the list until that has been read again for a while."""
-        self._said.say(records, seen_by_id=self._directory.by_id)
+        self._reported.add(records, seen_by_id=self._directory.by_id)
         return self._take_records(records, now=now)
 
     def _take_listed(
@@ -510,7 +514,7 @@
         """
         self._known_better.difference_update(record.key for record in records)
         overtaken = {
-            record.offset for record in records if self._overtaken.holds(record)
+            record.offset for record in records if self._superseded.supersedes(record)
         }
         fresh = [record for record in records if record.offset not in overtaken]
         told = {record.offset for record in self._take_shown(fresh, now=now)}
@@ -530,7 +534,7 @@
         return [
             record
             for record in records
-            if record.key in changed or self._said.holds(record.key)
+            if record.key in changed or self._reported.holds(record.key)
         ]
 
     def _newer(self, record: KeyedRecord, *, now: float) -> KeyedRecord:
@@ -538,11 +542,11 @@
 
         That a server is leaving counts in any case.
         """
-        said = self._said.before(record, now=now)
+        said = self._reported.before(record, now=now)
         if said is None:
             return record
         if self._is_later_start(record):
-            self._said.forget(record.key)
+            self._reported.forget(record.key)
             return record
         merged = self._documents.reported(record.value, said, peer=record.key)
         if merged.is_error():
@@ -558,7 +562,7 @@
         listed = self._documents.server(record.key, record.value, peer=record.key)
         if known is None or listed.is_error():
             return False
-        return self._said.is_overtaken(listed.ok, known)
+        return self._reported.is_superseded(listed.ok, known)
 
     def _take_records(
         self, records: list[KeyedRecord], *, now: float
@@ -638,14 +642,14 @@
 
     # Entry hosts
 
-    def _take_hosts(self, news: TopicNews) -> None:
-        for record in news.records:
+    def _take_hosts(self, updates: TopicUpdates) -> None:
+        for record in updates.records:
             address = self._documents.host(record.key, record.value)
             if address is None:
                 self._heartbeats.addresses_by_host.pop(record.key, None)
             else:
                 self._heartbeats.addresses_by_host[record.key] = address
-        if news.complete:
+        if updates.complete:
             self._settle_listing(now=time.monotonic())
             self._store.ask_now(self.servers)
 
--- a/ryelever/fleet_watch.py
+++ b/ryelever/fleet_watch.py
@@ -7,11 +7,11 @@
 
 from circuits import handler
 
-from .asking import Asker, Question
 from .coordination.confirmation import FreshReport
 from .coordination.polling import PollingShares, ReportFollowing
 from .logs import log_warning
 from .protocol.outside import HTTP_ENGINE, HTTP_HOSTS_LIST
+from .request_sender import PendingRequest, RequestSender
 from .state.fleet import HostReport
 from .state.observations import ReportRow
 
@@ -41,7 +41,7 @@
 UNREACHABLE = "unreachable"
 
 
-class FleetWatch(Asker):
+class FleetWatch(RequestSender):
     """Own what the hosts say, and since when.
 
     Attributes
@@ -97,8 +97,8 @@
         # The list of hundreds of hosts, read whole each second, would take many times
         # the bytes that control may, to say that nothing has changed.
         call = self._hosts_list.list(known_tag=self._list_tag)
-        self.ask(
-            Question(kind="list"),
+        self.send_request(
+            PendingRequest(kind="list"),
             address=self._settings.hosts_list_address,
             path=call.path,
             headers=call.headers,
@@ -116,7 +116,7 @@
             ):
                 self._ask_report(name, listed)
 
-    def n_unheard(self) -> int:
+    def n_unreported(self) -> int:
         """Count the zone's live engines of which nothing was heard yet.
 
         An engine that failed to answer counts as heard of: waiting for it longer
@@ -132,8 +132,8 @@
         )
 
     def _ask_report(self, name: str, listed: ListedHost) -> None:
-        self.ask(
-            Question(kind="report", subject=name),
+        self.send_request(
+            PendingRequest(kind="report", subject=name),
             address=listed.address,
             path=self._engine.report().path,
             step="read_report",
@@ -171,37 +171,37 @@
         # Beyond this size the other zones' reports would cost more than control may.
         return engines if len(engines) - len(own) <= MAX_FOREIGN else own
 
-    def answered(self, question: Question, answer: OutboundAnswer) -> None:
+    def answered(self, pending: PendingRequest, answer: OutboundAnswer) -> None:
         """Take the list or a report."""
-        if question.kind == "list":
+        if pending.kind == "list":
             self._take_list(answer)
             return
-        self._heard.add(question.subject)
+        self._heard.add(pending.subject)
         report = self._engine.host_report(
-            answer.body, host=question.subject, peer=answer.address
+            answer.body, host=pending.subject, peer=answer.address
         )
         if answer.status != 200:
             return
         if report.is_ok():
-            self._unread.discard(question.subject)
+            self._unread.discard(pending.subject)
             self._take_own(report.ok, asked_at=answer.sent_at)
-        elif question.subject not in self._unread:
-            self._unread.add(question.subject)
+        elif pending.subject not in self._unread:
+            self._unread.add(pending.subject)
             log_warning(
                 "report_not_counted",
-                host=question.subject,
+                host=pending.subject,
                 peer=answer.address,
                 message=report.error.message,
             )
 
-    def failed(self, question: Question, failure: OutboundFailure) -> None:
+    def failed(self, pending: PendingRequest, failure: OutboundFailure) -> None:
         """Keep the last list; a host that refuses connections counts as gone."""
-        if question.kind == "list":
+        if pending.kind == "list":
             log_warning("hosts_list_failed", message=failure.error.message)
             return
-        self._heard.add(question.subject)
+        self._heard.add(pending.subject)
         if not failure.bytes_sent:
-            self.refused(question.subject, at=time.monotonic())
+            self.refused(pending.subject, at=time.monotonic())
 
     def refused(self, host: str, *, at: float) -> None:
         """Take note that a host refuses connections, and tell peers."""
--- a/ryelever/group_planning.py
+++ b/ryelever/group_planning.py
@@ -32,7 +32,7 @@
     from collections.abc import Callable
 
     from .coordination.groups import GroupOrder
-    from .coordination.topic import TopicNews
+    from .coordination.topic import TopicUpdates
     from .protocol.keyed_log import KeyedLogInterface
     from .protocol.store_documents import GroupInterface, StoreDocuments
     from .relay_settings import RelaySettings
@@ -155,23 +155,25 @@
             partition=self._partition(zone),
         )
         self._followers_by_zone[zone] = follower
-        self._store.follow(follower, lambda news: self._take(zone, follower, news))
+        self._store.follow(
+            follower, lambda updates: self._take(zone, follower, updates)
+        )
 
     def _partition(self, zone: str) -> int:
         return self._settings.zones.index(zone) % self._settings.store_partitions
 
     # Records
 
-    def _take(self, zone: str, follower: TopicFollower, news: TopicNews) -> None:
+    def _take(self, zone: str, follower: TopicFollower, updates: TopicUpdates) -> None:
         planner = self.planners_by_zone.get(zone)
         if planner is None:
             return
         now = time.monotonic()
         read = [
             (record, self._documents.group(record.key, record.value))
-            for record in news.records
+            for record in updates.records
         ]
-        if news.complete:
+        if updates.complete:
             groups = [group for _, group in read if group is not None]
             planner.listed(groups, end=follower.offset, era=follower.era, now=now)
             return
--- a/ryelever/host_exchange.py
+++ b/ryelever/host_exchange.py
@@ -13,16 +13,16 @@
 from .coordination.host_heartbeats import urgent_state
 from .coordination.zone_summary import zone_summary
 from .errors import RyeleverError
-from .events import Datagram, peers_send, server_news
+from .events import Datagram, peers_send, server_updates
 from .logs import log_event
 from .protocol.host_messages import (
     RelayedDatagram,
     decode_datagram,
     encode_heartbeat,
-    encode_news,
     encode_relayed,
+    encode_updates,
 )
-from .state.keyed_record import ServerNews
+from .state.keyed_record import ServerUpdates
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -167,10 +167,10 @@
             for_zone=True,
             interval=TICKS_PER_ZONE_HEARTBEAT * HEARTBEAT_INTERVAL,
         )
-        news = urgent_state(summary)
-        if self._sequence % TICKS_PER_ZONE_HEARTBEAT and news == self._last_far_state:
+        state = urgent_state(summary)
+        if self._sequence % TICKS_PER_ZONE_HEARTBEAT and state == self._last_far_state:
             return
-        self._last_far_state = news
+        self._last_far_state = state
         data = encode_heartbeat(summary)
         for zone in self._far_zones():
             # Who spoke last may be lost, so that another one is told as well.
@@ -189,8 +189,8 @@
                 heartbeat = decode_datagram(heartbeat.data, peer=datagram.address)
             if isinstance(heartbeat, RyeleverError):
                 log_event("word_unreadable", peer=datagram.address, why=str(heartbeat))
-            elif isinstance(heartbeat, ServerNews):
-                self._take_news(replace(heartbeat, giver=datagram.address))
+            elif isinstance(heartbeat, ServerUpdates):
+                self._apply_updates(replace(heartbeat, provider=datagram.address))
             elif isinstance(heartbeat, RelayedDatagram):
                 log_event("word_unreadable", peer=datagram.address, why="relayed twice")
             elif self._heartbeats.take(heartbeat, address=datagram.address, now=now):
@@ -209,29 +209,29 @@
         self._balancer.peers_in_flight_by_id = self._heartbeats.in_flight(now=now)
         self._share_limits(now=now)
 
-    @handler("server_news")
-    def _on_server_news(self, news: ServerNews) -> None:
+    @handler("server_updates")
+    def _on_server_updates(self, updates: ServerUpdates) -> None:
         """Pass on what this host has read, so that others need not read it."""
-        self._pass_on(news)
+        self._pass_on(updates)
 
-    def _take_news(self, news: ServerNews) -> None:
-        self.fire(server_news(news), "directory")
-        reader = self._heartbeats.addresses_by_host.get(news.reader)
+    def _apply_updates(self, updates: ServerUpdates) -> None:
+        self.fire(server_updates(updates), "directory")
+        reader = self._heartbeats.addresses_by_host.get(updates.reader)
         knows_already = reader is not None and self._is_near(reader)
-        if not news.passed_on and not knows_already:
+        if not updates.passed_on and not knows_already:
             # News cross between zones once, to who speaks for one, who tells it; the
             # reader has told its own.  What was passed on goes no further, or two
             # hosts would send it to and fro for ever.
-            for data in encode_news(replace(news, passed_on=True)):
+            for data in encode_updates(replace(updates, passed_on=True)):
                 self._spread_near(data)
 
-    def _pass_on(self, news: ServerNews) -> None:
+    def _pass_on(self, updates: ServerUpdates) -> None:
         """Tell this zone, and one host of each other one."""
         told = {
             self._heartbeats.speaker(zone) or self._heartbeats.hosts_of(zone)[0]
             for zone in self._far_zones()
         }
-        for data in encode_news(news):
+        for data in encode_updates(updates):
             self._spread_near(data)
             self._send(data, told)
 
--- a/ryelever/host_fetch.py
+++ b/ryelever/host_fetch.py
@@ -27,7 +27,7 @@
     from collections.abc import Callable, Iterable
 
     from .coordination.host_heartbeats import HostHeartbeat, HostHeartbeats
-    from .state.keyed_record import ServerNews
+    from .state.keyed_record import ServerUpdates
 
 __all__ = ["HostFetch"]
 
@@ -63,8 +63,8 @@
         *,
         heartbeats: HostHeartbeats,
         take_configuration: Callable[[bytes, str], None],
-        take_servers: Callable[[ServerNews, str], None],
-        take_changes: Callable[[ServerNews], None],
+        take_servers: Callable[[ServerUpdates, str], None],
+        take_changes: Callable[[ServerUpdates], None],
     ) -> None:
         super().__init__()
         self._heartbeats = heartbeats
@@ -111,12 +111,12 @@
 
         One that is giving them to others refuses at once, and the next one is asked.
         """
-        givers = self._knowing(self._heartbeats.near(now=now)) or self._knowing(
+        providers = self._knowing(self._heartbeats.near(now=now)) or self._knowing(
             self._heartbeats.living(now=now)
         )
-        if givers and not self._waits_for_servers:
+        if providers and not self._waits_for_servers:
             self._waits_for_servers = True
-            self._ask(SERVERS_PATH, self._next_of(givers))
+            self._ask(SERVERS_PATH, self._next_of(providers))
 
     def ask_for_servers(self, *, now: float) -> None:
         """Ask another entry host for the backend servers that it knows.
@@ -126,18 +126,20 @@
         """
         if now - max(self._started_at, self._servers_asked_at) < ASKED_FIRST:
             return
-        givers = [
+        providers = [
             address.address
             for heartbeat in self._heartbeats.living(now=now)
             if heartbeat.configuration_version >= 0
             and (address := self._heartbeats.addresses_by_host.get(heartbeat.host))
             is not None
         ]
-        if givers:
+        if providers:
             self._servers_asked_at = now
-            self._ask(SERVERS_PATH, self._next_of(givers))
+            self._ask(SERVERS_PATH, self._next_of(providers))
 
-    def ask_for_changes(self, offset: int, *, era: int, giver: str, now: float) -> None:
+    def ask_for_changes(
+        self, offset: int, *, era: int, provider: str, now: float
+    ) -> None:
         """Ask for what this host missed of the backend servers.
 
         Parameters
@@ -151,12 +153,12 @@
             return
         others = self._knowing(self._heartbeats.near(now=now))
         self._n_changes_asked += 1
-        if others and (not giver or self._n_changes_asked % 2 == 0):
-            giver = self._next_of(others)
-        if giver:
+        if others and (not provider or self._n_changes_asked % 2 == 0):
+            provider = self._next_of(others)
+        if provider:
             self._changes_asked_at = now
             self._waits_for_changes = True
-            self._ask(changes_path(offset, era=era), giver)
+            self._ask(changes_path(offset, era=era), provider)
 
     def _knowing(self, heartbeats: Iterable[HostHeartbeat]) -> list[str]:
         """Return where hosts are asked that know all backend servers."""
@@ -167,9 +169,9 @@
             if heartbeat.knows_servers and heartbeat.host in by_host
         ]
 
-    def _next_of(self, givers: list[str]) -> str:
+    def _next_of(self, providers: list[str]) -> str:
         """Return the next one in turn, in case that the one before doesn't answer."""
-        return givers[self._n_asked % len(givers)]
+        return providers[self._n_asked % len(providers)]
 
     def _ask(self, path: str, address: str) -> None:
         self._n_asked += 1
--- a/ryelever/host_offers.py
+++ b/ryelever/peer_requests.py
@@ -7,7 +7,7 @@
 
 from circuits import BaseComponent, handler
 
-from .coordination.paced_giving import PacedGiving
+from .coordination.transfer_rate import TransferRate
 from .protocol.host_messages import (
     BUSY_STATUS,
     CONFIGURATION_PATH,
@@ -20,17 +20,17 @@
     from collections.abc import Callable
 
     from .events import RelayedRequest
-    from .state.keyed_record import ServerNews
+    from .state.keyed_record import ServerUpdates
     from .transport.relay_callers import RelayCallers
 
-__all__ = ["HostOffers"]
+__all__ = ["PeerRequests"]
 
 #: Seconds for which the backend servers are given as they were encoded once.  What has
 #: changed since then is asked for as changes.
 ENCODED_FOR = 1.0
 
 
-class HostOffers(BaseComponent):
+class PeerRequests(BaseComponent):
     """Answer the other entry hosts.
 
     Parameters
@@ -53,8 +53,8 @@
         *,
         callers: RelayCallers,
         document: Callable[[], bytes],
-        servers: Callable[[], ServerNews | None],
-        changes: Callable[[int, int], ServerNews | None],
+        servers: Callable[[], ServerUpdates | None],
+        changes: Callable[[int, int], ServerUpdates | None],
         link_rate: float,
     ) -> None:
         super().__init__()
@@ -62,7 +62,7 @@
         self._document = document
         self._servers = servers
         self._changes = changes
-        self._giving = PacedGiving(link_rate=link_rate)
+        self._transfers = TransferRate(link_rate=link_rate)
         self._encoded = b""
         self._encoded_at = float("-inf")
         # Hosts that are told of the same news ask for the same changes.
@@ -73,7 +73,7 @@
     def _on_request(self, request: RelayedRequest) -> None:
         path = request.target.decode("latin-1")
         if path == SERVERS_PATH:
-            status, body = self._give_servers(now=time.monotonic())
+            status, body = self._serve_servers(now=time.monotonic())
         else:
             body = self._body(path)
             status = 200 if body else 404
@@ -84,9 +84,9 @@
             body=body,
         )
 
-    def _give_servers(self, *, now: float) -> tuple[int, bytes]:
+    def _serve_servers(self, *, now: float) -> tuple[int, bytes]:
         """Return status and body for a host that asks for all backend servers."""
-        if not self._giving.is_free(now=now):
+        if not self._transfers.is_free(now=now):
             return BUSY_STATUS, b""
         if now - self._encoded_at > ENCODED_FOR:
             servers = self._servers()
@@ -94,7 +94,7 @@
                 return 404, b""
             self._encoded = encode_servers(servers)
             self._encoded_at = now
-        self._giving.gave(len(self._encoded), now=now)
+        self._transfers.record_sent(len(self._encoded), now=now)
         return 200, self._encoded
 
     def _body(self, path: str) -> bytes:
--- a/ryelever/planning.py
+++ b/ryelever/planning.py
@@ -9,13 +9,13 @@
 
 from circuits import handler
 
-from .asking import Asker, Question
 from .coordination.actions import ChatWork, SendOrder
 from .coordination.planner import ModelDemand, PlannerView, Repairs
 from .events import HostReported, append_record, host_reported
 from .logs import log_event, log_warning
 from .protocol.backend import Order
 from .protocol.outside import HTTP_ENGINE
+from .request_sender import PendingRequest, RequestSender
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -37,7 +37,7 @@
 PLAN_INTERVAL = 0.2
 
 
-class Planning(Asker):
+class Planning(RequestSender):
     """Let the planner look at the zone and do what it decides."""
 
     channel = "planning"
@@ -132,8 +132,8 @@
             fencing=action.fencing,
         )
         call = self._engine.order(order)
-        self.ask(
-            Question(kind="order", subject=action.host),
+        self.send_request(
+            PendingRequest(kind="order", subject=action.host),
             method=call.method,
             address=action.address,
             path=call.path,
@@ -142,22 +142,20 @@
             progress_timeout=self._settings.progress_timeout,
         )
 
-    def answered(self, question: Question, answer: OutboundAnswer) -> None:
+    def answered(self, pending: PendingRequest, answer: OutboundAnswer) -> None:
         """Take the host's report of how it obeyed."""
         report = self._engine.host_report(
-            answer.body, host=question.subject, peer=answer.address
+            answer.body, host=pending.subject, peer=answer.address
         )
         if answer.status != 200 or report.is_error():
-            log_warning("order_refused", host=question.subject, status=answer.status)
+            log_warning("order_refused", host=pending.subject, status=answer.status)
             return
         message = HostReported(report=report.ok, asked_at=answer.sent_at)
         self.fire(host_reported(message), "fleet")
 
-    def failed(self, question: Question, failure: OutboundFailure) -> None:
+    def failed(self, pending: PendingRequest, failure: OutboundFailure) -> None:
         """Let the planner order again."""
-        log_warning(
-            "order_failed", host=question.subject, message=failure.error.message
-        )
+        log_warning("order_failed", host=pending.subject, message=failure.error.message)
 
 
 def demand_of(arrivals: Iterable[Arrival]) -> tuple[ModelDemand, ...]:
--- a/ryelever/protocol/host_messages.py
+++ b/ryelever/protocol/host_messages.py
@@ -13,10 +13,10 @@
 from expression import Error, Ok, Result
 from msgspec.structs import replace
 
-from ..coordination.evacuations import OperatorPlace
+from ..coordination.evacuations import OperatorPosition
 from ..coordination.host_heartbeats import HostHeartbeat
 from ..errors import Category, RyeleverError
-from ..state.keyed_record import KeyedRecord, ServerNews
+from ..state.keyed_record import KeyedRecord, ServerUpdates
 from ..state.observations import RateLimitRow, SuspicionRow
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
     "changes_path",
     "decode_datagram",
     "decode_servers",
-    "encode_news",
+    "encode_updates",
     "encode_relayed",
     "encode_servers",
     "encode_heartbeat",
@@ -51,8 +51,8 @@
 #: First byte of a datagram: what follows.  A form that changes gets another letter, so
 #: that hosts of two versions, as while one replaces the other, misread nothing.
 HEARTBEAT = b"s"
-NEWS = b"n"
-COMPRESSED_NEWS = b"z"
+UPDATES = b"n"
+COMPRESSED_UPDATES = b"z"
 RELAYED = b"r"
 
 #: Longest datagram, in bytes.
@@ -89,10 +89,10 @@
 
 #: Most datagrams of news.  While the groups of a large fleet form, some hundred come
 #: at once, of which a link drops what it can't carry; over a connection none is lost.
-MAX_NEWS_DATAGRAMS = 4
+MAX_UPDATE_DATAGRAMS = 4
 
 #: Most bytes of records in one datagram, and what a record takes beside key and value.
-MAX_NEWS = 7000
+MAX_UPDATE_BYTES = 7000
 RECORD_OVERHEAD = 32
 
 _FILE = resources.files(__package__.rpartition(".")[0]) / "schema/host_words.capnp"
@@ -178,8 +178,8 @@
         knowsServers=heartbeat.knows_servers,
         storeEra=heartbeat.store_era,
         evacuatedZones=list(heartbeat.evacuated_zones),
-        operatorEra=heartbeat.operator_place.era,
-        operatorOffset=heartbeat.operator_place.offset,
+        operatorEra=heartbeat.operator_position.era,
+        operatorOffset=heartbeat.operator_position.offset,
         still=list(heartbeat.still[:MAX_SERVERS]),
         plans=list(heartbeat.plans),
         reshapes=list(heartbeat.reshapes),
@@ -199,7 +199,7 @@
     return message.to_bytes_packed()
 
 
-def encode_news(news: ServerNews) -> list[bytes]:
+def encode_updates(updates: ServerUpdates) -> list[bytes]:
     """Return news as datagrams, each of which follows the one before.
 
     A domain that goes dark changes dozens of records at once.  Were they not passed on
@@ -208,77 +208,77 @@
     """
     parts: list[list[KeyedRecord]] = [[]]
     size = 0
-    for record in news.records:
+    for record in updates.records:
         size += _size(record)
-        if size > MAX_NEWS and parts[-1]:
+        if size > MAX_UPDATE_BYTES and parts[-1]:
             parts.append([])
             size = _size(record)
         parts[-1].append(record)
-    if len(parts) > MAX_NEWS_DATAGRAMS and not news.reported:
-        return [_news_datagram(replace(news, records=[], to_fetch=True))]
+    if len(parts) > MAX_UPDATE_DATAGRAMS and not updates.reported:
+        return [_updates_datagram(replace(updates, records=[], to_fetch=True))]
     datagrams = []
-    start = news.start
+    start = updates.start
     for index, records in enumerate(parts):
         is_last = index == len(parts) - 1
         # What a server said itself has no place in the log.
-        end = news.end if is_last or news.reported else records[-1].offset + 1
-        part = replace(news, start=start, end=end, records=records)
-        datagrams.append(_news_datagram(part))
+        end = updates.end if is_last or updates.reported else records[-1].offset + 1
+        part = replace(updates, start=start, end=end, records=records)
+        datagrams.append(_updates_datagram(part))
         start = end
     return datagrams
 
 
-def _news_datagram(news: ServerNews) -> bytes:
-    data = _encode_news(news)
+def _updates_datagram(updates: ServerUpdates) -> bytes:
+    data = _encode_updates(updates)
     if len(data) < COMPRESSED_FROM:
-        return NEWS + data
-    return COMPRESSED_NEWS + zlib.compress(data, COMPRESSION)
+        return UPDATES + data
+    return COMPRESSED_UPDATES + zlib.compress(data, COMPRESSION)
 
 
 def _size(record: KeyedRecord) -> int:
     return len(record.key) + len(record.value) + RECORD_OVERHEAD
 
 
-def encode_servers(news: ServerNews) -> bytes:
+def encode_servers(updates: ServerUpdates) -> bytes:
     """Return records of backend servers, as many as there are.
 
     They are alike, so that those of 925 servers take 54 KB in place of 420: a link of
     10 Mbit/s is free after 0.05 s, and dozens of hosts may ask one at the same moment.
     """
-    return zlib.compress(_encode_news(news), COMPRESSION)
-
-
-def _encode_news(news: ServerNews) -> bytes:
-    message = _schema.ServerNews.new_message(
-        reader=news.reader,
-        start=news.start,
-        end=news.end,
-        reported=news.reported,
-        passedOn=news.passed_on,
-        era=news.era,
-        toFetch=news.to_fetch,
+    return zlib.compress(_encode_updates(updates), COMPRESSION)
+
+
+def _encode_updates(updates: ServerUpdates) -> bytes:
+    message = _schema.ServerUpdates.new_message(
+        reader=updates.reader,
+        start=updates.start,
+        end=updates.end,
+        reported=updates.reported,
+        passedOn=updates.passed_on,
+        era=updates.era,
+        toFetch=updates.to_fetch,
     )
     message.records = [
         {"key": record.key, "value": record.value, "offset": record.offset}
-        for record in news.records
+        for record in updates.records
     ]
     return message.to_bytes_packed()
 
 
 def decode_datagram(
     data: bytes, *, peer: str
-) -> HostHeartbeat | ServerNews | RelayedDatagram | RyeleverError:
+) -> HostHeartbeat | ServerUpdates | RelayedDatagram | RyeleverError:
     """Read a datagram, or say why it is none of ours.
 
     No ``Result`` is made of it: that takes as long as reading the rest of a word, and
     dozens come a second.
     """
     try:
-        if data[:1] == NEWS:
-            return _decode_news(data[1:], max_words=MAX_WORDS)
-        if data[:1] == COMPRESSED_NEWS:
+        if data[:1] == UPDATES:
+            return _decode_updates(data[1:], max_words=MAX_WORDS)
+        if data[:1] == COMPRESSED_UPDATES:
             packed = _decompressed(data[1:], max_words=MAX_WORDS)
-            return _decode_news(packed, max_words=MAX_WORDS)
+            return _decode_updates(packed, max_words=MAX_WORDS)
         if data[:1] == HEARTBEAT:
             return _decode_heartbeat(data[1:])
         if data[:1] == RELAYED:
@@ -289,11 +289,11 @@
     return _unreadable(why, step="read_host_word", peer=peer)
 
 
-def decode_servers(data: bytes, *, peer: str) -> Result[ServerNews, RyeleverError]:
+def decode_servers(data: bytes, *, peer: str) -> Result[ServerUpdates, RyeleverError]:
     """Read the records of all backend servers that another host knows."""
     try:
         packed = _decompressed(data, max_words=MAX_SERVER_WORDS)
-        return Ok(_decode_news(packed, max_words=MAX_SERVER_WORDS))
+        return Ok(_decode_updates(packed, max_words=MAX_SERVER_WORDS))
     except (capnp.KjException, zlib.error) as error:
         return Error(_unreadable(str(error), step="read_servers", peer=peer))
 
@@ -318,11 +318,11 @@
     )
 
 
-def _decode_news(data: bytes, *, max_words: int) -> ServerNews:
-    message = _schema.ServerNews.from_bytes_packed(
+def _decode_updates(data: bytes, *, max_words: int) -> ServerUpdates:
+    message = _schema.ServerUpdates.from_bytes_packed(
         data, traversal_limit_in_words=max_words
     )
-    return ServerNews(
+    return ServerUpdates(
         reader=message.reader,
         start=message.start,
         end=message.end,
@@ -391,7 +391,7 @@
         knows_servers=message.knowsServers,
         store_era=message.storeEra,
         evacuated_zones=tuple(message.evacuatedZones),
-        operator_place=OperatorPlace(message.operatorEra, message.operatorOffset),
+        operator_position=OperatorPosition(message.operatorEra, message.operatorOffset),
         still=tuple(message.still),
         plans=tuple(message.plans),
         reshapes=tuple(message.reshapes),
--- a/ryelever/relay_application.py
+++ b/ryelever/relay_application.py
@@ -30,9 +30,9 @@
 from .fleet_directory import FleetDirectory
 from .group_planning import GroupPlanning
 from .host_exchange import HEARTBEAT_INTERVAL, HostExchange
-from .host_offers import HostOffers
 from .logs import log_event
 from .metrics import Metrics
+from .peer_requests import PeerRequests
 from .quarantine_log import QuarantineLog
 from .relay import Relay
 from .relay_metrics import RelayMetrics, register_gauges
@@ -213,7 +213,7 @@
             reload=reload,
         )
         self.timers = Timers()
-        self.offers = HostOffers(
+        self.peer_requests = PeerRequests(
             callers=self.peer_callers,
             document=self.fleet.document,
             servers=self.fleet.all_servers,
@@ -284,7 +284,7 @@
             table=self._table,
             demand=self._demand,
             reshaping=lambda: self._reshaping(zone),
-            list_is_silent=self.fleet.list_is_silent,
+            list_is_stale=self.fleet.list_is_stale,
             is_evacuated=self._is_evacuated,
             observe=lambda phase, seconds: self.metrics.observe(
                 "group_phase", seconds, phase=phase
@@ -314,7 +314,7 @@
             reads_store=self._reads_store(),
             store_era=self.store.era,
             evacuated_zones=tuple(sorted(self.evacuations.zones)),
-            operator_place=self.evacuations.as_of,
+            operator_position=self.evacuations.as_of,
             stopping=self.shutdown.stopping,
             configuration_version=self.fleet.version,
             configuration_size=len(self.fleet.document()),
@@ -331,7 +331,7 @@
         now = time.monotonic()
         self.store.note_era(heartbeat.store_era, peer=heartbeat.host, now=now)
         self.evacuations.heard(
-            heartbeat.evacuated_zones, as_of=heartbeat.operator_place
+            heartbeat.evacuated_zones, as_of=heartbeat.operator_position
         )
         self.fleet.note_version(heartbeat, now=now)
 
@@ -371,7 +371,7 @@
             self.planning,
             self.peers,
             self.peer_callers,
-            self.offers,
+            self.peer_requests,
             self.exchange,
             self.shutdown,
             FaultLog(metrics=self.metrics),
--- a/ryelever/asking.py
+++ b/ryelever/request_sender.py
@@ -12,13 +12,13 @@
 if TYPE_CHECKING:
     from .events import OutboundAnswer, OutboundFailure
 
-__all__ = ["Asker", "Question"]
+__all__ = ["RequestSender", "PendingRequest"]
 
 
 _JSON = (("Content-Type", "application/json"),)
 
 
-class Question:
+class PendingRequest:
     """Remember what an answer belongs to.
 
     Attributes
@@ -36,7 +36,7 @@
         self.subject = subject
 
 
-class Asker(BaseComponent):
+class RequestSender(BaseComponent):
     """Match answers with questions for a component that asks many.
 
     A subclass implements ``answered`` and ``failed``.
@@ -44,11 +44,11 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._questions_by_id: dict[str, Question] = {}
+        self._pending_by_id: dict[str, PendingRequest] = {}
 
-    def ask(
+    def send_request(
         self,
-        question: Question,
+        pending: PendingRequest,
         *,
         address: str,
         path: str,
@@ -70,21 +70,21 @@
             step=step,
             progress_timeout=progress_timeout,
         )
-        self._questions_by_id[request.id] = question
+        self._pending_by_id[request.id] = pending
         self.fire(outbound_send(request), "http_client")
 
-    def answered(self, question: Question, answer: OutboundAnswer) -> None:
+    def answered(self, pending: PendingRequest, answer: OutboundAnswer) -> None:
         """Take the answer to a question."""
         raise NotImplementedError
 
-    def failed(self, question: Question, failure: OutboundFailure) -> None:
+    def failed(self, pending: PendingRequest, failure: OutboundFailure) -> None:
         """Take note that a question got no answer."""
         raise NotImplementedError
 
     @handler("outbound_answer")
     def _on_outbound_answer(self, answer: OutboundAnswer) -> None:
-        self.answered(self._questions_by_id.pop(answer.id), answer)
+        self.answered(self._pending_by_id.pop(answer.id), answer)
 
     @handler("outbound_failed")
     def _on_outbound_failed(self, failure: OutboundFailure) -> None:
-        self.failed(self._questions_by_id.pop(failure.id), failure)
+        self.failed(self._pending_by_id.pop(failure.id), failure)
--- a/ryelever/schema/host_words.capnp
+++ b/ryelever/schema/host_words.capnp
@@ -62,7 +62,7 @@
 }
 
 # What one host has read of the backend servers' topic, for the others.
-struct ServerNews {
+struct ServerUpdates {
   start @0 :UInt64;
   end @1 :UInt64;
   records @2 :List(Record);
@@ -70,7 +70,7 @@
   reader @3 :Text;
   # True where the servers said so themselves, while the store was away.
   reported @4 :Bool;
-  # True where another host passes it on; such news go no further.
+  # True where another host passes it on; such updates go no further.
   passedOn @5 :Bool;
   # Era of the store that the offsets belong to.
   era @6 :UInt32;
--- a/ryelever/state/keyed_record.py
+++ b/ryelever/state/keyed_record.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-__all__ = ["KeyedRecord", "ServerNews"]
+__all__ = ["KeyedRecord", "ServerUpdates"]
 
 
 class KeyedRecord(msgspec.Struct, kw_only=True, frozen=True):
@@ -15,7 +15,7 @@
     offset: int
 
 
-class ServerNews(msgspec.Struct, kw_only=True, frozen=True):
+class ServerUpdates(msgspec.Struct, kw_only=True, frozen=True):
     """Hold a part of the backend servers' topic that one host has read.
 
     Attributes
@@ -48,4 +48,4 @@
     passed_on: bool = False
     era: int = 0
     to_fetch: bool = False
-    giver: str = ""
+    provider: str = ""
--- a/ryelever/store_client.py
+++ b/ryelever/store_client.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from .coordination.topic import TopicFollower, TopicNews
+    from .coordination.topic import TopicFollower, TopicUpdates
     from .protocol.keyed_log import LogCall
 
 __all__ = ["StoreAnswer", "StoreClient"]
@@ -61,7 +61,7 @@
     """Hold one topic that is followed, and who takes its news."""
 
     follower: TopicFollower
-    take: Callable[[TopicNews], None]
+    take: Callable[[TopicUpdates], None]
     call_id: str = ""
 
 
@@ -122,7 +122,7 @@
         return time.monotonic() - self._failing_since < LOST_AFTER
 
     def follow(
-        self, follower: TopicFollower, take: Callable[[TopicNews], None]
+        self, follower: TopicFollower, take: Callable[[TopicUpdates], None]
     ) -> None:
         """Read a topic from now on, and hand on what it brings."""
         self._followed.append(_Followed(follower=follower, take=take))
--- a/ryelever/streams.py
+++ b/ryelever/streams.py
@@ -11,7 +11,6 @@
 
 from circuits import handler
 
-from .asking import Asker, Question
 from .coordination.log_reader import (
     LONG_READ_WAIT,
     READ_WAIT,
@@ -26,6 +25,7 @@
 from .logs import log_event, log_warning
 from .protocol.log import decode_entry, encode_record, placement_stream
 from .protocol.outside import HTTP_LOG
+from .request_sender import PendingRequest, RequestSender
 from .state.claims import MAX_AHEAD
 from .state.records import Claim, Outcome, SnapshotPart
 
@@ -70,7 +70,7 @@
         return self.reader.caught_up_at
 
 
-class Streams(Asker):
+class Streams(RequestSender):
     """Keep the folds of this entry host current and append for its parts.
 
     Parameters
@@ -176,8 +176,8 @@
             wait_ms=int(read.wait * 1000),
             limit=read.limit,
         )
-        self.ask(
-            Question(kind="read", subject=stream.name),
+        self.send_request(
+            PendingRequest(kind="read", subject=stream.name),
             address=self._settings.log_address,
             path=call.path,
             step="read_log",
@@ -319,8 +319,8 @@
             for pending in batch
         ]
         call = self._log.append(stream.name, items)
-        self.ask(
-            Question(kind="append", subject=stream.name),
+        self.send_request(
+            PendingRequest(kind="append", subject=stream.name),
             method=call.method,
             address=self._settings.log_address,
             path=call.path,
@@ -331,11 +331,11 @@
 
     # Answers
 
-    def answered(self, question: Question, answer: OutboundAnswer) -> None:
+    def answered(self, pending: PendingRequest, answer: OutboundAnswer) -> None:
         """Take a page, or the answer to an append."""
-        stream = self.streams_by_name[question.subject]
+        stream = self.streams_by_name[pending.subject]
         now = time.monotonic()
-        if question.kind == "read":
+        if pending.kind == "read":
             self._take_answer(stream, answer)
         elif answer.status == 200:
             stream.writer.answered()
@@ -344,11 +344,11 @@
             log_warning("append_failed", stream=stream.name, status=answer.status)
             stream.writer.failed(now=now)
 
-    def failed(self, question: Question, failure: OutboundFailure) -> None:
+    def failed(self, pending: PendingRequest, failure: OutboundFailure) -> None:
         """Try again later."""
-        stream = self.streams_by_name[question.subject]
+        stream = self.streams_by_name[pending.subject]
         now = time.monotonic()
-        if question.kind == "read":
+        if pending.kind == "read":
             self._read_failed(stream, failure.error.message, now=now)
         else:
             stream.writer.failed(now=now)
--- a/tests/test_coordination/test_groups/group_fakes.py
+++ b/tests/test_coordination/test_groups/group_fakes.py
@@ -73,14 +73,14 @@
 
     def __init__(self, *server_ids: str, patience: float = 0.0) -> None:
         self.now = 0.0
-        self.list_is_silent = False
+        self.list_is_stale = False
         self.directory = Directory()
         self.lines: list[str] = []
         self.keeper = GroupKeeper(
             directory=self.directory,
             stall_time=STALL_TIME,
             join_limit=20.0,
-            list_is_silent=lambda: self.list_is_silent,
+            list_is_stale=lambda: self.list_is_stale,
             patience=patience,
             log=lambda event, **fields: self.lines.append(event),
         )
--- a/tests/test_coordination/test_groups/test_group_keeper.py
+++ b/tests/test_coordination/test_groups/test_group_keeper.py
@@ -330,7 +330,7 @@
     members.keeper.put(GROUP, now=0.0)
     members.answer(members.orders(0.0), OrderOutcome.BEGUN, now=0.0)
     assert members.orders(0.5) == []
-    members.list_is_silent = True
+    members.list_is_stale = True
     assert {order.server_id for order in members.orders(0.6)} == {"a", "b", "c"}
     assert members.orders(0.7) == []
     probes = members.orders(1.01)
--- a/tests/test_coordination/test_groups/test_orders_explored.py
+++ b/tests/test_coordination/test_groups/test_orders_explored.py
@@ -67,7 +67,7 @@
             stall_time=STALL_TIME,
             join_limit=20.0,
             patience=0.0,
-            list_is_silent=lambda: False,
+            list_is_stale=lambda: False,
             log=lambda event, **fields: None,
         )
         self.keeper.put(FORMER, now=0.0, decided_here=True)
--- a/tests/test_coordination/test_groups/test_zone_planner.py
+++ b/tests/test_coordination/test_groups/test_zone_planner.py
@@ -36,7 +36,7 @@
             self.directory.put(server(f"i{index}", domain=f"d{index // 8}"), now=0.0)
         self.others_reshape: set[str] = set()
         self.demand: dict[str, float] = {}
-        self.list_is_silent = False
+        self.list_is_stale = False
         services = [
             RoutedService(name=name, max_connections=100, engine=ENGINE)
             for name in services
@@ -57,7 +57,7 @@
             demand=lambda: self.demand,
             reshaping=lambda: self.others_reshape,
             observe=lambda phase, seconds: None,
-            list_is_silent=lambda: self.list_is_silent,
+            list_is_stale=lambda: self.list_is_stale,
             stall_time=STALL_TIME,
             since=0.0,
             log=lambda event, **fields: None,
@@ -523,11 +523,11 @@
         zone.directory.remove(f"i{index}", heard_at=0.0)
     zone.demand = {"large": 3.0, "small": 0.1}
     zone.planner.listed([small], end=1, now=0.0)
-    zone.list_is_silent = True
+    zone.list_is_stale = True
     for step in range(10, 40):
         zone.planner.look(now=step * 0.1)
     assert zone.planner.keeper.taken_apart() == []
-    zone.list_is_silent = False
+    zone.list_is_stale = False
     for step in range(40, 70):
         zone.planner.look(now=step * 0.1)
     assert [record.name for record in zone.planner.keeper.taken_apart()] == ["z-1"]
--- a/tests/test_coordination/test_host_words.py
+++ b/tests/test_coordination/test_host_words.py
@@ -7,7 +7,7 @@
 import pytest
 from msgspec.structs import replace
 
-from ryelever.coordination.evacuations import OperatorPlace
+from ryelever.coordination.evacuations import OperatorPosition
 from ryelever.coordination.host_heartbeats import (
     FREQUENT_HOSTS,
     HOST_SILENCE,
@@ -21,16 +21,16 @@
 from ryelever.coordination.zone_summary import zone_summary
 from ryelever.errors import RyeleverError
 from ryelever.protocol.host_messages import (
-    COMPRESSED_NEWS,
+    COMPRESSED_UPDATES,
     MAX_DATAGRAM,
-    MAX_NEWS_DATAGRAMS,
+    MAX_UPDATE_DATAGRAMS,
     decode_datagram,
     decode_servers,
     encode_heartbeat,
-    encode_news,
     encode_servers,
+    encode_updates,
 )
-from ryelever.state.keyed_record import KeyedRecord, ServerNews
+from ryelever.state.keyed_record import KeyedRecord, ServerUpdates
 from ryelever.state.observations import RateLimitRow, SuspicionRow
 
 
@@ -94,13 +94,13 @@
         KeyedRecord(key="i1", value=b"{}", offset=5),
         KeyedRecord(key="i2", value=b"", offset=6),
     ]
-    news = ServerNews(reader="a", start=4, end=9, records=records)
-    [datagram] = encode_news(news)
-    assert decode_datagram(datagram, peer="a") == news
-    [datagram] = encode_news(replace(news, records=[]))
+    updates = ServerUpdates(reader="a", start=4, end=9, records=records)
+    [datagram] = encode_updates(updates)
+    assert decode_datagram(datagram, peer="a") == updates
+    [datagram] = encode_updates(replace(updates, records=[]))
     assert decode_datagram(datagram, peer="a").end == 9
     many = [KeyedRecord(key="i", value=b"x" * 100, offset=5)] * 100
-    long = ServerNews(reader="a", start=4, end=9, records=many, reported=True)
+    long = ServerUpdates(reader="a", start=4, end=9, records=many, reported=True)
     # Over HTTP they have no bound.
     assert decode_servers(encode_servers(long), peer="a").ok == long
 
@@ -117,8 +117,10 @@
         KeyedRecord(key=f"i{offset}", value=b"x" * 500, offset=offset)
         for offset in range(10, 70, 2)
     ]
-    news = ServerNews(reader="a", start=9, end=75, records=records, reported=reported)
-    datagrams = encode_news(news)
+    updates = ServerUpdates(
+        reader="a", start=9, end=75, records=records, reported=reported
+    )
+    datagrams = encode_updates(updates)
     assert len(datagrams) > 1
     assert max(map(len, datagrams)) <= MAX_DATAGRAM
     parts = [decode_datagram(item, peer="a") for item in datagrams]
@@ -149,10 +151,10 @@
         KeyedRecord(key=f"i{offset}", value=value + b"%d}" % offset, offset=offset)
         for offset in range(100)
     ]
-    news = ServerNews(reader="a", start=0, end=100, records=records)
-    [datagram] = encode_news(news)
+    updates = ServerUpdates(reader="a", start=0, end=100, records=records)
+    [datagram] = encode_updates(updates)
     assert decode_datagram(datagram, peer="a").to_fetch
-    fetched = encode_servers(news)
+    fetched = encode_servers(updates)
     assert decode_servers(fetched, peer="a").ok.records == records
     link_bytes = 10e6 / 8
     assert 38 * (len(datagram) + len(fetched)) < 0.3 * link_bytes
@@ -164,15 +166,17 @@
         KeyedRecord(key=f"i{offset}", value=b"e" * 450, offset=offset)
         for offset in range(3, 50)
     ]
-    datagrams = encode_news(ServerNews(reader="a", start=3, end=50, records=records))
+    datagrams = encode_updates(
+        ServerUpdates(reader="a", start=3, end=50, records=records)
+    )
     parts = [decode_datagram(item, peer="a") for item in datagrams]
     assert [record for part in parts for record in part.records] == records
     assert [part.start for part in parts] == [3, *(part.end for part in parts[:-1])]
-    assert 1 < len(parts) <= MAX_NEWS_DATAGRAMS
+    assert 1 < len(parts) <= MAX_UPDATE_DATAGRAMS
 
 
 def test_a_short_datagram_unpacks_to_no_more_than_its_bound() -> None:
-    bomb = COMPRESSED_NEWS + zlib.compress(bytes(64 << 20), 9)
+    bomb = COMPRESSED_UPDATES + zlib.compress(bytes(64 << 20), 9)
     assert len(bomb) < 100_000
     assert isinstance(decode_datagram(bomb, peer="a"), RyeleverError)
 
@@ -534,6 +538,6 @@
         wanted_servers=("i1",),
         store_era=3,
         evacuated_zones=("x",),
-        operator_place=OperatorPlace(3, 17),
+        operator_position=OperatorPosition(3, 17),
     )
     assert decode_datagram(encode_heartbeat(heartbeat), peer="a") == heartbeat
--- a/tests/test_coordination/test_listing_turn.py
+++ b/tests/test_coordination/test_listing_schedule.py
@@ -5,11 +5,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ryelever.coordination.listing_turn import (
+from ryelever.coordination.listing_schedule import (
     LISTERS,
     TURN,
     UNANNOUNCED,
-    is_turn_to_list,
+    may_list,
 )
 
 
@@ -20,7 +20,7 @@
     due = [
         host
         for host in hosts
-        if is_turn_to_list(host, hosts, known_at=5.0, started_at=4.0, now=5.0 + waited)
+        if may_list(host, hosts, known_at=5.0, started_at=4.0, now=5.0 + waited)
     ]
     assert due[:LISTERS] == hosts[:LISTERS]
     assert len(due) <= LISTERS + waited / TURN + 1
@@ -29,7 +29,7 @@
 def test_a_host_lists_that_the_store_does_not_know() -> None:
     """Guard against a host that waits for the others where the store is away."""
     turns = [
-        is_turn_to_list("h", ["a"] * 9, known_at=None, started_at=4.0, now=4.0 + waited)
+        may_list("h", ["a"] * 9, known_at=None, started_at=4.0, now=4.0 + waited)
         for waited in (0.0, 0.9 * UNANNOUNCED, 1.1 * UNANNOUNCED)
     ]
     assert turns == [False, False, True]
--- a/tests/test_coordination/test_polling.py
+++ b/tests/test_coordination/test_polling.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from ryelever.asking import Question
 from ryelever.coordination.confirmation import Confirmations
 from ryelever.coordination.polling import (
     UNKNOWN_INTERVAL,
@@ -15,6 +14,7 @@
 from ryelever.events import HostReported, OutboundAnswer, host_reported
 from ryelever.fleet_watch import UNREACHABLE, FleetWatch
 from ryelever.protocol.json_codec import encode
+from ryelever.request_sender import PendingRequest
 from ryelever.settings import Settings
 from ryelever.state.fleet import HostReport
 from ryelever.state.observations import ReportRow
@@ -196,7 +196,7 @@
     answer = OutboundAnswer(
         id="q", status=status, headers={}, body=body, address="a:1", sent_at=9.0
     )
-    fleet.answered(Question(kind="report", subject="w1"), answer)
+    fleet.answered(PendingRequest(kind="report", subject="w1"), answer)
     assert list(fleet.confirmations.reports_by_host) == ([known] if known else [])
 
 
--- a/tests/test_coordination/test_readiness.py
+++ b/tests/test_coordination/test_readiness.py
@@ -4,15 +4,19 @@
 
 import pytest
 
-from ryelever.coordination.readiness import KNOWLEDGE_TIMEOUT, Knowledge, Readiness
+from ryelever.coordination.readiness import (
+    KNOWLEDGE_TIMEOUT,
+    Readiness,
+    ReadinessInputs,
+)
 
 
-def _knows(text: str, n_unheard: int = 0) -> Knowledge:
-    return Knowledge(
+def _knows(text: str, n_unreported: int = 0) -> ReadinessInputs:
+    return ReadinessInputs(
         has_configuration="c" in text,
         has_hosts="h" in text,
         has_placement="p" in text,
-        n_unheard=n_unheard,
+        n_unreported=n_unreported,
     )
 
 
@@ -45,7 +49,7 @@
 
 @pytest.mark.parametrize(("looks", "ready"), CASES.values(), ids=CASES)
 def test_ready_when_enough_is_known_to_serve(
-    looks: list[tuple[float, Knowledge]], ready: bool
+    looks: list[tuple[float, ReadinessInputs]], ready: bool
 ) -> None:
     """Start an entry host and look at what it tells the balancer.
 
@@ -54,5 +58,5 @@
     is sent requests, and has confirmed no group yet.  Cause: it said ready too early.
     """
     readiness = Readiness()
-    seen = [readiness.look(knowledge, now=at) for at, knowledge in looks]
+    seen = [readiness.look(inputs, now=at) for at, inputs in looks]
     assert seen[-1] is ready
--- a/tests/test_coordination/test_topic.py
+++ b/tests/test_coordination/test_topic.py
@@ -42,8 +42,11 @@
     follower = _follower()
     assert follower.next_call(now=0.0).path.startswith("/log-newest?")
     assert not follower.is_current
-    news = follower.answered(200, _listing("a", end=7), now=0.01).ok
-    assert (news.complete, [record.key for record in news.records]) == (True, ["a"])
+    updates = follower.answered(200, _listing("a", end=7), now=0.01).ok
+    assert (updates.complete, [record.key for record in updates.records]) == (
+        True,
+        ["a"],
+    )
     assert follower.is_current
     assert "from=7" in follower.next_call(now=0.02).path
     follower.answered(200, _page(9, 0, b"\x01bv2", b"\x01a"), now=0.1)
@@ -58,8 +61,8 @@
     ).ok.complete
     assert "after=a" in follower.next_call(now=0.1).path
     # What was appended meanwhile is read again from the first page's end.
-    news = follower.answered(200, _listing("b", end=9), now=0.1).ok
-    assert [record.key for record in news.records] == ["a", "b"]
+    updates = follower.answered(200, _listing("b", end=9), now=0.1).ok
+    assert [record.key for record in updates.records] == ["a", "b"]
     assert "from=7" in follower.next_call(now=0.2).path
 
 
@@ -194,8 +197,8 @@
     # An answer that crosses with what was passed on is not taken twice.
     assert follower.advance(start=7, end=8, era=0, yields=True, now=0.36)
     body = _page(9, 0, b"\x01av1", b"\x01bv2")
-    news = follower.answered(200, body, now=0.4).ok
-    assert [record.key for record in news.records] == ["b"]
+    updates = follower.answered(200, body, now=0.4).ok
+    assert [record.key for record in updates.records] == ["b"]
 
 
 def test_the_host_that_reads_for_all_goes_on_reading() -> None:
@@ -210,18 +213,18 @@
 
 def test_a_follower_that_rests_asks_only_when_it_is_poked() -> None:
     follower = _listed()
-    follower.rests = True
+    follower.suspended = True
     assert follower.next_call(now=1.0) is None
     follower.poke(now=1.0)
     assert "from=7" in follower.next_call(now=1.0).path
     follower.answered(200, _page(7, 0), now=1.1)
     assert follower.next_call(now=9.0) is None
-    follower.rests = False
+    follower.suspended = False
     assert "from=7" in follower.next_call(now=9.0).path
 
 
 def test_a_follower_that_rests_lists_first() -> None:
-    follower = _follower(rests=True)
+    follower = _follower(suspended=True)
     assert follower.next_call(now=0.0).path.startswith("/log-newest?")
 
 
@@ -238,11 +241,11 @@
     """Guard against records that took the offsets of lost ones and are never read."""
     follower = _begun(era=1)
     # The log lost three records and got five others since.
-    news = follower.answered(200, _page(end=9, first=0), era=2, now=0.5)
-    assert news.ok.records == []
+    updates = follower.answered(200, _page(end=9, first=0), era=2, now=0.5)
+    assert updates.ok.records == []
     assert "log-newest" in follower.next_call(now=0.6).path
-    news = follower.answered(200, _listing(end=9), era=2, now=0.7)
-    assert news.ok.complete
+    updates = follower.answered(200, _listing(end=9), era=2, now=0.7)
+    assert updates.ok.complete
     assert (follower.era, follower.offset) == (2, 9)
 
 
@@ -261,8 +264,8 @@
 def test_an_answer_of_an_earlier_era_is_dropped() -> None:
     """Guard against an answer that was under way while the store came back."""
     follower = _begun(era=2)
-    news = follower.answered(200, _page(end=9, first=0), era=1, now=0.5)
-    assert news.ok.records == []
+    updates = follower.answered(200, _page(end=9, first=0), era=1, now=0.5)
+    assert updates.ok.records == []
     assert "from=7" in follower.next_call(now=0.6).path
 
 
--- a/tests/test_fleet_directory.py
+++ b/tests/test_fleet_directory.py
@@ -15,16 +15,16 @@
     HostHeartbeat,
     HostHeartbeats,
 )
-from ryelever.coordination.listing_turn import LISTERS, TURN, UNANNOUNCED
+from ryelever.coordination.listing_schedule import LISTERS, TURN, UNANNOUNCED
 from ryelever.coordination.removals import ENTRIES_BACK, OUTAGE
-from ryelever.coordination.said_records import REPORTED_FOR
-from ryelever.coordination.server_reading import RESTS_WITHOUT_NEWS
-from ryelever.coordination.topic import TopicNews
+from ryelever.coordination.reported_records import REPORTED_FOR
+from ryelever.coordination.server_reading import MAX_UPDATE_SILENCE
+from ryelever.coordination.topic import TopicUpdates
 from ryelever.events import OutboundAnswer, OutboundRequest
 from ryelever.fleet_directory import (
     ENTRIES_WRITTEN_AGAIN,
-    LIST_SILENCE,
-    MAX_GIVEN,
+    LIST_STALE_AFTER,
+    MAX_FETCHED_CONFIGURATION,
     MAX_LOGGED,
     SERVERS_INTERVAL,
     FleetDirectory,
@@ -36,14 +36,14 @@
     CONFIGURATION_PATH,
     SERVERS_PATH,
     decode_datagram,
-    encode_news,
     encode_servers,
+    encode_updates,
     read_changes_path,
 )
 from ryelever.protocol.keyed_log import LogCall
 from ryelever.relay_settings import RelaySettings
 from ryelever.state.directory import Directory, GroupState
-from ryelever.state.keyed_record import KeyedRecord, ServerNews
+from ryelever.state.keyed_record import KeyedRecord, ServerUpdates
 from ryelever.store_client import StoreAnswer, StoreClient
 
 
@@ -102,27 +102,29 @@
             evacuations=Evacuations(log=lambda event, **fields: None),
             own_address="127.0.0.1:2",
         )
-        self.passed_on: list[ServerNews] = []
+        self.passed_on: list[ServerUpdates] = []
         self.asked: list[OutboundRequest] = []
         self.fleet.fire = self._keep
         self.fleet.fetch.fire = self._keep
 
     def _keep(self, event: object, *channels: str) -> None:
-        self.passed_on += [item for item in event.args if isinstance(item, ServerNews)]
+        self.passed_on += [
+            item for item in event.args if isinstance(item, ServerUpdates)
+        ]
         self.asked += [item for item in event.args if isinstance(item, OutboundRequest)]
 
     def listed(self, *records: KeyedRecord, end: int) -> None:
         follower = self.fleet.servers
         follower.next_call(now=time.monotonic())
         follower.answered(200, b'{"items": [], "more": false, "end": %d}' % end, now=0)
-        self.fleet._take_servers(TopicNews(records=list(records), complete=True))
+        self.fleet._take_servers(TopicUpdates(records=list(records), complete=True))
 
-    def read(self, *records: KeyedRecord, end: int) -> ServerNews:
+    def read(self, *records: KeyedRecord, end: int) -> ServerUpdates:
         """Take what a read has brought; return what is passed on."""
         start = self.fleet.servers.offset
         self.fleet.servers.offset = end
         self.fleet.servers.answered_at = time.monotonic()
-        self.fleet._take_servers(TopicNews(records=list(records), start=start))
+        self.fleet._take_servers(TopicUpdates(records=list(records), start=start))
         return self.passed_on[-1]
 
 
@@ -146,8 +148,8 @@
     reader, other = Host("a"), Host("b")
     for host in (reader, other):
         host.listed(_put("i1", 0), end=1)
-    news = reader.read(_put("i1", 1, state="draining"), _put("i2", 2), end=3)
-    other.fleet._on_passed_on(news)
+    updates = reader.read(_put("i1", 1, state="draining"), _put("i2", 2), end=3)
+    other.fleet._on_passed_on(updates)
     assert other.directory.by_id.keys() == {"i1", "i2"}
     assert other.directory.by_id["i1"].draining
 
@@ -197,16 +199,16 @@
     assert host.fleet.version == 7
 
 
-def _answer_of(giver: Host, request: OutboundRequest) -> OutboundAnswer:
+def _answer_of(provider: Host, request: OutboundRequest) -> OutboundAnswer:
     place = read_changes_path(request.path)
-    fleet = giver.fleet
-    news = fleet.changes_since(*place) if place else fleet.all_servers()
+    fleet = provider.fleet
+    updates = fleet.changes_since(*place) if place else fleet.all_servers()
     return OutboundAnswer(
         id=request.id,
         address=request.address,
-        status=200 if news else 404,
+        status=200 if updates else 404,
         headers={},
-        body=encode_servers(news) if news else b"",
+        body=encode_servers(updates) if updates else b"",
         sent_at=0.0,
     )
 
@@ -274,10 +276,10 @@
     reader, other = Host("a"), Host("c")
     for host in (reader, other):
         host.listed(_put("i1", 0), end=1)
-    news = reader.read(*(_put(f"i{n}", n) for n in range(1, 900)), end=900)
-    [datagram] = encode_news(news)
+    updates = reader.read(*(_put(f"i{n}", n) for n in range(1, 900)), end=900)
+    [datagram] = encode_updates(updates)
     told = decode_datagram(datagram, peer="10.0.0.9:7000")
-    other.fleet._on_passed_on(replace(told, giver="10.0.0.9:7000"))
+    other.fleet._on_passed_on(replace(told, provider="10.0.0.9:7000"))
     [asked] = other.asked
     assert asked.address == "10.0.0.9:7000"
     answer = _answer_of(reader, asked)
@@ -311,18 +313,18 @@
 
 def test_hosts_that_missed_the_same_read_the_store(clock: Clock) -> None:
     """Guard against hosts that wait for each other while servers change unseen."""
-    reader, giver, other = Host("a"), Host("b"), Host("c")
-    for host in (reader, giver, other):
+    reader, provider, other = Host("a"), Host("b"), Host("c")
+    for host in (reader, provider, other):
         host.listed(_put("i1", 0), end=1)
     _hear(other, _heartbeat_of("b"))
-    for host in (giver, other):
+    for host in (provider, other):
         host.fleet._on_passed_on(reader.read(_put("i1", 1), end=2))
     reader.read(_put("i2", 2), end=3)
     call = None
     for offset in range(3, 9):
         other.fleet._on_passed_on(reader.read(_put("i3", offset), end=offset + 1))
         for asked in other.asked:
-            other.fleet.fetch._on_answer(_answer_of(giver, asked))
+            other.fleet.fetch._on_answer(_answer_of(provider, asked))
         other.asked.clear()
         call = call or other.fleet.servers.next_call(now=clock.now)
         clock.now += SERVERS_INTERVAL
@@ -331,15 +333,15 @@
 
 def test_what_one_host_has_forgotten_is_not_given(clock: Clock) -> None:
     """Guard against a host that takes a part for all that it missed."""
-    giver = Host("a")
-    giver.listed(_put("i1", 0), end=5)
-    giver.read(_put("i2", 5), end=6)
-    assert giver.fleet.changes_since(4, 0) is None
-    assert giver.fleet.changes_since(5, 1) is None
-    assert giver.fleet.changes_since(6, 0) is None
-    assert giver.fleet.changes_since(7, 0) is None
-    giver.listed(_put("i1", 0), end=9)
-    given = giver.fleet.changes_since(5, 0)
+    provider = Host("a")
+    provider.listed(_put("i1", 0), end=5)
+    provider.read(_put("i2", 5), end=6)
+    assert provider.fleet.changes_since(4, 0) is None
+    assert provider.fleet.changes_since(5, 1) is None
+    assert provider.fleet.changes_since(6, 0) is None
+    assert provider.fleet.changes_since(7, 0) is None
+    provider.listed(_put("i1", 0), end=9)
+    given = provider.fleet.changes_since(5, 0)
     assert given is None or given.end == 6
 
 
@@ -354,15 +356,15 @@
     host.fleet._store.passed_on_at = clock.now
     began = clock.now
     call = None
-    while call is None and clock.now < began + 2 * RESTS_WITHOUT_NEWS:
+    while call is None and clock.now < began + 2 * MAX_UPDATE_SILENCE:
         clock.now += 0.1
         sequence = round(10 * clock.now)
         _hear(host, *(_heartbeat_of(name, sequence=sequence) for name in ("a", "b")))
-        host.fleet._rest_or_read(now=clock.now)
+        host.fleet._suspend_or_read(now=clock.now)
         call = host.fleet.servers.next_call(now=clock.now)
     waited = clock.now - began
     assert (call is not None) is is_reachable
-    assert not is_reachable or waited == pytest.approx(RESTS_WITHOUT_NEWS, abs=0.21)
+    assert not is_reachable or waited == pytest.approx(MAX_UPDATE_SILENCE, abs=0.21)
 
 
 def _start_among(host: Host, others: list[str]) -> None:
@@ -376,30 +378,30 @@
     fleet._take_announced(StoreAnswer(status=200))
     fleet.hosts.next_call(now=time.monotonic())
     fleet.hosts.answered(200, b'{"items": [], "more": false, "end": 9}', now=1001.0)
-    fleet._take_hosts(TopicNews(records=[], complete=True))
+    fleet._take_hosts(TopicUpdates(records=[], complete=True))
 
 
 def test_a_host_that_starts_among_many_lists_nothing(clock: Clock) -> None:
     """Guard against a start of all hosts that fills the store's reads for seconds."""
-    giver, other = Host("a"), Host("x")
-    giver.listed(_put("i1", 0), _put("i2", 1), end=2)
-    giver.fleet.servers.answered_at = clock.now
+    provider, other = Host("a"), Host("x")
+    provider.listed(_put("i1", 0), _put("i2", 1), end=2)
+    provider.fleet.servers.answered_at = clock.now
     _start_among(other, [f"h{index}" for index in range(20)])
     assert other.fleet.servers.next_call(now=clock.now) is None
     _hear(other, _heartbeat_of("h3"))
     other.fleet._on_tick()
     [asked] = [ask for ask in other.asked if ask.path == SERVERS_PATH]
     # One that gives the list to others refuses; the next one is asked.
-    busy = replace(_answer_of(giver, asked), status=503, body=b"")
+    busy = replace(_answer_of(provider, asked), status=503, body=b"")
     other.fleet.fetch._on_answer(busy)
     clock.now += 0.1
     other.fleet._on_tick()
     asked = [ask for ask in other.asked if ask.path == SERVERS_PATH][-1]
-    other.fleet.fetch._on_answer(_answer_of(giver, asked))
+    other.fleet.fetch._on_answer(_answer_of(provider, asked))
     assert other.directory.by_id.keys() == {"i1", "i2"}
     # What the servers write next counts at once.
     group = {"name": "g", "epoch": 3, "rank": 0, "state": "open"}
-    other.fleet._on_passed_on(giver.read(_put("i2", 2, group=group), end=3))
+    other.fleet._on_passed_on(provider.read(_put("i2", 2, group=group), end=3))
     assert other.directory.by_id["i2"].group is not None
 
 
@@ -436,8 +438,8 @@
     Sequence: hosts are restarted in turn while the store is away for eight seconds.
     Cause: what all others know could come from the store only.
     """
-    giver, other = Host("a"), Host("b")
-    giver.listed(_put("i1", 0), _put("i2", 1), end=2)
+    provider, other = Host("a"), Host("b")
+    provider.listed(_put("i1", 0), _put("i2", 1), end=2)
     heartbeat = _heartbeat_of("a", reads_store=False, knows_servers=False)
     other.fleet._heartbeats.take(heartbeat, address="10.0.0.7:7000", now=clock.now)
     other.fleet._on_tick()
@@ -447,13 +449,13 @@
     other.fleet._on_tick()
     [asked] = [ask for ask in other.asked if ask.path == SERVERS_PATH]
     assert asked.address == "10.0.0.7:7000"
-    other.fleet.fetch._on_answer(_answer_of(giver, asked))
+    other.fleet.fetch._on_answer(_answer_of(provider, asked))
     assert other.directory.by_id.keys() == {"i1", "i2"}
     assert other.fleet.servers.is_current
     # The listing that was asked for before answers late, and says nothing of i1.
     late = b'{"items": [], "more": false, "end": 1}'
-    news = other.fleet.servers.answered(200, late, now=clock.now).ok
-    other.fleet._take_servers(news)
+    updates = other.fleet.servers.answered(200, late, now=clock.now).ok
+    other.fleet._take_servers(updates)
     assert other.directory.by_id.keys() == {"i1", "i2"}
     assert other.fleet.servers.offset == 2
     assert "&from=2" in other.fleet.servers.next_call(now=clock.now + 1).path
@@ -479,8 +481,8 @@
     since = host.read(joined, end=13)
     assert host.directory.by_id["i2"].group is not None
     # A host that listed earlier hears of all that has changed since then.
-    for news in (before, since):
-        other.fleet._on_passed_on(news)
+    for updates in (before, since):
+        other.fleet._on_passed_on(updates)
     assert other.directory.by_id["i2"].group is not None
     # What comes later is taken as ever.
     host.read(_put("i2", 14), end=15)
@@ -543,11 +545,11 @@
         host.fleet.servers.answered_at = clock.now
     planner.fleet._on_reported("i1", REPORT)
     assert planner.directory.by_id["i1"].group is None
-    clock.now += LIST_SILENCE + 0.1
+    clock.now += LIST_STALE_AFTER + 0.1
     planner.fleet._on_reported("i1", REPORT)
-    news = planner.passed_on[-1]
-    assert news.reported
-    other.fleet._on_passed_on(news)
+    updates = planner.passed_on[-1]
+    assert updates.reported
+    other.fleet._on_passed_on(updates)
     for host in (planner, other):
         found = host.directory.by_id["i1"]
         assert (found.group.state, found.slots) == (GroupState.OPEN, 7)
@@ -563,7 +565,7 @@
     for host in (reader, other):
         host.listed(_put("i1", 0), end=1)
     reader.fleet.servers.answered_at = clock.now
-    clock.now += LIST_SILENCE + 0.1
+    clock.now += LIST_STALE_AFTER + 0.1
     reader.fleet._on_reported("i1", REPORT)
     other.fleet.servers.answered_at = clock.now
     other.fleet._on_passed_on(reader.passed_on[-1])
@@ -574,7 +576,7 @@
 def test_reports_that_make_no_sense_change_nothing(clock: Clock, report: bytes) -> None:
     host = Host("a")
     host.listed(_put("i1", 0), end=1)
-    clock.now += LIST_SILENCE + 0.1
+    clock.now += LIST_STALE_AFTER + 0.1
     host.fleet._on_reported("i1", report)
     host.fleet._on_reported("unknown", REPORT)
     assert host.directory.by_id["i1"].group is None
@@ -596,7 +598,7 @@
     planner, other = Host("a"), Host("b")
     for host in (planner, other):
         host.listed(_put("i1", 0), end=1)
-    clock.now += LIST_SILENCE + 0.1
+    clock.now += LIST_STALE_AFTER + 0.1
     planner.fleet._on_reported("i1", REPORT)
     other.fleet._on_passed_on(planner.passed_on[-1])
     clock.now += 5.0
@@ -632,7 +634,7 @@
     planner, other = Host("a"), Host("b")
     for host in (planner, other):
         host.listed(_put("i1", 0, born=1000), end=1)
-    clock.now += LIST_SILENCE + 0.1
+    clock.now += LIST_STALE_AFTER + 0.1
     said = REPORT.replace(b'"busy"', b'"born": 2000, "busy"')
     planner.fleet._on_reported("i1", said)
     other.fleet._on_passed_on(planner.passed_on[-1])
@@ -676,7 +678,7 @@
 def test_a_server_that_is_gone_after_an_outage_is_gone(clock: Clock) -> None:
     host = Host("a")
     host.listed(_put("i1", 0), end=1)
-    clock.now += LIST_SILENCE + 0.1
+    clock.now += LIST_STALE_AFTER + 0.1
     host.fleet._on_reported("i1", REPORT)
     clock.now += OUTAGE + ENTRIES_BACK
     host.read(_put("i1", 1), _gone("i1", 2), end=3)
@@ -693,7 +695,7 @@
     follower = host.fleet.configuration
     follower.next_call(now=0.0)
     follower.answered(200, b'{"items": [], "more": false, "end": 0}', now=0.0)
-    follower.rests = True
+    follower.suspended = True
     return host
 
 
@@ -718,7 +720,7 @@
     ("zone", "size", "asks_host", "asks_store"),
     [
         ("z", 100, True, False),
-        ("z", MAX_GIVEN + 1, False, True),
+        ("z", MAX_FETCHED_CONFIGURATION + 1, False, True),
         ("y", 100, False, False),
     ],
     ids=["of its zone", "too long for one link", "of another zone"],
@@ -769,12 +771,12 @@
     follower.answered(200, b'{"items": [], "more": false, "end": 0}', now=clock.now)
     clock.now += 0.5
     host.fleet._take_announced(StoreAnswer(status=200))
-    host.fleet._rest_or_read(now=clock.now)
-    assert not follower.rests
+    host.fleet._suspend_or_read(now=clock.now)
+    assert not follower.suspended
     clock.now += 0.1
     assert follower.next_call(now=clock.now) is not None
-    host.fleet._rest_or_read(now=clock.now)
-    assert follower.rests
+    host.fleet._suspend_or_read(now=clock.now)
+    assert follower.suspended
 
 
 def _come_back(
@@ -844,9 +846,9 @@
     host = Host("a")
     host.listed(_put("i1", 0), end=1)
     _come_back(host, end=0)
-    news = host.read(_put("i1", 0), end=1)
-    assert [record.key for record in news.records] == ["i1"]
-    assert news.era == 2
+    updates = host.read(_put("i1", 0), end=1)
+    assert [record.key for record in updates.records] == ["i1"]
+    assert updates.era == 2
     clock.now += ENTRIES_WRITTEN_AGAIN + 0.1
     assert host.read(_put("i1", 1), end=2).records == []
 
@@ -873,12 +875,12 @@
     host = Host("a")
     host.fleet.configuration.offset = 4
     listed = [_operators("evacuate/x", b"{}", 3)]
-    host.fleet._take_configuration(TopicNews(records=listed, complete=True))
+    host.fleet._take_configuration(TopicUpdates(records=listed, complete=True))
     evacuations = host.fleet._evacuations
     assert evacuations.zones == {"x"}
     read = [_operators("evacuate/y", b"{}", 4), _operators("evacuate/x", b"", 5)]
-    host.fleet._take_configuration(TopicNews(records=read, start=4))
+    host.fleet._take_configuration(TopicUpdates(records=read, start=4))
     assert evacuations.zones == {"y"}
     # What another host has told of already comes late.
-    host.fleet._take_configuration(TopicNews(records=read[:1], start=4))
+    host.fleet._take_configuration(TopicUpdates(records=read[:1], start=4))
     assert (evacuations.zones, evacuations.as_of.offset) == ({"y"}, 6)
--- a/tests/test_fleet_watch.py
+++ b/tests/test_fleet_watch.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from ryelever.asking import Question
 from ryelever.coordination.confirmation import Confirmations
 from ryelever.events import OutboundAnswer, OutboundRequest
 from ryelever.fleet_watch import FleetWatch
+from ryelever.request_sender import PendingRequest
 from ryelever.settings import Settings
 
 TAG = '"7"'
@@ -94,7 +94,7 @@
 ) -> None:
     watch = Watch()
     for each in answers:
-        watch.answered(Question(kind="list"), each)
+        watch.answered(PendingRequest(kind="list"), each)
     watch._ask_list(now=100.0)
     assert watch.conditions() == [condition]
     assert watch.hosts_by_name.keys() == known
--- a/tests/test_host_exchange.py
+++ b/tests/test_host_exchange.py
@@ -22,7 +22,7 @@
     HostExchange,
 )
 from ryelever.state.directory import Directory
-from ryelever.state.keyed_record import KeyedRecord, ServerNews
+from ryelever.state.keyed_record import KeyedRecord, ServerUpdates
 
 from .test_fleet_directory import settings_of
 
@@ -37,7 +37,7 @@
     ----------
     n_sent : int
         Datagrams that were delivered.
-    taken_by_host : dict of str to list of ServerNews
+    taken_by_host : dict of str to list of ServerUpdates
         What each host took for its own list.
     lost : str
         A host that gets nothing any more.
@@ -51,7 +51,7 @@
         self.n_sent_by_host: Counter[str] = Counter()
         self.lost = ""
         self.still_by_host: dict[str, tuple[str, ...]] = {}
-        self.taken_by_host: dict[str, list[ServerNews]] = {}
+        self.taken_by_host: dict[str, list[ServerUpdates]] = {}
         self.exchanges_by_host: dict[str, HostExchange] = {}
         self._waiting: list[tuple[str, Datagram]] = []
         for host in zone_by_host:
@@ -120,8 +120,8 @@
     """Let a host read something; return how many datagrams come of it."""
     before = network.n_sent
     records = [KeyedRecord(key="i1", value=b"{}", offset=4)]
-    news = ServerNews(reader=reader, start=4, end=5, records=records)
-    network.exchanges_by_host[reader]._on_server_news(news)
+    updates = ServerUpdates(reader=reader, start=4, end=5, records=records)
+    network.exchanges_by_host[reader]._on_server_updates(updates)
     network.deliver(at_most=before + 1000)
     return network.n_sent - before
 
@@ -158,7 +158,7 @@
     network.taken_by_host = {host: [] for host in zone_by_host}
     _read(network, "x000")
     assert max(network.n_sent_by_host.values()) <= MAX_RECEIVERS + 1
-    taken = {host: len(news) for host, news in network.taken_by_host.items()}
+    taken = {host: len(updates) for host, updates in network.taken_by_host.items()}
     assert taken == dict.fromkeys(zone_by_host, 1) | {"x000": 0}
 
 
