--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -163,7 +163,7 @@
         )
     wait_until(
         lambda: all(
-            entry.n_whole_groups() == n_groups
+            entry.n_complete_groups() == n_groups
             for entry in fleet.entries_by_name.values()
         ),
         what="all groups are whole",
--- a/benchmarks/day_of_faults_baseline.py
+++ b/benchmarks/day_of_faults_baseline.py
@@ -41,14 +41,14 @@
         self._decisions = Decisions(stream=stream, new_id=new_id, timeout=3.0)
         self._orders = Orders(limits=limits)
         self._read_at = 0.0
-        self._was_whole: set[str] = set()
+        self._was_complete: set[str] = set()
 
     def tick(self, view: PlannerView, *, now: float) -> list[Action]:
         """Decide, if a read has just come back."""
         actions = self.lease.tick(view.placement, wanted=True, now=now)
         for group in view.live_groups:
-            if view.confirmations.is_whole(group, now=now):
-                self._was_whole.add(group.name)
+            if view.confirmations.is_complete(group, now=now):
+                self._was_complete.add(group.name)
         if now < self._read_at + READ_INTERVAL:
             return actions
         self._read_at = now
@@ -66,8 +66,8 @@
         silent = any(
             view.confirmations.fresh(host, now=now) is None for host in group.members
         )
-        whole = view.confirmations.is_whole(group, now=now)
-        if silent or (group.name in self._was_whole and not whole):
+        whole = view.confirmations.is_complete(group, now=now)
+        if silent or (group.name in self._was_complete and not whole):
             record = GroupDissolved(
                 group=group.name, lease=view.placement.lease.tenure, reason="lost"
             )
--- a/benchmarks/retry.py
+++ b/benchmarks/retry.py
@@ -152,7 +152,7 @@
                 seen.n_refused += not is_poison
                 continue
             target = router.choose(arrival, tried=tried, now=now)
-            if target is None and router.waits_its_turn(arrival, now=now):
+            if target is None and router.must_wait_for_suspects(arrival, now=now):
                 retries.append((now + 0.1, number, arrival, tried))
                 continue
             if target is None:
--- a/benchmarks/routing_trials.py
+++ b/benchmarks/routing_trials.py
@@ -32,7 +32,7 @@
         self._number += 1
         return left[self._number % len(left)]
 
-    def waits_its_turn(self, arrival: Arrival, *, now: float) -> bool:
+    def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
         """Keep nobody apart."""
         return False
 
@@ -82,7 +82,7 @@
                 return by_name[name]
         return None
 
-    def waits_its_turn(self, arrival: Arrival, *, now: float) -> bool:
+    def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
         """Keep nobody apart."""
         return False
 
@@ -152,9 +152,9 @@
         if len(self._places_by_key) > 4096:
             self._places_by_key.popitem(last=False)
 
-    def waits_its_turn(self, arrival: Arrival, *, now: float) -> bool:
+    def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
         """Ask the router behind."""
-        return self._router.waits_its_turn(arrival, now=now)
+        return self._router.must_wait_for_suspects(arrival, now=now)
 
     def is_lost(self, target: Target, arrival: Arrival, *, now: float) -> bool:
         """Wait for the attempt to fail."""
--- a/benchmarks/speed.py
+++ b/benchmarks/speed.py
@@ -181,7 +181,7 @@
         {"models": {"notes": notes}, "client_accounts": {"pawroute": account}}
     )
     entry = fleet.start_entry("e1", zone="z", max_request_timeout=600.0)
-    wait_until(lambda: entry.n_whole_groups() >= N_ENGINES, what="groups are whole")
+    wait_until(lambda: entry.n_complete_groups() >= N_ENGINES, what="groups are whole")
     fleet.publish(
         {
             "models": {"notes": notes, "fat": fat},
@@ -189,7 +189,7 @@
         },
         base_version=entry.dump()["configuration"]["version"],
     )
-    wait_until(lambda: entry.n_whole_groups() > N_ENGINES, what="fat group is whole")
+    wait_until(lambda: entry.n_complete_groups() > N_ENGINES, what="fat group is whole")
     state = entry.dump()
     groups = [group for group in state["groups"] if group["model"] == "notes"]
     for group in groups:
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -96,7 +96,7 @@
         )
     ]
     wait_until(
-        lambda: all(entry.n_whole_groups() == 3 for entry in entries),
+        lambda: all(entry.n_complete_groups() == 3 for entry in entries),
         what="three replica groups are whole",
     )
     for group in entries[0].dump()["groups"]:
@@ -125,7 +125,7 @@
     return tokens
 
 
-def _is_whole(tokens: list[str]) -> bool:
+def _is_complete(tokens: list[str]) -> bool:
     positions = [int(token.rpartition("-")[2]) for token in tokens]
     return positions == list(range(N_TOKENS))
 
@@ -133,7 +133,7 @@
 def _chat(fleet: Fleet, entry: EntryHost) -> bool:
     tokens = _stream(fleet, entry)
     print(f"streamed {len(tokens)} tokens through {entry.address}")
-    return _is_whole(tokens)
+    return _is_complete(tokens)
 
 
 def _book(fleet: Fleet, entries: list[EntryHost]) -> bool:
@@ -175,7 +175,7 @@
 
     tokens = _stream(fleet, entry, kill_member)
     print(f"the stream went on to {len(tokens)} tokens")
-    return bool(killed) and _is_whole(tokens)
+    return bool(killed) and _is_complete(tokens)
 
 
 def _busy_member(fleet: Fleet, entry: EntryHost) -> str:
--- a/ryelever/caller_answers.py
+++ b/ryelever/caller_answers.py
@@ -26,8 +26,8 @@
     from collections.abc import Callable
 
     from .coordination.actions import (
+        AnswerComplete,
         AnswerService,
-        AnswerWhole,
         Arrival,
         StreamFailed,
         StreamFinished,
@@ -121,7 +121,7 @@
 
     # Whole answers
 
-    def answer_whole(self, action: AnswerWhole) -> None:
+    def answer_complete(self, action: AnswerComplete) -> None:
         """Answer a chat request whole."""
         arrival = self.arrivals_by_id[action.request_id]
         body = chat_completion(
--- a/ryelever/coordination/actions.py
+++ b/ryelever/coordination/actions.py
@@ -11,7 +11,7 @@
     "Action",
     "AnswerError",
     "AnswerService",
-    "AnswerWhole",
+    "AnswerComplete",
     "AppendRecord",
     "Arrival",
     "CancelAttempt",
@@ -139,7 +139,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class AnswerWhole:
+class AnswerComplete:
     """End a chat request with its whole answer."""
 
     request_id: str
@@ -228,7 +228,7 @@
     SendAttempt
     | CancelAttempt
     | AnswerError
-    | AnswerWhole
+    | AnswerComplete
     | AnswerService
     | StreamTokens
     | StreamFinished
--- a/ryelever/coordination/admission/fair.py
+++ b/ryelever/coordination/admission/fair.py
@@ -6,7 +6,7 @@
 import itertools
 from typing import TYPE_CHECKING
 
-from ..limits import WholeLimits
+from ..limits import FullLimits
 from .accounts import Accounts
 from .admission import Admitted, Queued
 from .capacity import pool_of
@@ -61,7 +61,7 @@
         max_waiting: int = 2000,
         max_waiting_per_account: int = 500,
     ) -> None:
-        self._accounts = Accounts(declared=account, limits=limits or WholeLimits())
+        self._accounts = Accounts(declared=account, limits=limits or FullLimits())
         self._max_waiting = max_waiting
         self._max_waiting_per_account = max_waiting_per_account
         self._pools = Pools(capacity=capacity)
--- a/ryelever/coordination/confirmation.py
+++ b/ryelever/coordination/confirmation.py
@@ -78,7 +78,7 @@
             and report.fencing == group.fencing
         )
 
-    def is_whole(self, group: Group, *, now: float) -> bool:
+    def is_complete(self, group: Group, *, now: float) -> bool:
         """Tell whether the group may serve: every member confirms it."""
         return not group.dissolved and all(
             self.confirms(host, group, now=now) for host in group.members
--- a/ryelever/coordination/groups/adoption.py
+++ b/ryelever/coordination/groups/adoption.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from .kept_group import GroupPhase
+from .managed_group import GroupPhase
 from .records import GroupRecord, Member
 from .silent_heads import STALL_SLACK
 
@@ -17,7 +17,7 @@
 
     from ...state.directory import BackendServer, Directory
     from ...state.routes import RouteTable
-    from .keeper import GroupKeeper
+    from .manager import GroupManager
 
 __all__ = ["ADOPT_AFTER", "GroupAdoption"]
 
@@ -42,13 +42,13 @@
         *,
         zone: str,
         directory: Directory,
-        keeper: GroupKeeper,
+        manager: GroupManager,
         stall_time: float,
         log: Callable[..., None],
     ) -> None:
         self._zone = zone
         self._directory = directory
-        self._keeper = keeper
+        self._manager = manager
         self._stall_time = stall_time
         self._log = log
         self._unknown_since: dict[tuple[str, int], float] = {}
@@ -78,8 +78,8 @@
     def _is_known(self, server: BackendServer) -> bool:
         """Tell whether the keeper holds the group of a server, or saw its last end."""
         report = server.group
-        known = self._keeper.knows(report.name, report.epoch)
-        return known and not self._keeper.is_back(server)
+        known = self._manager.knows(report.name, report.epoch)
+        return known and not self._manager.is_back(server)
 
     def _reported(
         self, table: RouteTable
@@ -112,11 +112,11 @@
             ),
         )
         self._log("group_adopted", group=record.name, members=record.member_ids)
-        if self._keeper.phase_of(record.name) is GroupPhase.RETIRED:
-            self._keeper.forget(record.name)
-        self._keeper.put(record, now=now, recorded=False)
+        if self._manager.phase_of(record.name) is GroupPhase.RETIRED:
+            self._manager.forget(record.name)
+        self._manager.put(record, now=now, recorded=False)
         engine = table.services_by_name[head.service].engine
         model = engine.models_by_name.get(record.model) if engine else None
         ranks = [server.group.rank for server in members]
         if model is None or ranks != list(range(model.size)):
-            self._keeper.end(record.name, "member_unknown", now=now)
+            self._manager.end(record.name, "member_unknown", now=now)
--- a/ryelever/coordination/groups/taking_apart.py
+++ b/ryelever/coordination/groups/disbanding.py
@@ -14,24 +14,24 @@
     from ...state.routes import ModelProfile
     from .forming import FormingRules, StandingGroup
 
-__all__ = ["choose_taking_apart"]
+__all__ = ["choose_disbanding"]
 
 #: How much busier the groups of one model must be than those of another would be
 #: after the loss of some, for these to be taken apart.  A change costs two seconds
 #: of a group, and one that is soon reversed costs them twice.
-TAKE_APART = 1.25
+DISBAND_RATIO = 1.25
 
 #: Part of its time for which the neediest model's groups are busy at the least for
 #: others to be taken apart.
 NEEDY = 0.5
 
 
-def choose_taking_apart(
+def choose_disbanding(
     free: list[BackendServer],
     standing: list[StandingGroup],
     rules: FormingRules,
     *,
-    n_coming: int = 0,
+    n_pending: int = 0,
 ) -> list[StandingGroup]:
     """Return the groups of one domain whose members are to become one of another.
 
@@ -41,12 +41,12 @@
 
     Parameters
     ----------
-    n_coming : int
+    n_pending : int
         Groups of the neediest model for which other zones take theirs apart.
     """
     needy = rules.by_need(rules.groups_by_model)[0]
     groups_by_model = dict(rules.groups_by_model)
-    groups_by_model[needy.name] = groups_by_model.get(needy.name, 0) + n_coming
+    groups_by_model[needy.name] = groups_by_model.get(needy.name, 0) + n_pending
     free_by_domain = by_domain(free)
     if any(
         _n_quick(servers, needy) >= needy.size for servers in free_by_domain.values()
@@ -65,7 +65,7 @@
             continue
         fewer = dict(groups_by_model)
         fewer[chosen[0].model] -= len(chosen)
-        if busy < TAKE_APART * rules.busy(chosen[0].model, fewer):
+        if busy < DISBAND_RATIO * rules.busy(chosen[0].model, fewer):
             continue
         if not best or (len(chosen), -n_quick) < (len(best), -best_n_quick):
             best, best_n_quick = chosen, n_quick
--- a/ryelever/coordination/groups/idle_servers.py
+++ b/ryelever/coordination/groups/idle_servers.py
@@ -5,12 +5,12 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from .kept_group import GroupPhase
+from .managed_group import GroupPhase
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from .keeper import GroupKeeper
+    from .manager import GroupManager
     from .zone_view import ServiceView
 
 __all__ = ["IdleServers"]
@@ -36,10 +36,10 @@
     """
 
     def __init__(
-        self, *, zone: str, keeper: GroupKeeper, log: Callable[..., None]
+        self, *, zone: str, manager: GroupManager, log: Callable[..., None]
     ) -> None:
         self._zone = zone
-        self._keeper = keeper
+        self._manager = manager
         self._log = log
         self._told_by_service: dict[str, Counter[str]] = {}
         self._told_at_by_service: dict[str, float] = {}
@@ -65,7 +65,7 @@
     def _counts(self, view: ServiceView) -> Counter[str]:
         counts: Counter[str] = Counter()
         for phase in (GroupPhase.FORMING, GroupPhase.ENDING):
-            for record in self._keeper.records(phase):
+            for record in self._manager.records(phase):
                 if record.service == view.service:
                     counts[phase.value] += len(record.members)
         for server in view.free:
--- a/ryelever/coordination/groups/kept_group.py
+++ b/ryelever/coordination/groups/managed_group.py
@@ -14,7 +14,7 @@
     from ...state.directory import BackendServer, GroupState
     from .records import GroupRecord
 
-__all__ = ["LATE_ORDERS", "ORDER_RETRY", "GroupPhase", "KeptGroup"]
+__all__ = ["LATE_ORDERS", "ORDER_RETRY", "GroupPhase", "ManagedGroup"]
 
 #: Seconds after which an order whose effect doesn't show is given again.  The list
 #: of backend servers shows an effect within half a second.
@@ -36,7 +36,7 @@
     RETIRED = "retired"
 
 
-class KeptGroup(msgspec.Struct, kw_only=True, eq=False):
+class ManagedGroup(msgspec.Struct, kw_only=True, eq=False):
     """Hold the state of one group.
 
     Attributes
--- a/ryelever/coordination/groups/kept_groups.py
+++ b/ryelever/coordination/groups/managed_groups.py
@@ -5,24 +5,24 @@
 from typing import TYPE_CHECKING
 
 from ...state.directory import GroupState
-from .kept_group import GroupPhase, KeptGroup
+from .managed_group import GroupPhase, ManagedGroup
 
 if TYPE_CHECKING:
     from ...state.directory import BackendServer, Directory
     from .records import GroupRecord
 
-__all__ = ["TAKEN_APART", "KeptGroups"]
+__all__ = ["DISBANDED", "ManagedGroups"]
 
 #: Reason to end a group for the sake of another.
-TAKEN_APART = "taken_apart"
+DISBANDED = "taken_apart"
 
 
-class KeptGroups:
+class ManagedGroups:
     """Hold what is known of each group.
 
     Attributes
     ----------
-    kept_by_name : dict of str to KeptGroup
+    managed_by_name : dict of str to ManagedGroup
         Groups that have a record, or are to have one.
     ended_epochs : set of int
         Epochs of groups that can't serve any more.
@@ -33,7 +33,7 @@
 
     def __init__(self, *, directory: Directory) -> None:
         self._directory = directory
-        self.kept_by_name: dict[str, KeptGroup] = {}
+        self.managed_by_name: dict[str, ManagedGroup] = {}
         self.ended_epochs: set[int] = set()
         self.head_at_end_by_epoch: dict[int, BackendServer | None] = {}
 
@@ -54,16 +54,16 @@
         decided_here : bool
             True where no other planner can have given orders for it.
         """
-        kept = self.kept(record.name, record.epoch)
-        if kept is None:
-            kept = KeptGroup(record=record, since=now, decided_here=decided_here)
-            self.kept_by_name[record.name] = kept
-        kept.recorded = recorded
+        managed = self.managed(record.name, record.epoch)
+        if managed is None:
+            managed = ManagedGroup(record=record, since=now, decided_here=decided_here)
+            self.managed_by_name[record.name] = managed
+        managed.recorded = recorded
 
     def put_ended(self, record: GroupRecord, *, now: float) -> None:
         """Take the record of a group that has ended, so that it is dropped."""
-        if record.name not in self.kept_by_name:
-            self.kept_by_name[record.name] = KeptGroup(
+        if record.name not in self.managed_by_name:
+            self.managed_by_name[record.name] = ManagedGroup(
                 record=record, since=now, phase=GroupPhase.RETIRED
             )
 
@@ -74,25 +74,25 @@
         serve again by then: it is forgotten only once it has ended, and else its
         record is to be written anew.
         """
-        kept = self.kept_by_name.get(name)
-        if kept is None:
+        managed = self.managed_by_name.get(name)
+        if managed is None:
             return
-        if kept.phase is GroupPhase.RETIRED:
-            del self.kept_by_name[name]
+        if managed.phase is GroupPhase.RETIRED:
+            del self.managed_by_name[name]
         else:
-            kept.recorded = False
+            managed.recorded = False
 
     def forget(self, name: str) -> None:
         """Forget a group that has ended."""
-        self.kept_by_name.pop(name, None)
+        self.managed_by_name.pop(name, None)
 
     def knows(self, name: str, epoch: int) -> bool:
         """Tell whether a group is kept, or was and has ended."""
-        return self.kept(name, epoch) is not None or epoch in self.ended_epochs
+        return self.managed(name, epoch) is not None or epoch in self.ended_epochs
 
-    def ended(self, kept: KeptGroup) -> None:
+    def ended(self, managed: ManagedGroup) -> None:
         """Remember that a group can't serve any more, and what its head shows now."""
-        record = kept.record
+        record = managed.record
         self.ended_epochs.add(record.epoch)
         if not record.warms_up:
             head = self._directory.by_id.get(record.head.server_id)
@@ -113,15 +113,17 @@
         # What is listed anew may look the same.
         return server is not self.head_at_end_by_epoch[report.epoch]
 
-    def kept(self, name: str, epoch: int) -> KeptGroup | None:
+    def managed(self, name: str, epoch: int) -> ManagedGroup | None:
         """Return the group that is kept under a name, if it has that epoch."""
-        kept = self.kept_by_name.get(name)
-        return kept if kept is not None and kept.record.epoch == epoch else None
+        managed = self.managed_by_name.get(name)
+        return (
+            managed if managed is not None and managed.record.epoch == epoch else None
+        )
 
     def warmed_up(self, name: str, epoch: int) -> bool:
         """Tell whether a group was formed only for its member to hold a model."""
-        kept = self.kept(name, epoch)
-        return kept is not None and kept.record.warms_up
+        managed = self.managed(name, epoch)
+        return managed is not None and managed.record.warms_up
 
     def unrecorded(self) -> list[GroupRecord]:
         """Return the groups that serve or form without a record in the store.
@@ -131,14 +133,14 @@
         """
         living = (GroupPhase.FORMING, GroupPhase.SERVING)
         return [
-            kept.record
-            for kept in self.kept_by_name.values()
-            if not kept.recorded and kept.phase in living
+            managed.record
+            for managed in self.managed_by_name.values()
+            if not managed.recorded and managed.phase in living
         ]
 
     def names(self) -> set[str]:
         """Return the names of all groups that have a record."""
-        return set(self.kept_by_name)
+        return set(self.managed_by_name)
 
     def retired(self) -> list[str]:
         """Return the groups whose records can be dropped.
@@ -148,45 +150,45 @@
         """
         return [
             name
-            for name, kept in self.kept_by_name.items()
-            if kept.phase is GroupPhase.RETIRED and not self.has_any(kept)
+            for name, managed in self.managed_by_name.items()
+            if managed.phase is GroupPhase.RETIRED and not self.has_any(managed)
         ]
 
     def records(self, *phases: GroupPhase) -> list[GroupRecord]:
         """Return the records of the groups in some phases that serve or are to."""
         return [
-            kept.record
-            for kept in self.kept_by_name.values()
-            if kept.phase in phases and not kept.record.warms_up
+            managed.record
+            for managed in self.managed_by_name.values()
+            if managed.phase in phases and not managed.record.warms_up
         ]
 
     def n_warming_up(self) -> int:
         """Count the servers that join a group of their own."""
         return sum(
-            kept.phase is GroupPhase.FORMING and kept.record.warms_up
-            for kept in self.kept_by_name.values()
+            managed.phase is GroupPhase.FORMING and managed.record.warms_up
+            for managed in self.managed_by_name.values()
         )
 
-    def taken_apart(self) -> list[GroupRecord]:
+    def disbanding(self) -> list[GroupRecord]:
         """Return the groups that are being ended for the sake of another."""
         return [
-            kept.record
-            for kept in self.kept_by_name.values()
-            if kept.phase is GroupPhase.ENDING and kept.reason == TAKEN_APART
+            managed.record
+            for managed in self.managed_by_name.values()
+            if managed.phase is GroupPhase.ENDING and managed.reason == DISBANDED
         ]
 
     def phases(self) -> dict[str, GroupPhase]:
         """Return what is being done with each group that is to serve, by its name."""
         return {
-            name: kept.phase
-            for name, kept in self.kept_by_name.items()
-            if not kept.record.warms_up
+            name: managed.phase
+            for name, managed in self.managed_by_name.items()
+            if not managed.record.warms_up
         }
 
     def phase_of(self, name: str) -> GroupPhase | None:
         """Return what is being done with a group."""
-        kept = self.kept_by_name.get(name)
-        return None if kept is None else kept.phase
+        managed = self.managed_by_name.get(name)
+        return None if managed is None else managed.phase
 
     def taken(self, *, besides: str = "") -> set[str]:
         """Return the ids of the members that are free for nothing else.
@@ -198,23 +200,23 @@
         """
         return {
             member_id
-            for name, kept in self.kept_by_name.items()
-            if kept.phase is not GroupPhase.RETIRED and name != besides
-            for member_id in kept.record.member_ids
-            if not (kept.frees_members and self.has_left(kept, member_id))
+            for name, managed in self.managed_by_name.items()
+            if managed.phase is not GroupPhase.RETIRED and name != besides
+            for member_id in managed.record.member_ids
+            if not (managed.frees_members and self.has_left(managed, member_id))
         }
 
-    def has_left(self, kept: KeptGroup, member_id: str) -> bool:
+    def has_left(self, managed: ManagedGroup, member_id: str) -> bool:
         """Tell whether a member has answered that it left, and was not taken back."""
-        if member_id not in kept.left_by_id:
+        if member_id not in managed.left_by_id:
             return False
         server = self._directory.by_id.get(member_id)
-        shows_it = server is not None and kept.state_of(server) is not None
-        return not shows_it or server is kept.left_by_id[member_id]
+        shows_it = server is not None and managed.state_of(server) is not None
+        return not shows_it or server is managed.left_by_id[member_id]
 
-    def has_any(self, kept: KeptGroup) -> bool:
+    def has_any(self, managed: ManagedGroup) -> bool:
         """Tell whether any member reports to be of a group."""
         return any(
-            kept.state_of(server) is not None
-            for server in self._directory.listed(kept.record.member_ids)
+            managed.state_of(server) is not None
+            for server in self._directory.listed(managed.record.member_ids)
         )
--- a/ryelever/coordination/groups/orders.py
+++ b/ryelever/coordination/groups/orders.py
@@ -24,19 +24,19 @@
 class OrderOutcome(enum.Enum):
     """Say what an answer to an order means.
 
-    ``HOLDS``: the state is already as ordered.  ``BEGUN``: it will be.
-    ``REFUSED``: it does not fit the state.  ``OVERTAKEN``: a newer epoch was seen.
-    ``GONE``: the backend server is another incarnation.  ``APART``: it answers a
-    probe, and is not in the group.  ``UNKNOWN``: no answer; the order may be carried
-    out later.
+    ``APPLIED``: the state is already as ordered.  ``IN_PROGRESS``: it will be.
+    ``REFUSED``: it does not fit the state.  ``SUPERSEDED``: a newer epoch was seen.
+    ``WRONG_INSTANCE``: the backend server is another incarnation.  ``NOT_A_MEMBER``: it
+    answers a probe, and is not in the group.  ``UNKNOWN``: no answer; the order may be
+    carried out later.
     """
 
-    HOLDS = "holds"
-    BEGUN = "begun"
+    APPLIED = "holds"
+    IN_PROGRESS = "begun"
     REFUSED = "refused"
-    OVERTAKEN = "overtaken"
-    GONE = "gone"
-    APART = "apart"
+    SUPERSEDED = "overtaken"
+    WRONG_INSTANCE = "gone"
+    NOT_A_MEMBER = "apart"
     UNKNOWN = "unknown"
 
 
--- a/ryelever/coordination/groups/reshaping.py
+++ b/ryelever/coordination/groups/reshaping.py
@@ -9,14 +9,14 @@
 
 from __future__ import annotations
 
-__all__ = ["ANNOUNCED_FOR", "ReshapingTurn"]
+__all__ = ["ANNOUNCED_FOR", "ReshapingToken"]
 
 #: Seconds between the announcement and the deed.  Words go to other zones every
 #: 0.6 s, so by then each planner has heard the others' announcements.
 ANNOUNCED_FOR = 0.8
 
 
-class ReshapingTurn:
+class ReshapingToken:
     """Hold whether one zone has announced that it takes groups apart, or does.
 
     Parameters
@@ -52,7 +52,7 @@
             return len(others)
         return sum(zone in self._earlier or zone < self._zone for zone in others)
 
-    def ask(self, others: set[str], *, now: float) -> bool:
+    def may_start(self, others: set[str], *, now: float) -> bool:
         """Tell whether the zone may take groups apart now, which it wants to."""
         if self._since is None:
             self._since = now
--- a/ryelever/coordination/groups/times.py
+++ b/ryelever/coordination/groups/times.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from .kept_group import GroupPhase
+from .managed_group import GroupPhase
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
--- a/ryelever/coordination/groups/zone_planner.py
+++ b/ryelever/coordination/groups/zone_planner.py
@@ -12,14 +12,14 @@
 import msgspec
 
 from .adoption import GroupAdoption
+from .disbanding import choose_disbanding
 from .forming import choose_formations
 from .idle_servers import IdleServers
-from .keeper import GroupKeeper
-from .kept_group import GroupPhase
-from .kept_groups import TAKEN_APART
+from .managed_group import GroupPhase
+from .managed_groups import DISBANDED
+from .manager import GroupManager
 from .records import GroupRecord, Member
-from .reshaping import ReshapingTurn
-from .taking_apart import choose_taking_apart
+from .reshaping import ReshapingToken
 from .times import GroupTimes
 from .warm_up import choose_warm_ups
 from .weight_staging import WeightStaging
@@ -85,7 +85,7 @@
         The availability zone.
     n_zones : int
         Zones that share the weight store.
-    is_own : bool
+    is_local : bool
         True where the planner's host is in that zone itself.
     demand : callable
         Return the work that arrives at all hosts, in groups kept busy, by model.
@@ -104,7 +104,7 @@
         *,
         zone: str,
         n_zones: int,
-        is_own: bool,
+        is_local: bool,
         directory: Directory,
         table: Callable[[], RouteTable | None],
         demand: Callable[[], Mapping[str, float]],
@@ -123,7 +123,7 @@
         self._table = table
         self._reshaping = reshaping
         self._list_is_stale = list_is_stale
-        self._turn = ReshapingTurn(zone=zone)
+        self._token = ReshapingToken(zone=zone)
         self._log = log
         self.times = GroupTimes(observe=observe)
         self._since = since
@@ -133,26 +133,26 @@
         self._appending: AppendGroups | None = None
         self._decided_by_epoch: dict[int, GroupRecord] = {}
         self._weights = WeightStaging()
-        self.keeper = GroupKeeper(
+        self.manager = GroupManager(
             directory=directory,
             stall_time=stall_time,
             join_limit=LONGEST_JOIN,
-            patience=0.0 if is_own else FOREIGN_PATIENCE,
+            patience=0.0 if is_local else FOREIGN_PATIENCE,
             list_is_stale=list_is_stale,
             log=log,
         )
-        self._idle = IdleServers(zone=zone, keeper=self.keeper, log=log)
+        self._idle = IdleServers(zone=zone, manager=self.manager, log=log)
         self._adoption = GroupAdoption(
             zone=zone,
             directory=directory,
-            keeper=self.keeper,
+            manager=self.manager,
             stall_time=stall_time,
             log=log,
         )
         self._views = ZoneViews(
             zone=zone,
             directory=directory,
-            keeper=self.keeper,
+            manager=self.manager,
             adoption=self._adoption,
             demand=demand,
             since=since,
@@ -161,7 +161,7 @@
     @property
     def reshapes(self) -> bool:
         """Tell whether a group of the zone is taken apart, or is to be."""
-        return self._turn.is_announced
+        return self._token.is_announced
 
     # The log
 
@@ -182,8 +182,8 @@
             self._end = -1
             self._appending = None
         names = {record.name for record in records}
-        for name in self.keeper.names() - names:
-            self.keeper.drop(name)
+        for name in self.manager.names() - names:
+            self.manager.drop(name)
         for record in records:
             self.recorded(record, end=end, now=now)
         self._read_to(end)
@@ -196,17 +196,17 @@
         end : int
             Offset after the record, or after later ones.
         """
-        if record.epoch in self.keeper.ended_epochs:
+        if record.epoch in self.manager.ended_epochs:
             # An older copy of the store, or a late append, shows it once more.
-            self.keeper.put_ended(record, now=now)
+            self.manager.put_ended(record, now=now)
         elif record.availability_zone == self._zone:
             decided_here = self._decided_by_epoch.get(record.epoch) == record
-            self.keeper.put(record, now=now, decided_here=decided_here)
+            self.manager.put(record, now=now, decided_here=decided_here)
         self._read_to(end)
 
     def dropped(self, name: str, *, end: int) -> None:
         """Take word that a record was dropped from the log."""
-        self.keeper.drop(name)
+        self.manager.drop(name)
         self._read_to(end)
 
     def appended(
@@ -222,13 +222,13 @@
             may be those of groups whose records are lost.
         """
         if era != asked.era:
-            self.keeper.ended_epochs.update(record.epoch for record in asked.formed)
+            self.manager.ended_epochs.update(record.epoch for record in asked.formed)
             self._appending = None
             return
         for record in (*asked.formed, *asked.restored):
             self.recorded(record, end=end, now=now)
         for name in asked.dropped:
-            self.keeper.forget(name)
+            self.manager.forget(name)
         self._read_to(end)
         self._appending = None
 
@@ -254,14 +254,14 @@
         if table is None or self._end < 0 or now - self._since < SETTLING:
             return [], None
         self._end_misfits(table, now=now)
-        orders = self.keeper.look(now=now)
+        orders = self.manager.look(now=now)
         n_stranded = self._views.n_stranded(table)
-        self.times.look(self.keeper.phases(), n_stranded=n_stranded, now=now)
+        self.times.look(self.manager.phases(), n_stranded=n_stranded, now=now)
         self._adoption.look(table, now=now)
         views = self._views.of(table, now=now)
         for view in views:
             self._idle.look(view, now=now)
-        self._take_apart(views, now=now)
+        self._disband(views, now=now)
         append = self._append_due(views, now=now)
         if self._appending is None:
             for view in views:
@@ -273,12 +273,12 @@
 
         Each member that a record names may be ready, and the head would open.
         """
-        for record in self.keeper.records(GroupPhase.FORMING, GroupPhase.SERVING):
+        for record in self.manager.records(GroupPhase.FORMING, GroupPhase.SERVING):
             service = table.services_by_name.get(record.service)
             engine = None if service is None else service.engine
             model = engine.models_by_name.get(record.model) if engine else None
             if model is not None and len(record.members) != model.size:
-                self.keeper.end(record.name, "wrong_size", now=now)
+                self.manager.end(record.name, "wrong_size", now=now)
 
     def _append_due(
         self, views: list[ServiceView], *, now: float
@@ -302,7 +302,7 @@
                     warms_up=formation in warm_ups,
                 )
                 formed.append(record)
-        restored = tuple(self.keeper.unrecorded())
+        restored = tuple(self.manager.unrecorded())
         if not formed and not restored:
             return None
         # Dropping what has ended costs no call of its own this way.
@@ -311,7 +311,7 @@
             era=self._era,
             formed=tuple(formed),
             restored=restored,
-            dropped=tuple(self.keeper.retired()),
+            dropped=tuple(self.manager.retired()),
         )
         self._appending = asked
         self._appending_since = now
@@ -328,7 +328,7 @@
         # What a group is taken apart for waits for its members.
         held = {
             server.domain
-            for record in self.keeper.taken_apart()
+            for record in self.manager.disbanding()
             for server in self._directory.listed(record.member_ids)
         }
         free = [server for server in view.free if server.domain not in held]
@@ -352,7 +352,7 @@
         """Return the loads a second that the weight store starts for the zone."""
         return view.engine.loads_per_second / self._n_zones
 
-    def _take_apart(self, views: list[ServiceView], *, now: float) -> None:
+    def _disband(self, views: list[ServiceView], *, now: float) -> None:
         """End the groups whose members are worth more in another one."""
         if self._is_evacuated(self._zone):
             return
@@ -360,18 +360,18 @@
             # While the store is away no group can be formed of what is freed: three
             # zones that ended one each lost half of a model's groups for the outage.
             return
-        if self.keeper.taken_apart() or self.keeper.records(GroupPhase.FORMING):
+        if self.manager.disbanding() or self.manager.records(GroupPhase.FORMING):
             # Until what comes of it serves, other zones see less than there will be.
             return
         others = self._reshaping()
-        groups = _groups_to_take_apart(views, n_coming=self._turn.n_before(others))
+        groups = _groups_to_disband(views, n_pending=self._token.n_before(others))
         if not groups:
-            self._turn.end()
-        elif self._turn.ask(others, now=now):
+            self._token.end()
+        elif self._token.may_start(others, now=now):
             for view in views:
                 self._log_weighed(view)
             for group in groups:
-                self.keeper.end(group.name, TAKEN_APART, now=now)
+                self.manager.end(group.name, DISBANDED, now=now)
 
     def _log_weighed(self, view: ServiceView) -> None:
         """Tell by what groups of a service are formed, or one is taken apart."""
@@ -411,20 +411,20 @@
             view.rules,
             rate=self._load_rate(view),
             n_at_once=view.engine.loads_at_once / self._n_zones,
-            n_warming_up=self.keeper.n_warming_up(),
+            n_warming_up=self.manager.n_warming_up(),
             now=now,
         )
 
 
-def _groups_to_take_apart(
-    views: list[ServiceView], *, n_coming: int
+def _groups_to_disband(
+    views: list[ServiceView], *, n_pending: int
 ) -> list[StandingGroup]:
     for view in views:
         if view.rules.loads_are_quick:
             # No request has come yet, and nothing is short.
             continue
-        groups = choose_taking_apart(
-            view.free, view.standing, view.rules, n_coming=n_coming
+        groups = choose_disbanding(
+            view.free, view.standing, view.rules, n_pending=n_pending
         )
         if groups:
             return groups
--- a/ryelever/coordination/groups/zone_view.py
+++ b/ryelever/coordination/groups/zone_view.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from .forming import BUSY_ENOUGH, FormingRules, StandingGroup
-from .kept_group import GroupPhase
+from .managed_group import GroupPhase
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
@@ -17,7 +17,7 @@
     from ...state.directory import BackendServer, Directory
     from ...state.routes import EngineProfile, RouteTable
     from .adoption import GroupAdoption
-    from .keeper import GroupKeeper
+    from .manager import GroupManager
 
 __all__ = ["ServiceView", "ZoneViews"]
 
@@ -81,14 +81,14 @@
         *,
         zone: str,
         directory: Directory,
-        keeper: GroupKeeper,
+        manager: GroupManager,
         adoption: GroupAdoption,
         demand: Callable[[], Mapping[str, float]],
         since: float,
     ) -> None:
         self._zone = zone
         self._directory = directory
-        self._keeper = keeper
+        self._manager = manager
         self._adoption = adoption
         self._demand = demand
         self._since = since
@@ -107,7 +107,7 @@
         """Count the servers that could serve and are in no group that does."""
         serving = {
             member_id
-            for record in self._keeper.records(GroupPhase.SERVING)
+            for record in self._manager.records(GroupPhase.SERVING)
             for member_id in record.member_ids
         }
         return sum(
@@ -145,7 +145,7 @@
         )
 
     def _free(self, own: list[BackendServer], *, now: float) -> list[BackendServer]:
-        taken = self._keeper.taken()
+        taken = self._manager.taken()
         served_by_id = self._directory.served_by_id
         return [
             # A head is told to leave before its group's members are free.  As a
@@ -156,7 +156,7 @@
             if not server.draining
             and server.id not in taken
             and not self._adoption.is_unsettled(server, now=now)
-            and not self._keeper.seems_lost(server.id, now=now)
+            and not self._manager.seems_lost(server.id, now=now)
         ]
 
     def _standing(self, service: str) -> list[StandingGroup]:
@@ -167,7 +167,7 @@
                 model=record.model,
                 members=tuple(self._directory.listed(record.member_ids)),
             )
-            for record in self._keeper.records(GroupPhase.SERVING)
+            for record in self._manager.records(GroupPhase.SERVING)
             if record.service == service
         ]
 
@@ -207,12 +207,12 @@
         if not server.models:
             return True
         report = server.group
-        return report is not None and self._keeper.warmed_up(report.name, report.epoch)
+        return report is not None and self._manager.warmed_up(report.name, report.epoch)
 
     def _own_groups(self, service: str, engine: EngineProfile) -> dict[str, int]:
         """Count the zone's groups that serve or are being formed."""
         counts = dict.fromkeys(engine.models_by_name, 0)
-        for record in self._keeper.records(GroupPhase.FORMING, GroupPhase.SERVING):
+        for record in self._manager.records(GroupPhase.FORMING, GroupPhase.SERVING):
             if record.service == service and record.model in counts:
                 counts[record.model] += 1
         return counts
@@ -233,8 +233,8 @@
             report = server.group
             is_alone = n_members[report.name, report.epoch] == 1
             for model in server.models & counts.keys():
-                is_whole = not is_alone or engine.models_by_name[model].size == 1
-                counts[model] += report.rank == 0 and is_whole
+                is_complete = not is_alone or engine.models_by_name[model].size == 1
+                counts[model] += report.rank == 0 and is_complete
         return counts
 
     def _has_settled(
--- a/ryelever/coordination/limits/__init__.py
+++ b/ryelever/coordination/limits/__init__.py
@@ -5,11 +5,11 @@
 
 from .limits import AccountLimits
 from .peers import HEARTBEAT
-from .view import LimitsView, WholeLimits
+from .view import FullLimits, LimitsView
 
 __all__ = [
     "AccountLimits",
     "HEARTBEAT",
     "LimitsView",
-    "WholeLimits",
+    "FullLimits",
 ]
--- a/ryelever/coordination/limits/view.py
+++ b/ryelever/coordination/limits/view.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-__all__ = ["LimitsView", "WholeLimits"]
+__all__ = ["LimitsView", "FullLimits"]
 
 
 class LimitsView(Protocol):
@@ -25,7 +25,7 @@
         """Return the requests that this host may have in flight."""
 
 
-class WholeLimits:
+class FullLimits:
     """Give the whole of each limit: the plain policy for a single entry host."""
 
     def arrived(self, client_account: str, *, now: float) -> None:
--- a/ryelever/coordination/measures.py
+++ b/ryelever/coordination/measures.py
@@ -156,7 +156,7 @@
         n_serving: dict[tuple[str, str], int] = {}
         for zone, placement in view.placements_by_zone.items():
             for group in placement.groups_by_name.values():
-                if view.confirmations.is_whole(group, now=now):
+                if view.confirmations.is_complete(group, now=now):
                     serving.update(group.members)
                     key = (zone, group.model)
                     n_serving[key] = n_serving.get(key, 0) + 1
--- a/ryelever/coordination/planner/forming.py
+++ b/ryelever/coordination/planner/forming.py
@@ -8,8 +8,8 @@
     from ...state.placement import Group
     from ..actions import Action
     from .capacity import Capacity
-    from .look import Look
     from .outgoing import Outgoing
+    from .planning_pass import PlanningPass
 
 __all__ = ["Forming"]
 
@@ -21,85 +21,89 @@
         self._capacity = capacity
         self._outgoing = outgoing
 
-    def form_declared(self, look: Look) -> list[Action]:
+    def form_declared(self, planning_pass: PlanningPass) -> list[Action]:
         """Form what is declared and missing, important models first."""
         actions: list[Action] = []
-        for name, model in look.models_by_priority:
-            for _ in range(look.n_missing(name)):
-                members = look.choice.take(model.hosts_per_group)
+        for name, model in planning_pass.models_by_priority:
+            for _ in range(planning_pass.n_missing(name)):
+                members = planning_pass.choice.take(model.hosts_per_group)
                 if not members:
-                    self._make_room(name, look)
+                    self._make_room(name, planning_pass)
                     break
-                actions += look.form(name, members, "declared")
+                actions += planning_pass.form(name, members, "declared")
         return actions
 
-    def form_more(self, look: Look) -> list[Action]:
+    def form_more(self, planning_pass: PlanningPass) -> list[Action]:
         """Form one group beyond the declared ones, of hosts that are left over."""
-        if _is_settling(look):
+        if _is_settling(planning_pass):
             return []
-        reserved = _reserved_domains(look)
-        for name in self._capacity.growing(look.view, now=look.now):
-            wanted = self._capacity.is_wanted(name, now=look.now)
-            members = self._take_for_growth(name, reserved, look)
+        reserved = _reserved_domains(planning_pass)
+        for name in self._capacity.growing(planning_pass.view, now=planning_pass.now):
+            wanted = self._capacity.is_wanted(name, now=planning_pass.now)
+            members = self._take_for_growth(name, reserved, planning_pass)
             if members:
                 reason = "callers wait" if wanted else "hosts were idle"
-                return look.form(name, members, reason)
+                return planning_pass.form(name, members, reason)
             if wanted:
-                self._make_room(name, look)
+                self._make_room(name, planning_pass)
         return []
 
     def _take_for_growth(
-        self, name: str, reserved: set[str], look: Look
+        self, name: str, reserved: set[str], planning_pass: PlanningPass
     ) -> tuple[str, ...]:
-        model = look.view.configuration.models[name]
+        model = planning_pass.view.configuration.models[name]
 
         def n_spare(domain: str) -> int:
             if domain in reserved:
-                return len(look.view.hosts_by_name)
-            return self._capacity.n_spare_hosts(domain, model, look.view)
+                return len(planning_pass.view.hosts_by_name)
+            return self._capacity.n_spare_hosts(domain, model, planning_pass.view)
 
-        return look.choice.take(model.hosts_per_group, n_spare=n_spare)
+        return planning_pass.choice.take(model.hosts_per_group, n_spare=n_spare)
 
-    def drain(self, look: Look) -> list[Action]:
+    def drain(self, planning_pass: PlanningPass) -> list[Action]:
         """Drain groups that are to end, one of a model at a time."""
         actions: list[Action] = []
-        draining = {group.model for group in look.view.live_groups if group.draining}
-        for group in look.view.live_groups:
-            reason = look.outgoing_by_name.get(group.name, "")
+        draining = {
+            group.model for group in planning_pass.view.live_groups if group.draining
+        }
+        for group in planning_pass.view.live_groups:
+            reason = planning_pass.outgoing_by_name.get(group.name, "")
             if group.draining or not reason or group.model in draining:
                 continue
-            if _waits_for_successor(group, look):
+            if _waits_for_successor(group, planning_pass):
                 continue
             draining.add(group.model)
-            actions += look.drain(group, reason)
+            actions += planning_pass.drain(group, reason)
         return actions
 
-    def _make_room(self, model: str, look: Look) -> None:
-        is_move = look.n_missing(model) <= 0
-        if is_move and not self._capacity.may_move(now=look.now):
+    def _make_room(self, model: str, planning_pass: PlanningPass) -> None:
+        is_move = planning_pass.n_missing(model) <= 0
+        if is_move and not self._capacity.may_move(now=planning_pass.now):
             return
         donors = self._capacity.donors(
-            look.view,
-            look.current,
+            planning_pass.view,
+            planning_pass.current,
             model,
-            n_available_by_domain=look.choice.n_available_by_domain(look.current),
-            now=look.now,
+            n_available_by_domain=planning_pass.choice.n_available_by_domain(
+                planning_pass.current
+            ),
+            now=planning_pass.now,
         )
         for group in donors:
             self._outgoing.give(group, f"makes room for {model}")
         if donors:
-            self._capacity.moved(now=look.now)
+            self._capacity.moved(now=planning_pass.now)
 
 
-def _is_settling(look: Look) -> bool:
+def _is_settling(planning_pass: PlanningPass) -> bool:
     # Whatever is under repair or loading may need the hosts more, and changes how
     # long callers wait.
-    return bool(look.decisions.forming_by_id) or any(
-        not look.is_whole(group) for group in look.view.live_groups
+    return bool(planning_pass.decisions.forming_by_id) or any(
+        not planning_pass.is_complete(group) for group in planning_pass.view.live_groups
     )
 
 
-def _reserved_domains(look: Look) -> set[str]:
+def _reserved_domains(planning_pass: PlanningPass) -> set[str]:
     """Return the domains whose free hosts a missing declared group will need.
 
     While a group makes room there, the hosts that are free already must not go to
@@ -107,10 +111,10 @@
     """
     missing = [
         model.hosts_per_group
-        for name, model in look.view.configuration.models.items()
-        if look.n_missing(name) > 0
+        for name, model in planning_pass.view.configuration.models.items()
+        if planning_pass.n_missing(name) > 0
     ]
-    available = look.choice.n_available_by_domain(look.declared)
+    available = planning_pass.choice.n_available_by_domain(planning_pass.declared)
     return {
         domain
         for domain, n_hosts in available.items()
@@ -118,15 +122,15 @@
     }
 
 
-def _waits_for_successor(group: Group, look: Look) -> bool:
+def _waits_for_successor(group: Group, planning_pass: PlanningPass) -> bool:
     """Tell whether a group should serve on until another one is whole."""
-    model = look.view.configuration.models.get(group.model)
-    if model is None or not look.is_whole(group):
+    model = planning_pass.view.configuration.models.get(group.model)
+    if model is None or not planning_pass.is_complete(group):
         return False
-    own = [other for other in look.current if other.model == group.model]
-    if look.decisions.n_forming(group.model):
+    own = [other for other in planning_pass.current if other.model == group.model]
+    if planning_pass.decisions.n_forming(group.model):
         return True
-    if not all(look.is_whole(other) for other in own):
+    if not all(planning_pass.is_complete(other) for other in own):
         return True
     short = len(own) < model.n_groups
-    return short and look.choice.can_take(model.hosts_per_group)
+    return short and planning_pass.choice.can_take(model.hosts_per_group)
--- a/ryelever/coordination/planner/planner.py
+++ b/ryelever/coordination/planner/planner.py
@@ -10,10 +10,10 @@
 from .forming import Forming
 from .health import HostHealth
 from .hosts import HostChoice
-from .look import Look
 from .orders import Orders
 from .outage import OutageRepair
 from .outgoing import Outgoing
+from .planning_pass import PlanningPass
 from .release import Release
 from .repair import Repair
 from .view import PlannerLimits, PlannerView
@@ -103,18 +103,18 @@
                 actions += self._outage.tick(view, now=now)
             return actions
         self._decisions.settle(view.placement, now=now)
-        look = self._look(view, now=now)
-        self._repair.observe(look)
+        planning_pass = self._look(view, now=now)
+        self._repair.observe(planning_pass)
         actions += self._release.tick(
             view,
             taken=self._decisions.taken,
             held_since=self.lease.held_since,
             now=now,
         )
-        actions += self._repair.tick(look)
-        actions += self._forming.form_declared(look)
-        actions += self._forming.drain(look)
-        actions += self._forming.form_more(look)
+        actions += self._repair.tick(planning_pass)
+        actions += self._forming.form_declared(planning_pass)
+        actions += self._forming.drain(planning_pass)
+        actions += self._forming.form_more(planning_pass)
         return actions
 
     def _observe(self, view: PlannerView, *, now: float) -> None:
@@ -123,13 +123,13 @@
         self._outgoing.observe(view, now=now)
         self._orders.forget_groups(set(view.placement.groups_by_name))
 
-    def _look(self, view: PlannerView, *, now: float) -> Look:
+    def _look(self, view: PlannerView, *, now: float) -> PlanningPass:
         outgoing_by_name = {
             group.name: reason
             for group in view.live_groups
             if (reason := self._outgoing.reason(group, view, now=now))
         }
-        return Look(
+        return PlanningPass(
             view=view,
             now=now,
             choice=HostChoice(
--- a/ryelever/coordination/planner/look.py
+++ b/ryelever/coordination/planner/planning_pass.py
@@ -17,11 +17,11 @@
     from .hosts import HostChoice
     from .view import PlannerView
 
-__all__ = ["Look"]
+__all__ = ["PlanningPass"]
 
 
 @dataclass(slots=True, kw_only=True)
-class Look:
+class PlanningPass:
     """Share what all decisions of one tick need.
 
     Attributes
@@ -66,9 +66,9 @@
             key=lambda group: ranks.get(group.model, len(ranks)),
         )
 
-    def is_whole(self, group: Group) -> bool:
+    def is_complete(self, group: Group) -> bool:
         """Tell whether every member confirms a group."""
-        return self.view.confirmations.is_whole(group, now=self.now)
+        return self.view.confirmations.is_complete(group, now=self.now)
 
     def n_missing(self, model: str) -> int:
         """Return how many declared groups of a model are neither there nor formed."""
--- a/ryelever/coordination/planner/repair.py
+++ b/ryelever/coordination/planner/repair.py
@@ -10,9 +10,9 @@
     from ...state.placement import Group
     from ..actions import Action
     from .health import HostHealth, MemberFault
-    from .look import Look
     from .orders import Orders
     from .outgoing import Outgoing
+    from .planning_pass import PlanningPass
     from .view import PlannerLimits
 
 __all__ = ["Repair"]
@@ -34,38 +34,45 @@
         self._orders = orders
         self._outgoing = outgoing
         self._first_seen_at_by_group: dict[str, float] = {}
-        self._was_whole: set[str] = set()
+        self._was_complete: set[str] = set()
 
-    def observe(self, look: Look) -> None:
+    def observe(self, planning_pass: PlanningPass) -> None:
         """Remember which groups were whole once, and since when each is known."""
-        names = {group.name for group in look.view.live_groups}
+        names = {group.name for group in planning_pass.view.live_groups}
         self._first_seen_at_by_group = {
-            name: self._first_seen_at_by_group.get(name, look.now) for name in names
+            name: self._first_seen_at_by_group.get(name, planning_pass.now)
+            for name in names
         }
-        self._was_whole &= names
-        self._was_whole |= {
-            group.name for group in look.view.live_groups if look.is_whole(group)
+        self._was_complete &= names
+        self._was_complete |= {
+            group.name
+            for group in planning_pass.view.live_groups
+            if planning_pass.is_complete(group)
         }
 
-    def tick(self, look: Look) -> list[Action]:
+    def tick(self, planning_pass: PlanningPass) -> list[Action]:
         """Return what is due for all groups, those of important models first."""
         actions: list[Action] = []
-        for group in look.groups_by_priority:
-            if not look.decisions.is_replaced(group.name):
-                actions += self._keep(group, look)
+        for group in planning_pass.groups_by_priority:
+            if not planning_pass.decisions.is_replaced(group.name):
+                actions += self._keep(group, planning_pass)
         return actions
 
-    def _keep(self, group: Group, look: Look) -> list[Action]:
-        faults = self._health.faults(group, look.view, now=look.now)
-        lost = [fault for fault in faults if self._is_lost(fault, now=look.now)]
+    def _keep(self, group: Group, planning_pass: PlanningPass) -> list[Action]:
+        faults = self._health.faults(group, planning_pass.view, now=planning_pass.now)
+        lost = [
+            fault for fault in faults if self._is_lost(fault, now=planning_pass.now)
+        ]
         if lost:
-            return self._repair(group, lost, cause_of(faults), look)
+            return self._repair(group, lost, cause_of(faults), planning_pass)
         if group.draining:
-            return self._finish_drained(group, look)
-        if group.name not in self._was_whole and self._is_late(group, now=look.now):
+            return self._finish_drained(group, planning_pass)
+        if group.name not in self._was_complete and self._is_late(
+            group, now=planning_pass.now
+        ):
             reason = f"was not whole within {self._limits.load_timeout:g} s"
-            return look.dissolve(group, reason)
-        return self._orders.join(group, look.view, now=look.now)
+            return planning_pass.dissolve(group, reason)
+        return self._orders.join(group, planning_pass.view, now=planning_pass.now)
 
     def _is_lost(self, fault: MemberFault, *, now: float) -> bool:
         if fault.fault is not Fault.SILENT:
@@ -78,16 +85,20 @@
         return now - since >= self._limits.load_timeout
 
     def _repair(
-        self, group: Group, lost: list[MemberFault], reason: str, look: Look
+        self,
+        group: Group,
+        lost: list[MemberFault],
+        reason: str,
+        planning_pass: PlanningPass,
     ) -> list[Action]:
-        replaced = look.replace(group, reason)
+        replaced = planning_pass.replace(group, reason)
         if replaced:
             return replaced
-        if look.choice.must_wait_for_orders(group):
+        if planning_pass.choice.must_wait_for_orders(group):
             return []
-        certain = self._is_certain(lost, now=look.now)
-        if certain or look.choice.can_take(len(group.members)):
-            return look.dissolve(group, reason)
+        certain = self._is_certain(lost, now=planning_pass.now)
+        if certain or planning_pass.choice.can_take(len(group.members)):
+            return planning_pass.dissolve(group, reason)
         return []
 
     def _is_certain(self, lost: list[MemberFault], *, now: float) -> bool:
@@ -99,11 +110,15 @@
             for fault in lost
         )
 
-    def _finish_drained(self, group: Group, look: Look) -> list[Action]:
-        ended = self._outgoing.drained(group, look.view, now=look.now)
+    def _finish_drained(
+        self, group: Group, planning_pass: PlanningPass
+    ) -> list[Action]:
+        ended = self._outgoing.drained(group, planning_pass.view, now=planning_pass.now)
         if not ended:
             return []
         reason = f"{group.draining_reason}; {ended}"
-        if look.is_short_above(group.model):
-            return look.dissolve(group, reason)
-        return look.replace(group, reason) or look.dissolve(group, reason)
+        if planning_pass.is_short_above(group.model):
+            return planning_pass.dissolve(group, reason)
+        return planning_pass.replace(group, reason) or planning_pass.dissolve(
+            group, reason
+        )
--- a/ryelever/coordination/planner/repairs.py
+++ b/ryelever/coordination/planner/repairs.py
@@ -110,7 +110,7 @@
         if group is None or group.dissolved:
             line.outcome = f"ended before it served, after {seconds}"
             return True
-        if self._confirmations.is_whole(group, now=now):
+        if self._confirmations.is_complete(group, now=now):
             line.outcome = f"serves since {seconds} after the decision"
             return True
         return False
--- a/ryelever/coordination/relaying/__init__.py
+++ b/ryelever/coordination/relaying/__init__.py
@@ -10,7 +10,7 @@
 from .messages import AnswerHead, Headers, NamedLimit, RelayArrival
 from .repeat_budget import RepeatBudget
 from .requests import RelayRequests
-from .stillness import StillnessWatch
+from .stall_watch import StallWatch
 
 __all__ = [
     "AnswerHead",
@@ -25,6 +25,6 @@
     "RelayRefusal",
     "RelayRequests",
     "RepeatBudget",
-    "StillnessWatch",
+    "StallWatch",
     "time_in_batch",
 ]
--- a/ryelever/coordination/relaying/balance.py
+++ b/ryelever/coordination/relaying/balance.py
@@ -35,8 +35,8 @@
 #: Backend servers that are looked at for one request, and those of other zones among
 #: them at the least.  Each that is looked at takes processor time, and a drawn part of
 #: the far ones tells as well where there is room.
-MOST_LOOKED_AT = 64
-LEAST_FAR = 16
+MAX_CANDIDATES = 64
+MIN_FAR_CANDIDATES = 16
 
 #: Seconds for which a backend server that failed to answer is left alone, the
 #: first time and at most; doubled at each failure without a success between.
@@ -51,7 +51,7 @@
 
 #: Seconds for which a group that stands still is left alone.  If a member is lost, it
 #: is ended within that time; if it was only held up, an event ends the avoidance.
-STILL_AVOIDANCE = 2.5
+STALL_AVOIDANCE = 2.5
 
 
 class ServerRecord(msgspec.Struct, kw_only=True):
@@ -248,12 +248,12 @@
         record.disowned = self._directory.by_id.get(server_id)
         record.disowned_until = now + DISOWNED_FOR
 
-    def stands_still(self, server_id: str, *, now: float) -> None:
+    def mark_stalled(self, server_id: str, *, now: float) -> None:
         """Leave a group alone in which nothing moves."""
         record = self.record(server_id)
-        record.avoided_until = max(record.avoided_until, now + STILL_AVOIDANCE)
+        record.avoided_until = max(record.avoided_until, now + STALL_AVOIDANCE)
 
-    def moves(self, server_id: str) -> None:
+    def clear_stall(self, server_id: str) -> None:
         """Take word that something moves in a group."""
         record = self.records_by_id.get(server_id)
         if record is not None and record.avoided_until:
@@ -261,13 +261,13 @@
 
     def _looked_at(self, candidates: list[BackendServer]) -> list[BackendServer]:
         """Return all candidates, or those of this zone and some of the others."""
-        if len(candidates) <= MOST_LOOKED_AT:
+        if len(candidates) <= MAX_CANDIDATES:
             return candidates
         parts: tuple[list[BackendServer], list[BackendServer]] = ([], [])
         for server in candidates:
             parts[server.availability_zone != self._zone].append(server)
         near, far = parts
-        n_far = max(LEAST_FAR, MOST_LOOKED_AT - len(near))
+        n_far = max(MIN_FAR_CANDIDATES, MAX_CANDIDATES - len(near))
         return near + self._random.sample(far, min(n_far, len(far)))
 
     def _options(
--- a/ryelever/coordination/relaying/requests.py
+++ b/ryelever/coordination/relaying/requests.py
@@ -28,7 +28,7 @@
     from .messages import AnswerHead, RelayArrival
     from .repeat_budget import RepeatBudget
     from .request import RelayRequest
-    from .stillness import StillnessWatch
+    from .stall_watch import StallWatch
 
 __all__ = ["RelayRequests"]
 
@@ -70,7 +70,7 @@
         table: Callable[[], RouteTable | None],
         balancer: Balancer,
         budget: RepeatBudget,
-        stillness: StillnessWatch,
+        stall_watch: StallWatch,
         crashes: CrashWatch,
         outbox: RelayOutbox,
         served: Callable[[str, int], None],
@@ -82,7 +82,7 @@
         self._unrouted = UnroutedArrivals(since=since)
         self._balancer = balancer
         self._budget = budget
-        self._stillness = stillness
+        self._stall_watch = stall_watch
         self._crashes = crashes
         self._outbox = outbox
         self._served = served
@@ -157,7 +157,7 @@
         if not self._dispatch(request, now=now):
             self._wait_or_refuse(request, now=now)
 
-    def caller_gone(self, number: int) -> None:
+    def caller_disconnected(self, number: int) -> None:
         """Drop a request whose caller has closed its connection."""
         self._unrouted.discard(number)
         request = self.requests_by_number.get(number)
@@ -229,8 +229,8 @@
         """Take whole events of a stream, each with its id."""
         request = self._requests_by_attempt.get(attempt_id)
         if request is not None:
-            self._stillness.progressed(request.attempt.server_id, now=now)
-            self._balancer.moves(request.attempt.server_id)
+            self._stall_watch.progressed(request.attempt.server_id, now=now)
+            self._balancer.clear_stall(request.attempt.server_id)
             self._pass_events(request, events, now=now)
 
     def answer_broken(self, attempt_id: str, reason: str, *, now: float) -> None:
@@ -254,7 +254,7 @@
             self._attempt_failed(request, "answer_without_head", now=now)
             return
         if not request.is_stream or request.head.status != 200:
-            self._whole_answer(request, now=now)
+            self._complete_answer(request, now=now)
             return
         if cut or not request.n_events:
             self._attempt_failed(request, "stream_cut_off", now=now)
@@ -299,8 +299,8 @@
             waited = self._waiting.has_waited_enough(request, now=now)
             if waited or now >= request.gives_up_at:
                 self._give_up(request, now=now)
-        for server_id in self._stillness.newly_still(now=now):
-            self._leave_still(server_id, now=now)
+        for server_id in self._stall_watch.newly_stalled(now=now):
+            self._leave_stalled(server_id, now=now)
         self.dispatch_waiting(now=now)
 
     def dispatch_waiting(self, *, now: float) -> None:
@@ -352,7 +352,7 @@
         self._balancer.sent(server.id)
         self._balancer.limits.sent(server.id, now=now)
         if request.is_stream:
-            self._stillness.began(server.id, attempt.id, now=now)
+            self._stall_watch.began(server.id, attempt.id, now=now)
         self._outbox.send(attempt)
         return True
 
@@ -420,10 +420,10 @@
             return False
         return request.n_sent == 0 or self._budget.allow(request.service, now=now)
 
-    def _leave_still(self, server_id: str, *, now: float) -> None:
+    def _leave_stalled(self, server_id: str, *, now: float) -> None:
         """Move what runs at a group that stands still to other groups."""
         self._reports.group_still(server_id)
-        self._balancer.stands_still(server_id, now=now)
+        self._balancer.mark_stalled(server_id, now=now)
         for request in list(self._requests_by_attempt.values()):
             if request.is_stream and request.attempt.server_id == server_id:
                 self._move(request, "still", now=now)
@@ -467,7 +467,7 @@
         if fresh:
             self._outbox.data(request.number, b"".join(fresh))
 
-    def _whole_answer(self, request: RelayRequest, *, now: float) -> None:
+    def _complete_answer(self, request: RelayRequest, *, now: float) -> None:
         head = request.head
         server_id = request.attempt.server_id
         failed = head.status >= 500 or head.status in PROMISES
@@ -555,7 +555,7 @@
     def _forget_attempt(self, request: RelayRequest) -> None:
         attempt = request.attempt
         self._balancer.ended(attempt.server_id)
-        self._stillness.ended(attempt.server_id, attempt.id)
+        self._stall_watch.ended(attempt.server_id, attempt.id)
         self._requests_by_attempt.pop(attempt.id, None)
         request.attempt = None
 
--- a/ryelever/coordination/relaying/stillness.py
+++ b/ryelever/coordination/relaying/stall_watch.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-__all__ = ["StillnessWatch"]
+__all__ = ["StallWatch"]
 
 #: Seconds of silence on all begun streams of a group.  A full batch takes 62 ms
 #: between two events, and the longest prompts hold it up by about 100 ms each.
@@ -20,7 +20,7 @@
 
 #: Seconds for which a group counts as standing still once its streams are gone: its
 #: members are probed meanwhile, and one that is lost is known within a second.
-STILL_FOR = 2.5
+STALL_REPORTED_FOR = 2.5
 
 #: Seconds between two ticks beyond which this process itself was held up, so that
 #: what looks silent may lie unread.  Ticks come every 0.1 s, some of them late.
@@ -36,12 +36,12 @@
     attempts: set[str] = msgspec.field(default_factory=set)
 
 
-class StillnessWatch:
+class StallWatch:
     """Watch the streams of all groups."""
 
     def __init__(self) -> None:
         self._activity_by_id: dict[str, _Activity] = {}
-        self._still_since_by_id: dict[str, float] = {}
+        self._stalled_since_by_id: dict[str, float] = {}
         self._looked_at = float("-inf")
 
     def began(self, server_id: str, attempt_id: str, *, now: float) -> None:
@@ -58,7 +58,7 @@
             activity.progressed_at = now
             activity.begun = True
             activity.told = False
-            self._still_since_by_id.pop(server_id, None)
+            self._stalled_since_by_id.pop(server_id, None)
 
     def ended(self, server_id: str, attempt_id: str) -> None:
         """Take note of a stream's end."""
@@ -75,19 +75,19 @@
         Their streams are moved away at once, so that nothing shows any more whether
         they go on to stand still.
         """
-        for server_id, since in list(self._still_since_by_id.items()):
-            if now - since > STILL_FOR:
-                del self._still_since_by_id[server_id]
-        return list(self._still_since_by_id)
+        for server_id, since in list(self._stalled_since_by_id.items()):
+            if now - since > STALL_REPORTED_FOR:
+                del self._stalled_since_by_id[server_id]
+        return list(self._stalled_since_by_id)
 
-    def moves(self, server_id: str, *, now: float) -> bool:
+    def has_progressed(self, server_id: str, *, now: float) -> bool:
         """Tell whether a group has written an event here just now."""
         activity = self._activity_by_id.get(server_id)
         if activity is None or not activity.begun:
             return False
         return now - activity.progressed_at <= SILENCE
 
-    def newly_still(self, *, now: float) -> list[str]:
+    def newly_stalled(self, *, now: float) -> list[str]:
         """Return the heads whose groups have come to stand still."""
         held_up = now - self._looked_at > OWN_DELAY
         self._looked_at = now
@@ -100,6 +100,6 @@
             limit = SILENCE if activity.begun else FIRST_SILENCE
             if not activity.told and now - activity.progressed_at > limit:
                 activity.told = True
-                self._still_since_by_id[server_id] = now
+                self._stalled_since_by_id[server_id] = now
                 still.append(server_id)
         return still
--- a/ryelever/coordination/repairs.py
+++ b/ryelever/coordination/repairs.py
@@ -94,7 +94,7 @@
         for zone, placement in placements_by_zone.items():
             for group in placement.groups_by_name.values():
                 present.add(group.name)
-                whole = confirmations.is_whole(group, now=now)
+                whole = confirmations.is_complete(group, now=now)
                 self._look(group, zone, whole=whole, now=now)
         for name in self.watches_by_group.keys() - present:
             watch = self.watches_by_group.pop(name)
--- a/ryelever/coordination/requests/answers.py
+++ b/ryelever/coordination/requests/answers.py
@@ -9,9 +9,9 @@
 from ...errors import Category, RunState, RyeleverError
 from ...state.records import Outcome
 from ..actions import (
+    AnswerComplete,
     AnswerError,
     AnswerService,
-    AnswerWhole,
     ChatWork,
     StreamFinished,
     StreamTokens,
@@ -44,7 +44,7 @@
     "stored_answer",
     "tokens_missing",
     "unknown_account",
-    "whole_answer",
+    "complete_answer",
 ]
 
 #: Longest answer that is stored with its outcome, in bytes.
@@ -128,7 +128,7 @@
     stored = msgspec.json.decode(outcome.body, type=_StoredChat)
     request_id = arrival.request_id
     if not (isinstance(arrival.work, ChatWork) and arrival.work.streamed):
-        whole = AnswerWhole(
+        whole = AnswerComplete(
             request_id=request_id,
             tokens=stored.tokens,
             finish_reason=stored.finish_reason,
@@ -169,14 +169,14 @@
         return None
 
 
-def whole_answer(request: Request, *, finish_reason: str, usage: Usage) -> Action:
+def complete_answer(request: Request, *, finish_reason: str, usage: Usage) -> Action:
     """Return the end of a stream, or the answer of a caller that waits for all."""
     request_id = request.arrival.request_id
     if request.streamed:
         return StreamFinished(
             request_id=request_id, finish_reason=finish_reason, usage=usage
         )
-    return AnswerWhole(
+    return AnswerComplete(
         request_id=request_id,
         tokens=tuple(request.delivered),
         finish_reason=finish_reason,
--- a/ryelever/coordination/requests/attempts.py
+++ b/ryelever/coordination/requests/attempts.py
@@ -82,9 +82,9 @@
             delivered=tuple(request.delivered),
         )
 
-    def waits_its_turn(self, request: Request, *, now: float) -> bool:
+    def must_wait_for_suspects(self, request: Request, *, now: float) -> bool:
         """Tell whether only other suspects keep a request from running."""
-        return self._router.waits_its_turn(request.arrival, now=now)
+        return self._router.must_wait_for_suspects(request.arrival, now=now)
 
     def is_lost(self, request: Request, *, now: float) -> bool:
         """Tell whether an attempt waits for a group that is no longer whole."""
@@ -159,7 +159,7 @@
         """Tell whether another attempt may follow, and count it if so."""
         # A non-repeatable request is never sent again after its first byte.
         safe = request.arrival.repeatable or not request.may_have_run
-        wanted = not request.caller_gone and now < request.arrival.deadline
+        wanted = not request.caller_disconnected and now < request.arrival.deadline
         allowed = safe and wanted and self._affordable(request, now=now)
         self.n_retries += allowed
         return allowed
--- a/ryelever/coordination/requests/requests.py
+++ b/ryelever/coordination/requests/requests.py
@@ -158,7 +158,7 @@
             return []
         return self._steps.begin(request, now=now)
 
-    def caller_gone(self, request_id: str, *, now: float) -> list[Action]:
+    def caller_disconnected(self, request_id: str, *, now: float) -> list[Action]:
         """Stop the work of a caller that has closed its connection.
 
         A non-repeatable request that was sent goes on: its outcome must be known
@@ -167,7 +167,7 @@
         request = self.requests_by_id.get(request_id)
         if request is None:
             return []
-        request.caller_gone = True
+        request.caller_disconnected = True
         if not request.arrival.repeatable and request.attempt_id:
             return []
         return self._steps.end(request, answer=None, now=now)
@@ -213,7 +213,7 @@
             self._attempts.first_token(request, now=now)
             self._steps.enter(request, RequestState.STREAMING, now=now)
         self._attempts.progressed(request, now=now)
-        if not request.streamed or request.caller_gone:
+        if not request.streamed or request.caller_disconnected:
             return []
         return [StreamTokens(request_id=request.arrival.request_id, tokens=fresh)]
 
@@ -233,7 +233,9 @@
                 usage=usage,
                 owner=self._claims.owner,
             )
-        answer = answers.whole_answer(request, finish_reason=finish_reason, usage=usage)
+        answer = answers.complete_answer(
+            request, finish_reason=finish_reason, usage=usage
+        )
         return self._steps.end(request, answer=answer, outcome=outcome, now=now)
 
     def service_answered(
--- a/ryelever/coordination/requests/state.py
+++ b/ryelever/coordination/requests/state.py
@@ -65,7 +65,7 @@
         True once any attempt may have reached a backend server.  It is never
         taken back: a later attempt that was refused proves nothing about an
         earlier one.
-    caller_gone : bool
+    caller_disconnected : bool
         True when only the outcome is still wanted.
     tried : tuple of str
         Names of the targets tried, oldest first.
@@ -93,7 +93,7 @@
     proved_from: int = 0
     looked_at: float = float("-inf")
     may_have_run: bool = False
-    caller_gone: bool = False
+    caller_disconnected: bool = False
     error: RyeleverError | None = None
     service_answer: AnswerService | None = None
 
--- a/ryelever/coordination/requests/steps.py
+++ b/ryelever/coordination/requests/steps.py
@@ -85,7 +85,7 @@
     def _no_target(self, request: Request, *, now: float) -> list[Action]:
         if request.error is None:
             error = answers.no_target(retry_after=self._retry_after())
-            if not self._attempts.waits_its_turn(request, now=now):
+            if not self._attempts.must_wait_for_suspects(request, now=now):
                 return self.fail(request, error=error, now=now)
             request.error = error
         if request.state is not RequestState.RECOVERING:
@@ -96,7 +96,7 @@
         """Try again to find a target after an attempt has failed."""
         waited = now - request.since
         over = waited >= self._timeouts.recovery
-        if over and not self._attempts.waits_its_turn(request, now=now):
+        if over and not self._attempts.must_wait_for_suspects(request, now=now):
             return self.fail(request, error=request.error, now=now)
         harmless = not isinstance(request.arrival.work, ChatWork) or (
             request.error.category in (Category.TIMEOUT, Category.UNAVAILABLE)
@@ -169,7 +169,7 @@
             # shows that no other entry host has sent it either.
             refusal = self._claims.refuse(request.arrival, error)
             ended = self.end(request, answer=None, now=now)
-            return ended if request.caller_gone else ended + refusal
+            return ended if request.caller_disconnected else ended + refusal
         request_id = request.arrival.request_id
         answer: Action = AnswerError(request_id=request_id, error=error)
         if request.streamed and request.delivered:
@@ -191,13 +191,13 @@
         if request.attempt_id:
             request.may_have_run = True
             actions.append(CancelAttempt(attempt_id=request.attempt_id))
-            self._attempts.end(request, failed=not request.caller_gone, now=now)
+            self._attempts.end(request, failed=not request.caller_disconnected, now=now)
         if outcome is not None:
             actions.append(self._claims.append(outcome))
         elif request.claimed:
             actions.append(self._claims.end_unanswered(request))
         self.forget(request, now=now)
-        if answer is not None and not request.caller_gone:
+        if answer is not None and not request.caller_disconnected:
             actions.append(answer)
         return actions
 
--- a/ryelever/coordination/routing/plain.py
+++ b/ryelever/coordination/routing/plain.py
@@ -48,7 +48,7 @@
             untried, key=lambda target: self._n_in_flight_by_name.get(target.name, 0)
         )
 
-    def waits_its_turn(self, arrival: Arrival, *, now: float) -> bool:
+    def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
         """Keep nobody apart."""
         return False
 
--- a/ryelever/coordination/routing/routing.py
+++ b/ryelever/coordination/routing/routing.py
@@ -41,7 +41,7 @@
     ) -> Target | None:
         """Return the target of the next attempt, or None if there is none."""
 
-    def waits_its_turn(self, arrival: Arrival, *, now: float) -> bool:
+    def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
         """Tell whether only other suspects of a crash keep a request from running."""
 
     def is_lost(self, target: Target, arrival: Arrival, *, now: float) -> bool:
@@ -142,7 +142,7 @@
             return None
         return choice.target
 
-    def waits_its_turn(self, arrival: Arrival, *, now: float) -> bool:
+    def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
         """Tell whether something could serve a suspect, were there no others."""
         if self._quarantine.is_held(arrival.fingerprint, now=now):
             return True
--- a/ryelever/coordination/routing/targets.py
+++ b/ryelever/coordination/routing/targets.py
@@ -145,11 +145,11 @@
 
     def _still_whole(self, group: Group, target: Target, *, now: float) -> bool:
         same = group.fencing == target.fencing
-        return same and self._confirmations.is_whole(group, now=now)
+        return same and self._confirmations.is_complete(group, now=now)
 
     def _may_serve(self, group: Group, *, now: float) -> bool:
         # A draining group ends what it runs and is then dissolved.
-        return not group.draining and self._confirmations.is_whole(group, now=now)
+        return not group.draining and self._confirmations.is_complete(group, now=now)
 
     def _is_leaving(self, host: str, *, now: float) -> bool:
         listed = self._hosts_by_name.get(host)
--- a/ryelever/dump.py
+++ b/ryelever/dump.py
@@ -74,7 +74,7 @@
             lease = placement.lease
             seen["lease", zone] = None if lease is None else lease.holder
             for group in placement.groups_by_name.values():
-                whole = application.confirmations.is_whole(group, now=now)
+                whole = application.confirmations.is_complete(group, now=now)
                 seen["group", group.name] = (whole, group.dissolved)
         known = self._beliefs_by_subject
         self._beliefs_by_subject = {
@@ -191,7 +191,7 @@
                 "model": group.model,
                 "fencing": group.fencing,
                 "members": group.members,
-                "whole": application.confirmations.is_whole(group, now=now),
+                "whole": application.confirmations.is_complete(group, now=now),
                 "dissolved": group.dissolved,
                 "for": self._held_for("group", group.name, now=now),
                 "reason": group.dissolved_reason or group.reason,
--- a/ryelever/emulator/fleet.py
+++ b/ryelever/emulator/fleet.py
@@ -137,10 +137,10 @@
         return Counter(
             server.last_model
             for server in self.living
-            if server.is_open_head and self.is_whole(server)
+            if server.is_open_head and self.is_complete(server)
         )
 
-    def is_whole(self, head: EmulatedServer) -> bool:
+    def is_complete(self, head: EmulatedServer) -> bool:
         """Tell whether all members of a head's group are there and in it."""
         report = head.entry.group
         n_members = sum(
@@ -174,7 +174,7 @@
             )
 
     def _stall(self, head: EmulatedServer) -> None:
-        if self.is_whole(head):
+        if self.is_complete(head):
             head.whole_until = float("inf")
             return
         head.whole_until = min(head.whole_until, self.now)
@@ -230,7 +230,7 @@
     def _plan(self) -> None:
         suspects = self._suspects()
         for zone, planner in self.planners_by_zone.items():
-            planner.keeper.suspect(suspects)
+            planner.manager.suspect(suspects)
             orders, append = planner.look(now=self.now)
             for order in orders:
                 self._carry_out(zone, order)
@@ -240,8 +240,8 @@
         self._answers = [item for item in self._answers if item.step > self._step]
         for answer in due:
             if answer.order.group:
-                keeper = self.planners_by_zone[answer.zone].keeper
-                keeper.answered(answer.order, answer.outcome, now=self.now)
+                manager = self.planners_by_zone[answer.zone].manager
+                manager.answered(answer.order, answer.outcome, now=self.now)
 
     def _append(self, zone: str, append: AppendGroups) -> None:
         planner = self.planners_by_zone[zone]
--- a/ryelever/emulator/server.py
+++ b/ryelever/emulator/server.py
@@ -110,13 +110,13 @@
             order.epoch,
         )
         if order.kind is OrderKind.PROBE:
-            return OrderOutcome.HOLDS if is_in else OrderOutcome.APART
+            return OrderOutcome.APPLIED if is_in else OrderOutcome.NOT_A_MEMBER
         model = engine.models_by_name.get(order.model)
         if order.kind is OrderKind.STAGE:
             self.loads.append(Load(model=order.model, remaining=model.load_time))
         elif order.kind is OrderKind.JOIN:
             if order.epoch < self.newest_epoch:
-                return OrderOutcome.OVERTAKEN
+                return OrderOutcome.SUPERSEDED
             self.newest_epoch = order.epoch
             self._join(order, model, now=now)
         elif not is_in:
@@ -129,8 +129,8 @@
             self._report(GroupState.CLOSING)
         elif order.kind is OrderKind.LEAVE:
             self._change(group=None, models=frozenset())
-            return OrderOutcome.HOLDS
-        return OrderOutcome.BEGUN
+            return OrderOutcome.APPLIED
+        return OrderOutcome.IN_PROGRESS
 
     def break_off(self) -> None:
         """Report that its group has stood still for too long."""
--- a/ryelever/events.py
+++ b/ryelever/events.py
@@ -25,7 +25,7 @@
     "OutboundFailure",
     "OutboundRequest",
     "RelayedRequest",
-    "caller_gone",
+    "caller_disconnected",
     "caller_request",
     "caller_stalled",
     "control_tick",
@@ -39,10 +39,10 @@
     "outbound_flow",
     "outbound_head",
     "outbound_send",
-    "peers_look",
+    "peers_poll",
     "peers_received",
     "peers_send",
-    "relayed_gone",
+    "relayed_caller_disconnected",
     "relayed_request",
     "server_updates",
     "serving_tick",
@@ -232,7 +232,7 @@
     """Announce a ``RelayedRequest``."""
 
 
-class relayed_gone(Event):
+class relayed_caller_disconnected(Event):
     """Announce, by its number, a relayed request whose caller is gone."""
 
 
@@ -244,7 +244,7 @@
     """Announce a ``CallerRequest``."""
 
 
-class caller_gone(Event):
+class caller_disconnected(Event):
     """Announce by request id that the caller has closed its connection."""
 
 
@@ -332,7 +332,7 @@
     """Ask for a list of ``Datagram`` to be sent to peers."""
 
 
-class peers_look(Event):
+class peers_poll(Event):
     """Ask for the datagrams that have come from peers."""
 
 
--- a/ryelever/group_planning.py
+++ b/ryelever/group_planning.py
@@ -95,7 +95,7 @@
         return Counter(
             phase.value
             for planner in self.planners_by_zone.values()
-            for phase in planner.keeper.phases().values()
+            for phase in planner.manager.phases().values()
         )
 
     def stranded_seconds(self) -> dict[str, float]:
@@ -130,7 +130,7 @@
             self._settle_lead(zone)
         still = self._still() if self.planners_by_zone else set()
         for zone, planner in self.planners_by_zone.items():
-            planner.keeper.suspect(still)
+            planner.manager.suspect(still)
             orders, append = planner.look(now=now)
             for order in orders:
                 self._orders.add(zone, order)
@@ -235,7 +235,7 @@
         One to join a group that has ended meanwhile would tie up its member.
         """
         planner = self.planners_by_zone.get(zone)
-        return planner is not None and planner.keeper.wants(order)
+        return planner is not None and planner.manager.wants(order)
 
     def _give(self, zone: str, order: GroupOrder) -> None:
         order_id = f"order-{next(self._ids)}"
@@ -267,7 +267,7 @@
     @handler("outbound_failed")
     def _on_failed(self, failure: OutboundFailure) -> None:
         refused = failure.error.code == REFUSED
-        outcome = OrderOutcome.GONE if refused else OrderOutcome.UNKNOWN
+        outcome = OrderOutcome.WRONG_INSTANCE if refused else OrderOutcome.UNKNOWN
         self._take_outcome(failure.id, outcome)
 
     def _take_outcome(self, order_id: str, outcome: OrderOutcome) -> None:
@@ -284,5 +284,5 @@
         )
         planner = self.planners_by_zone.get(zone)
         if planner is not None and order.group:
-            planner.keeper.answered(order, outcome, now=time.monotonic())
+            planner.manager.answered(order, outcome, now=time.monotonic())
         self._give_due()
--- a/ryelever/host_exchange.py
+++ b/ryelever/host_exchange.py
@@ -28,7 +28,7 @@
     from collections.abc import Callable, Iterable
 
     from .coordination.host_heartbeats import HostAddress, HostHeartbeat, HostHeartbeats
-    from .coordination.relaying import Balancer, CrashWatch, StillnessWatch
+    from .coordination.relaying import Balancer, CrashWatch, StallWatch
     from .relay_settings import RelaySettings
 
 __all__ = ["HostExchange", "HEARTBEAT_INTERVAL"]
@@ -67,7 +67,7 @@
         settings: RelaySettings,
         heartbeats: HostHeartbeats,
         balancer: Balancer,
-        stillness: StillnessWatch,
+        stall_watch: StallWatch,
         crashes: CrashWatch,
         describe: Callable[[], HostHeartbeat],
         take_version: Callable[[HostHeartbeat], None],
@@ -76,7 +76,7 @@
         self._settings = settings
         self._heartbeats = heartbeats
         self._balancer = balancer
-        self._stillness = stillness
+        self._stall_watch = stall_watch
         self._crashes = crashes
         self._describe = describe
         self._take_version = take_version
@@ -199,7 +199,7 @@
                     self._spread_near(
                         encode_heartbeat(replace(heartbeat, passed_on=True))
                     )
-                self._take_still(heartbeat, now=now)
+                self._mark_stalled(heartbeat, now=now)
                 self._take_version(heartbeat)
                 self._balancer.limits.heard(heartbeat.rate_limits, now=now)
                 if heartbeat.suspicions:
@@ -289,11 +289,11 @@
         if datagrams:
             self.fire(peers_send(datagrams), "peers")
 
-    def _take_still(self, heartbeat: HostHeartbeat, *, now: float) -> None:
+    def _mark_stalled(self, heartbeat: HostHeartbeat, *, now: float) -> None:
         """Leave groups alone that stand still for another host, and not here."""
         for server_id in heartbeat.still:
-            if not self._stillness.moves(server_id, now=now):
-                self._balancer.stands_still(server_id, now=now)
+            if not self._stall_watch.has_progressed(server_id, now=now):
+                self._balancer.mark_stalled(server_id, now=now)
 
     def _log_hearing(self, *, now: float) -> None:
         heard = {heartbeat.host for heartbeat in self._heartbeats.near(now=now)}
--- a/ryelever/platform/orders.py
+++ b/ryelever/platform/orders.py
@@ -22,16 +22,16 @@
 }
 
 _OUTCOMES = {
-    200: OrderOutcome.HOLDS,
-    202: OrderOutcome.BEGUN,
+    200: OrderOutcome.APPLIED,
+    202: OrderOutcome.IN_PROGRESS,
     # There is no such order.
     400: OrderOutcome.REFUSED,
     # The order does not fit the state that the backend server is in.
     409: OrderOutcome.REFUSED,
     # It has seen a higher epoch, or other members under this one.
-    412: OrderOutcome.OVERTAKEN,
+    412: OrderOutcome.SUPERSEDED,
     # Another incarnation or another backend server has the address now.
-    421: OrderOutcome.GONE,
+    421: OrderOutcome.WRONG_INSTANCE,
 }
 
 
@@ -94,11 +94,11 @@
         log_warning(
             "report_unreadable", server=order.server_id, message=read.error.message
         )
-        return OrderOutcome.HOLDS
+        return OrderOutcome.APPLIED
     group = read.ok.group
     if group is msgspec.UNSET:
-        return OrderOutcome.HOLDS
+        return OrderOutcome.APPLIED
     same = group is not None and (group.name, group.epoch) == (order.group, order.epoch)
     if None not in (order.started_at, read.ok.born):
         same = same and order.started_at == read.ok.born
-    return OrderOutcome.HOLDS if same else OrderOutcome.APART
+    return OrderOutcome.APPLIED if same else OrderOutcome.NOT_A_MEMBER
--- a/ryelever/relay.py
+++ b/ryelever/relay.py
@@ -33,7 +33,7 @@
         RelayMeasures,
         RelayRefusal,
         RepeatBudget,
-        StillnessWatch,
+        StallWatch,
     )
     from .metrics import Metrics
     from .protocol.relaying import RelayInterface
@@ -74,7 +74,7 @@
         table: Callable[[], RouteTable | None],
         balancer: Balancer,
         budget: RepeatBudget,
-        stillness: StillnessWatch,
+        stall_watch: StallWatch,
         crashes: CrashWatch,
         metrics: Metrics,
         measures: RelayMeasures,
@@ -86,14 +86,14 @@
         self._metrics = metrics
         self._received_by_number: dict[int, RelayedRequest] = {}
         self._cutters_by_attempt: dict[str, EventCutter] = {}
-        self.stillness = stillness
+        self.stall_watch = stall_watch
         self.balancer = balancer
         self.demand = DemandMeter()
         self.requests = RelayRequests(
             table=table,
             balancer=balancer,
             budget=budget,
-            stillness=stillness,
+            stall_watch=stall_watch,
             crashes=crashes,
             outbox=self,
             served=self.demand.served,
@@ -124,9 +124,9 @@
             self._measure(arrival.model, arrival.n_prompt, now=now)
         self.requests.arrive(received.number, arrival)
 
-    @handler("relayed_gone")
+    @handler("relayed_caller_disconnected")
     def _on_gone(self, number: int) -> None:
-        self.requests.caller_gone(number)
+        self.requests.caller_disconnected(number)
         self._received_by_number.pop(number, None)
 
     def _measure(self, model: str, n_prompt: int, *, now: float) -> None:
--- a/ryelever/relay_application.py
+++ b/ryelever/relay_application.py
@@ -16,12 +16,12 @@
     Balancer,
     CrashWatch,
     RepeatBudget,
-    StillnessWatch,
+    StallWatch,
 )
 from .events import (
     control_tick,
     heartbeat_tick,
-    peers_look,
+    peers_poll,
     serving_tick,
     sweep,
 )
@@ -71,7 +71,7 @@
 
 #: Seconds between two looks at what other hosts have sent.  Their words come every
 #: 0.2 s at most, so that half of this is little beside the age that they have anyway.
-PEERS_LOOK = 0.1
+PEERS_POLL_INTERVAL = 0.1
 
 #: Seconds between two looks at connections.
 SWEEP = 0.2
@@ -181,7 +181,7 @@
                 window=settings.repeat_window,
                 n_hosts=lambda: self.heartbeats.n_hosts(now=time.monotonic()),
             ),
-            stillness=StillnessWatch(),
+            stall_watch=StallWatch(),
             crashes=crashes,
             metrics=self.metrics,
             measures=RelayMetrics(metrics=self.metrics),
@@ -193,14 +193,14 @@
             groups=groups,
             store=self.store,
             plans_for=self._plans_for,
-            still=self._still_heads,
+            still=self._stalled_heads,
             new_planner=self._new_planner,
         )
         self.exchange = HostExchange(
             settings=settings,
             heartbeats=self.heartbeats,
             balancer=self.balancer,
-            stillness=self.relay.stillness,
+            stall_watch=self.relay.stall_watch,
             crashes=crashes,
             describe=self._describe_host,
             take_version=self._take_version,
@@ -256,20 +256,26 @@
             now=time.monotonic(),
         )
 
-    def _still_heads(self) -> set[str]:
+    def _stalled_heads(self) -> set[str]:
         now = time.monotonic()
-        stillness = self.relay.stillness
-        still = self.heartbeats.still(now=now).union(stillness.still(now=now))
+        stall_watch = self.relay.stall_watch
+        still = self.heartbeats.still(now=now).union(stall_watch.still(now=now))
         # A host that has lost its way to a head sees a group stand still that serves
         # all others.
         moving = self.heartbeats.moving(now=now)
-        return {head for head in still - moving if not stillness.moves(head, now=now)}
+        return {
+            head
+            for head in still - moving
+            if not stall_watch.has_progressed(head, now=now)
+        }
 
-    def _moving_heads(self, *, now: float) -> tuple[str, ...]:
+    def _progressing_heads(self, *, now: float) -> tuple[str, ...]:
         """Return the heads that others saw stand still, and that move here."""
         in_doubt = self.heartbeats.still(now=now)
         return tuple(
-            head for head in in_doubt if self.relay.stillness.moves(head, now=now)
+            head
+            for head in in_doubt
+            if self.relay.stall_watch.has_progressed(head, now=now)
         )
 
     def _reads_store(self) -> bool:
@@ -279,7 +285,7 @@
         return ZonePlanner(
             zone=zone,
             n_zones=len(self.settings.zones),
-            is_own=zone == self.settings.availability_zone,
+            is_local=zone == self.settings.availability_zone,
             directory=self.directory,
             table=self._table,
             demand=self._demand,
@@ -319,8 +325,8 @@
             configuration_version=self.fleet.version,
             configuration_size=len(self.fleet.document()),
             knows_servers=self.fleet.servers.is_current,
-            still=tuple(self.relay.stillness.still(now=now)),
-            moving=self._moving_heads(now=now),
+            still=tuple(self.relay.stall_watch.still(now=now)),
+            moving=self._progressing_heads(now=now),
             suspicions=self.crashes.told(now=now),
             plans=tuple(self.planning.planners_by_zone),
             reshapes=self.planning.reshaped_zones(),
@@ -402,7 +408,7 @@
     def _on_started(self, *args: object) -> None:
         timers = self.timers
         # First of all, so that what is decided in a round knows what others said.
-        timers.every(PEERS_LOOK, peers_look, "peers")
+        timers.every(PEERS_POLL_INTERVAL, peers_poll, "peers")
         timers.every(CONTROL_TICK, control_tick, *CONTROL_CHANNELS)
         timers.every(self._serving_tick, serving_tick, "relay")
         timers.every(HEARTBEAT_INTERVAL, heartbeat_tick, "exchange")
--- a/ryelever/serving.py
+++ b/ryelever/serving.py
@@ -11,9 +11,9 @@
 from .attempts import Attempts
 from .caller_answers import CallerAnswers
 from .coordination.actions import (
+    AnswerComplete,
     AnswerError,
     AnswerService,
-    AnswerWhole,
     AppendRecord,
     CancelAttempt,
     SendAttempt,
@@ -136,10 +136,12 @@
             CallerAnswer(request_id=request.request_id, status=200, body=answer.ok)
         )
 
-    @handler("caller_gone")
+    @handler("caller_disconnected")
     def _on_caller_gone(self, request_id: str) -> None:
         self._answers.forget(request_id)
-        self._carry_out(self._table.caller_gone(request_id, now=time.monotonic()))
+        self._carry_out(
+            self._table.caller_disconnected(request_id, now=time.monotonic())
+        )
         if request_id in self._stalled:
             self._set_flow(request_id, stop=False)
 
@@ -167,7 +169,9 @@
             run_state=RunState.OUTCOME_UNKNOWN,
         )
         self._answers.answer_error(request_id, fault)
-        self._carry_out(self._table.caller_gone(request_id, now=time.monotonic()))
+        self._carry_out(
+            self._table.caller_disconnected(request_id, now=time.monotonic())
+        )
 
     @handler("caller_stalled")
     def _on_caller_stalled(self, request_id: str, stalled: bool) -> None:
@@ -201,8 +205,8 @@
                     self._attempts.cancel(action.attempt_id)
                 case AnswerError():
                     self._answers.answer_error(action.request_id, action.error)
-                case AnswerWhole():
-                    self._answers.answer_whole(action)
+                case AnswerComplete():
+                    self._answers.answer_complete(action)
                 case AnswerService():
                     self._answers.answer_service(action)
                 case StreamFinished():
--- a/ryelever/transport/callers.py
+++ b/ryelever/transport/callers.py
@@ -22,7 +22,7 @@
 from ..events import (
     CallerAnswer,
     CallerRequest,
-    caller_gone,
+    caller_disconnected,
     caller_request,
     caller_stalled,
 )
@@ -31,11 +31,11 @@
 from .callers_web import (
     LAST_CHUNK,
     CallersWeb,
+    complete_answer,
     stream_head,
     stream_part,
-    whole_answer,
 )
-from .request_reader import Limits, Refusal, RequestReader, WholeRequest
+from .request_reader import CompleteRequest, Limits, Refusal, RequestReader
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -54,7 +54,7 @@
     reader: RequestReader
     since: float
     progress_at: float
-    request: WholeRequest | None = None
+    request: CompleteRequest | None = None
     request_id: str = ""
     stalled: bool = False
     closing: bool = False
@@ -119,7 +119,7 @@
         self._web.forget(sock)
         if connection.request_id:
             del self._connections_by_request[connection.request_id]
-            self.fire(caller_gone(connection.request_id), "serving")
+            self.fire(caller_disconnected(connection.request_id), "serving")
 
     @handler("read", channel="callers")
     def _on_read_callers(self, sock: socket.socket, data: bytes) -> None:
@@ -197,18 +197,18 @@
     def _take(
         self,
         connection: _Connection,
-        outcomes: Iterable[WholeRequest | Refusal | bytes],
+        outcomes: Iterable[CompleteRequest | Refusal | bytes],
     ) -> None:
         for outcome in outcomes:
             match outcome:
-                case WholeRequest():
+                case CompleteRequest():
                     self._hand_on(connection, outcome)
                 case Refusal():
                     self._refuse(connection, outcome)
                 case _:
                     self._write_now(connection, outcome)
 
-    def _hand_on(self, connection: _Connection, request: WholeRequest) -> None:
+    def _hand_on(self, connection: _Connection, request: CompleteRequest) -> None:
         connection.request = request
         connection.since = time.monotonic()
         self._web.parse(connection.sock, request)
@@ -264,7 +264,7 @@
             return
         response = connection.response
         response.close = response.close or self._draining
-        self._write_now(connection, whole_answer(response, answer))
+        self._write_now(connection, complete_answer(response, answer))
         self._answered(connection)
 
     @handler("caller_stream_start", channel="callers")
--- a/ryelever/transport/callers_web.py
+++ b/ryelever/transport/callers_web.py
@@ -17,9 +17,9 @@
     from circuits.web.wrappers import Request, Response
 
     from ..events import CallerAnswer
-    from .request_reader import WholeRequest
+    from .request_reader import CompleteRequest
 
-__all__ = ["LAST_CHUNK", "CallersWeb", "stream_head", "stream_part", "whole_answer"]
+__all__ = ["LAST_CHUNK", "CallersWeb", "stream_head", "stream_part", "complete_answer"]
 
 #: Ends a body in chunks.
 LAST_CHUNK = b"0\r\n\r\n"
@@ -62,7 +62,7 @@
         self._callers = callers
         self._parser = HTTP(callers, channel=self.channel).register(self)
 
-    def parse(self, sock: socket.socket, request: WholeRequest) -> None:
+    def parse(self, sock: socket.socket, request: CompleteRequest) -> None:
         """Give ``circuits.web`` the request without what a caller could word.
 
         It would fail with a traceback on a Host, a Cookie or a path that it cannot
@@ -101,7 +101,7 @@
             self._callers.close(sock)
 
 
-def whole_answer(response: Response, answer: CallerAnswer) -> bytes:
+def complete_answer(response: Response, answer: CallerAnswer) -> bytes:
     """Return an answer's head and body as they go over the wire."""
     response.status = answer.status
     response.headers["Content-Type"] = answer.content_type
--- a/ryelever/transport/peers.py
+++ b/ryelever/transport/peers.py
@@ -40,7 +40,7 @@
         Channel on which ``peers_received`` is fired.
     wakes : bool
         Whether a datagram wakes the process.  Else they are read at each
-        ``peers_look``: where dozens of hosts send several a second each, waking for
+        ``peers_poll``: where dozens of hosts send several a second each, waking for
         each of them costs more than what it says, and nobody waits for one.
     """
 
@@ -87,7 +87,7 @@
     def _on_read(self, sock: socket.socket) -> None:
         self._read()
 
-    @handler("peers_look")
+    @handler("peers_poll")
     def _on_look(self) -> None:
         # What came since the last look is read whole, or a backlog would only grow.
         while self._read() == MAX_BATCH:
--- a/ryelever/transport/relay_callers.py
+++ b/ryelever/transport/relay_callers.py
@@ -19,7 +19,7 @@
 
 from ..events import (
     RelayedRequest,
-    relayed_gone,
+    relayed_caller_disconnected,
     relayed_request,
 )
 from .caller_server import CallerServer
@@ -146,7 +146,9 @@
         connection = self._connections_by_sock.pop(sock, None)
         if connection is not None and connection.number:
             del self._connections_by_number[connection.number]
-            self.fire(relayed_gone(connection.number), self._reply_channel)
+            self.fire(
+                relayed_caller_disconnected(connection.number), self._reply_channel
+            )
 
     @handler("read")
     def _on_bytes(self, sock: socket.socket, data: bytes) -> None:
--- a/ryelever/transport/request_reader.py
+++ b/ryelever/transport/request_reader.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-__all__ = ["Limits", "Refusal", "RequestReader", "WholeRequest"]
+__all__ = ["Limits", "Refusal", "RequestReader", "CompleteRequest"]
 
 _PATH_SAFE = "/*:@!$&'()+,;=~"
 
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class WholeRequest:
+class CompleteRequest:
     """Hold one request that is complete and of unambiguous length."""
 
     method: str
@@ -103,7 +103,7 @@
 
     def feed(
         self, data: bytes, *, now: float
-    ) -> Iterator[WholeRequest | Refusal | bytes]:
+    ) -> Iterator[CompleteRequest | Refusal | bytes]:
         """Take bytes; yield a whole request, a refusal or bytes to send at once."""
         if self._refused:
             return
@@ -124,7 +124,7 @@
             code = "head_too_large" if status == 431 else "bad_request"
             yield self._refuse(str(error), status=status, code=code)
 
-    def answered(self, *, now: float) -> Iterator[WholeRequest | Refusal | bytes]:
+    def answered(self, *, now: float) -> Iterator[CompleteRequest | Refusal | bytes]:
         """Go on with what the caller has sent ahead."""
         ahead = self._http.trailing_data[0] + bytes(self._ahead)
         self._http = self._new_http()
@@ -164,7 +164,7 @@
             h11.SERVER, max_incomplete_event_size=self.limits.max_head
         )
 
-    def _next_events(self) -> Iterator[WholeRequest | Refusal | bytes]:
+    def _next_events(self) -> Iterator[CompleteRequest | Refusal | bytes]:
         while not (self._answering or self._refused):
             event = self._http.next_event()
             if event is h11.NEED_DATA:
@@ -229,7 +229,7 @@
         in_doubt = status == REQUEST_TIMEOUT and keyed
         return RunState.OUTCOME_UNKNOWN if in_doubt else RunState.NOT_RUN
 
-    def _whole(self, *, path: str, query: str) -> WholeRequest:
+    def _whole(self, *, path: str, query: str) -> CompleteRequest:
         self._answering = True
         head = self._head
         headers: dict[str, str] = {}
@@ -243,7 +243,7 @@
         keep_alive = "keep-alive" in asked if http_version == "1.0" else True
         body = bytes(self._body)
         self._body = bytearray()
-        return WholeRequest(
+        return CompleteRequest(
             method=head.method.decode("ascii"),
             path=path,
             query=query,
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -118,7 +118,7 @@
             settings=settings_of(name, zone=zone),
             heartbeats=HostHeartbeats(host=name, zone=zone),
             balancer=self.balancer,
-            stillness=self.stillness,
+            stall_watch=self.stall_watch,
             crashes=self.crashes,
             describe=self._describe,
             take_version=lambda heartbeat: None,
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -163,7 +163,7 @@
         headers = {"Authorization": f"Bearer {OPERATOR_KEY}"}
         return httpx.get(f"{self.url}/dump", headers=headers, timeout=5).json()
 
-    def n_whole_groups(self) -> int:
+    def n_complete_groups(self) -> int:
         """Return how many groups it holds for whole."""
         return sum(group["whole"] for group in self.dump()["groups"])
 
@@ -325,7 +325,7 @@
         """Wait until every entry host that runs holds so many groups for whole."""
         wait_until(
             lambda: all(
-                entry.n_whole_groups() == n_groups
+                entry.n_complete_groups() == n_groups
                 for entry in self.entries_by_name.values()
                 if entry.process.exit_code is None
             ),
--- a/tests/smoke.py
+++ b/tests/smoke.py
@@ -94,7 +94,7 @@
         f"target {START_TARGET:g} s"
     )
     _require(started < START_LIMIT, "it took far too long to start")
-    wait_until(lambda: entry.n_whole_groups() == 1, what="the group is whole")
+    wait_until(lambda: entry.n_complete_groups() == 1, what="the group is whole")
     children = Path(f"/proc/{entry.process.pid}/task").glob("*/children")
     _require(not any(path.read_text() for path in children), "it started a process")
     headers = {"Authorization": f"Bearer {fleet.keys_by_account['pawroute']}"}
--- a/tests/test_coordination/test_admission/test_admission_table.py
+++ b/tests/test_coordination/test_admission/test_admission_table.py
@@ -83,8 +83,8 @@
 def test_caller_gone_while_waiting_leaves_nothing_behind(table: RequestTable) -> None:
     (sent,) = arrive(table, "first")
     arrive(table, "second")
-    assert table.caller_gone("second", now=0.5) == []
-    assert kinds(table.caller_gone("first", now=0.5)) == [CancelAttempt]
+    assert table.caller_disconnected("second", now=0.5) == []
+    assert kinds(table.caller_disconnected("first", now=0.5)) == [CancelAttempt]
     assert table.tick(now=1.0) == []
     assert table.requests_by_id == {}
     assert kinds(arrive(table, "third")) == [SendAttempt]
@@ -117,6 +117,6 @@
     table.finished(sent.attempt_id, finish_reason="stop", usage=Usage(), now=1.0)
     assert kinds(table.after_release(now=1.0)) == [SendAttempt]
     assert table.after_release(now=1.0) == []
-    table.caller_gone("second", now=1.0)
+    table.caller_disconnected("second", now=1.0)
     (sent,) = table.after_release(now=1.0)
     assert sent.arrival.request_id == "third"
--- a/tests/test_coordination/test_confirmation.py
+++ b/tests/test_coordination/test_confirmation.py
@@ -41,7 +41,7 @@
     confirmations.reported(READY, asked_at=0.0)
     if second is not None:
         confirmations.reported(replace(second, host="h2"), asked_at=asked_at)
-    assert confirmations.is_whole(GROUP, now=1.0) is whole
+    assert confirmations.is_complete(GROUP, now=1.0) is whole
 
 
 def test_late_answer_does_not_outrank_a_newer_one() -> None:
--- a/tests/test_coordination/test_groups/group_fakes.py
+++ b/tests/test_coordination/test_groups/group_fakes.py
@@ -4,7 +4,7 @@
 
 from msgspec.structs import replace
 
-from ryelever.coordination.groups.keeper import GroupKeeper
+from ryelever.coordination.groups.manager import GroupManager
 from ryelever.coordination.groups.orders import GroupOrder, OrderKind, OrderOutcome
 from ryelever.coordination.groups.records import GroupRecord, Member
 from ryelever.state.directory import (
@@ -76,7 +76,7 @@
         self.list_is_stale = False
         self.directory = Directory()
         self.lines: list[str] = []
-        self.keeper = GroupKeeper(
+        self.manager = GroupManager(
             directory=self.directory,
             stall_time=STALL_TIME,
             join_limit=20.0,
@@ -94,7 +94,7 @@
     def orders(self, now: float) -> list[GroupOrder]:
         """Return the orders that are due."""
         self.now = now
-        return self.keeper.look(now=now)
+        return self.manager.look(now=now)
 
     def report(self, group: GroupRecord, state: GroupState, *server_ids: str) -> None:
         """Show servers as members of a group in a state."""
@@ -130,15 +130,15 @@
 
     def serve(self, group: GroupRecord, *, now: float = 0.0) -> None:
         """Take a group to where it serves."""
-        self.keeper.put(group, now=now)
+        self.manager.put(group, now=now)
         self.report(group, GroupState.READY, *group.member_ids)
-        self.keeper.look(now=now)
+        self.manager.look(now=now)
         self.report(group, GroupState.OPEN, group.head.server_id)
-        self.keeper.look(now=now)
+        self.manager.look(now=now)
 
     def answer(
         self, orders: list[GroupOrder], outcome: OrderOutcome, *, now: float
     ) -> None:
         """Answer orders alike."""
         for order in orders:
-            self.keeper.answered(order, outcome, now=now)
+            self.manager.answered(order, outcome, now=now)
--- a/tests/test_coordination/test_groups/test_group_keeper.py
+++ b/tests/test_coordination/test_groups/test_group_keeper.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from ryelever.coordination.groups.keeper import (
+from ryelever.coordination.groups.managed_group import ORDER_RETRY, GroupPhase
+from ryelever.coordination.groups.managed_groups import DISBANDED
+from ryelever.coordination.groups.manager import (
     LAST_STREAMS,
     MEMBERS_SHOWN,
 )
-from ryelever.coordination.groups.kept_group import ORDER_RETRY, GroupPhase
-from ryelever.coordination.groups.kept_groups import TAKEN_APART
 from ryelever.coordination.groups.member_probes import ASK_INTERVAL
 from ryelever.coordination.groups.orders import OrderKind, OrderOutcome
 from ryelever.coordination.groups.silent_heads import STALL_SLACK
@@ -34,7 +34,7 @@
 
 
 def test_a_group_opens_once_all_were_seen_ready(members: Members) -> None:
-    members.keeper.put(GROUP, now=0.0)
+    members.manager.put(GROUP, now=0.0)
     assert members.look(0.0) == [(JOIN, "a"), (JOIN, "b"), (JOIN, "c")]
     members.report(GROUP, GroupState.READY, "a", "b")
     members.report(GROUP, GroupState.JOINING, "c")
@@ -44,11 +44,11 @@
     assert members.look(0.7) == []
     members.report(GROUP, GroupState.OPEN, "a")
     members.look(0.9)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.SERVING
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.SERVING
 
 
 def test_joins_without_effect_are_given_again(members: Members) -> None:
-    members.keeper.put(GROUP, now=0.0)
+    members.manager.put(GROUP, now=0.0)
     orders = members.orders(0.0)
     members.answer(orders, OrderOutcome.UNKNOWN, now=0.5)
     members.report(GROUP, GroupState.READY, "a", "b")
@@ -67,7 +67,7 @@
     Cause: a member's state alone doesn't tell which of the two it joined.
     """
     earlier = record(4, "a", "b", "c")
-    members.keeper.put(GROUP, now=0.0)
+    members.manager.put(GROUP, now=0.0)
     members.report(GROUP, GroupState.READY, "a", "b")
     members.report(earlier, GroupState.READY, "c")
     assert members.look(0.0) == [(JOIN, "c")]
@@ -76,7 +76,7 @@
 def test_an_open_order_that_came_too_early_is_given_again_soon(
     members: Members,
 ) -> None:
-    members.keeper.put(GROUP, now=0.0)
+    members.manager.put(GROUP, now=0.0)
     members.report(GROUP, GroupState.READY, "a", "b", "c")
     orders = members.orders(0.0)
     members.answer(orders, OrderOutcome.REFUSED, now=0.0)
@@ -84,14 +84,16 @@
     assert members.look(0.31) == [(OPEN, "a")]
 
 
-@pytest.mark.parametrize("outcome", [OrderOutcome.OVERTAKEN, OrderOutcome.GONE])
+@pytest.mark.parametrize(
+    "outcome", [OrderOutcome.SUPERSEDED, OrderOutcome.WRONG_INSTANCE]
+)
 def test_a_join_that_can_never_be_ends_the_group(
     members: Members, outcome: OrderOutcome
 ) -> None:
-    members.keeper.put(GROUP, now=0.0)
+    members.manager.put(GROUP, now=0.0)
     orders = members.orders(0.0)
     members.answer(orders[:1], outcome, now=0.1)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.ENDING
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.ENDING
 
 
 def test_members_are_free_only_after_the_head_has_left(members: Members) -> None:
@@ -104,15 +106,15 @@
     """
     members.serve(GROUP)
     members.lose("c", heard_at=0.0)
-    members.answer(members.orders(2.9), OrderOutcome.GONE, now=2.9)
+    members.answer(members.orders(2.9), OrderOutcome.WRONG_INSTANCE, now=2.9)
     orders = members.orders(3.0)
     assert [(order.kind, order.server_id) for order in orders] == [(LEAVE, "a")]
-    assert members.keeper.taken() == {"a", "b", "c"}
+    assert members.manager.taken() == {"a", "b", "c"}
     members.answer(orders, OrderOutcome.UNKNOWN, now=3.5)
-    assert members.keeper.taken() == {"a", "b", "c"}
+    assert members.manager.taken() == {"a", "b", "c"}
     orders = members.orders(3.0 + ORDER_RETRY)
-    members.answer(orders, OrderOutcome.BEGUN, now=4.1)
-    assert members.keeper.taken() == set()
+    members.answer(orders, OrderOutcome.IN_PROGRESS, now=4.1)
+    assert members.manager.taken() == set()
 
 
 def test_a_head_that_shows_as_having_left_frees_its_members(members: Members) -> None:
@@ -121,14 +123,14 @@
     members.look(3.0)
     members.leave("a")
     members.look(3.2)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.RETIRED
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
 
 def test_a_broken_group_is_retired_without_an_order(members: Members) -> None:
     members.serve(GROUP)
     members.report(GROUP, GroupState.BROKEN, "a")
     assert members.look(1.0) == []
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.RETIRED
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
 
 def test_a_silent_head_is_waited_for_until_its_group_has_broken_off(
@@ -139,15 +141,15 @@
     orders = members.orders(13.0)
     told = [(order.kind, order.server_id) for order in orders]
     assert told == [(LEAVE, "a"), (LEAVE, "b"), (LEAVE, "c")]
-    members.answer(orders[1:2], OrderOutcome.HOLDS, now=13.0)
+    members.answer(orders[1:2], OrderOutcome.APPLIED, now=13.0)
     members.look(10.0 + STALL_TIME)
-    assert members.keeper.taken() == {"a", "b", "c"}
+    assert members.manager.taken() == {"a", "b", "c"}
     # If the head lives, "c" may be around it, and the group may be whole.
     members.look(10.1 + STALL_TIME + STALL_SLACK)
-    assert members.keeper.taken() == {"a", "b", "c"}
-    members.answer(orders[2:], OrderOutcome.HOLDS, now=17.0)
+    assert members.manager.taken() == {"a", "b", "c"}
+    members.answer(orders[2:], OrderOutcome.APPLIED, now=17.0)
     members.look(17.1)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.RETIRED
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
 
 def test_survivors_that_have_left_are_free_before_the_head_is(members: Members) -> None:
@@ -158,12 +160,12 @@
     have broken off, if it lived.
     Cause: that they can leave by themselves was not used.
     """
-    members.keeper.put(GROUP, now=0.0, decided_here=True)
+    members.manager.put(GROUP, now=0.0, decided_here=True)
     members.serve(GROUP)
     members.lose("a", heard_at=10.0)
     orders = members.orders(13.0)
-    members.answer(orders[1:], OrderOutcome.HOLDS, now=13.0)
-    assert members.keeper.taken() == {"a"}
+    members.answer(orders[1:], OrderOutcome.APPLIED, now=13.0)
+    assert members.manager.taken() == {"a"}
 
 
 def test_members_with_a_join_in_doubt_are_held_until_their_group_has_broken_off(
@@ -176,18 +178,18 @@
     head is cut off, a member leaves and is given away; the first order is carried out.
     Cause: that a member had left was taken for lasting.
     """
-    members.keeper.put(GROUP, now=0.0, decided_here=True)
+    members.manager.put(GROUP, now=0.0, decided_here=True)
     joins = members.orders(0.0)
     members.answer(joins, OrderOutcome.UNKNOWN, now=0.5)
     members.serve(GROUP, now=1.0)
     members.lose("a", heard_at=2.0)
     orders = members.orders(5.0)
-    members.answer(orders[1:], OrderOutcome.HOLDS, now=5.0)
+    members.answer(orders[1:], OrderOutcome.APPLIED, now=5.0)
     for now in (5.1, 9.0, 4.9 + STALL_TIME + STALL_SLACK):
         members.look(now)
-        assert members.keeper.taken() == {"a", "b", "c"}
+        assert members.manager.taken() == {"a", "b", "c"}
     members.look(5.1 + STALL_TIME + STALL_SLACK)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.RETIRED
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
 
 def test_a_survivor_that_is_not_reached_holds_up_no_others(members: Members) -> None:
@@ -202,11 +204,11 @@
     members.serve(GROUP)
     members.lose("a", heard_at=10.0)
     orders = members.orders(13.0)
-    members.answer(orders[1:2], OrderOutcome.HOLDS, now=13.0)
+    members.answer(orders[1:2], OrderOutcome.APPLIED, now=13.0)
     members.look(12.9 + STALL_TIME + STALL_SLACK)
-    assert members.keeper.taken() == {"a", "b", "c"}
+    assert members.manager.taken() == {"a", "b", "c"}
     members.look(13.1 + STALL_TIME + STALL_SLACK)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.RETIRED
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
 
 def test_a_head_that_answers_is_not_silent(members: Members) -> None:
@@ -214,11 +216,11 @@
     members.lose("a", heard_at=10.0)
     orders = members.orders(13.0)
     # It is cut off from the store only, and refuses for a reason of its own.
-    members.keeper.answered(orders[0], OrderOutcome.UNKNOWN, now=13.1)
-    probe = members.keeper.kept_by_name[GROUP.name].order(PROBE, "a")
-    members.keeper.answered(probe, OrderOutcome.HOLDS, now=16.0)
+    members.manager.answered(orders[0], OrderOutcome.UNKNOWN, now=13.1)
+    probe = members.manager.managed_by_name[GROUP.name].order(PROBE, "a")
+    members.manager.answered(probe, OrderOutcome.APPLIED, now=16.0)
     members.look(18.0)
-    assert members.keeper.taken() == {"a", "b", "c"}
+    assert members.manager.taken() == {"a", "b", "c"}
 
 
 def test_a_group_that_is_cut_off_whole_keeps_its_members(members: Members) -> None:
@@ -234,18 +236,18 @@
     members.lose("a", "b", "c", heard_at=10.0)
     for now in (13.0, 18.0, 25.0):
         members.look(now)
-    assert members.keeper.taken() == {"a", "b", "c"}
+    assert members.manager.taken() == {"a", "b", "c"}
     members.report(GROUP, GroupState.READY, "b", "c")
     members.look(25.1)
-    assert members.keeper.taken() == {"a", "b", "c"}
+    assert members.manager.taken() == {"a", "b", "c"}
     # Once they have stayed as long as a group stands still, and have left, it has
     # broken off.
     later = 25.2 + STALL_TIME + STALL_SLACK
     orders = [item for item in members.orders(later) if item.server_id != "a"]
-    assert members.keeper.taken() == {"a", "b", "c"}
-    members.answer(orders, OrderOutcome.HOLDS, now=later)
+    assert members.manager.taken() == {"a", "b", "c"}
+    members.answer(orders, OrderOutcome.APPLIED, now=later)
     members.look(later + 0.1)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.RETIRED
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
 
 def test_a_new_planner_waits_for_no_silent_head_again(members: Members) -> None:
@@ -260,10 +262,10 @@
     """
     members.lose("a", heard_at=2.0)
     members.now = 10.0
-    members.keeper.put(GROUP, now=10.0)
+    members.manager.put(GROUP, now=10.0)
     members.look(10.0)
     members.look(10.0 + ORDER_RETRY)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.RETIRED
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
 
 def test_another_zones_group_may_miss_members_for_a_while() -> None:
@@ -271,7 +273,7 @@
     members.serve(GROUP)
     members.lose("b", heard_at=0.0)
     assert members.look(3.0) == []
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.SERVING
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.SERVING
     for now in (8.1, 8.6):
         probes = members.orders(now)
         assert [(probe.kind, probe.server_id) for probe in probes] == [(PROBE, "b")]
@@ -293,7 +295,7 @@
     for now in (4.0, 4.0 + ASK_INTERVAL, 4.0 + 2 * ASK_INTERVAL):
         probes = members.orders(now)
         assert [(probe.kind, probe.server_id) for probe in probes] == [(PROBE, "b")]
-        members.answer(probes, OrderOutcome.HOLDS, now=now)
+        members.answer(probes, OrderOutcome.APPLIED, now=now)
         assert members.look(now + 0.9 * ASK_INTERVAL) == []
     probes = members.orders(10.0)
     members.answer(probes, OrderOutcome.UNKNOWN, now=10.4)
@@ -311,12 +313,12 @@
     Cause: any answer to a probe was a sign that the group is whole.
     """
     members.serve(GROUP)
-    members.keeper.suspect({"a"})
+    members.manager.suspect({"a"})
     probes = members.orders(1.0)
-    members.answer(probes[:2], OrderOutcome.HOLDS, now=1.0)
-    members.answer(probes[2:], OrderOutcome.APART, now=1.0)
+    members.answer(probes[:2], OrderOutcome.APPLIED, now=1.0)
+    members.answer(probes[2:], OrderOutcome.NOT_A_MEMBER, now=1.0)
     assert members.look(1.1) == [(LEAVE, "a")]
-    assert not members.keeper.seems_lost("c", now=1.1)
+    assert not members.manager.seems_lost("c", now=1.1)
 
 
 def test_members_are_asked_while_the_list_is_silent(members: Members) -> None:
@@ -327,8 +329,8 @@
     ready, or that the head has opened.
     Cause: states were read from the list only, and the list from the store only.
     """
-    members.keeper.put(GROUP, now=0.0)
-    members.answer(members.orders(0.0), OrderOutcome.BEGUN, now=0.0)
+    members.manager.put(GROUP, now=0.0)
+    members.answer(members.orders(0.0), OrderOutcome.IN_PROGRESS, now=0.0)
     assert members.orders(0.5) == []
     members.list_is_stale = True
     assert {order.server_id for order in members.orders(0.6)} == {"a", "b", "c"}
@@ -338,18 +340,18 @@
 
 
 def test_a_member_that_has_not_joined_yet_ends_nothing(members: Members) -> None:
-    members.keeper.put(GROUP, now=0.0)
+    members.manager.put(GROUP, now=0.0)
     joins = members.orders(0.0)
     members.answer(joins, OrderOutcome.UNKNOWN, now=0.1)
     probes = [order for order in members.orders(0.2) if order.kind is PROBE]
-    members.answer(probes, OrderOutcome.APART, now=0.2)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.FORMING
+    members.answer(probes, OrderOutcome.NOT_A_MEMBER, now=0.2)
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.FORMING
 
 
 def test_a_member_whose_address_has_another_server_is_lost(members: Members) -> None:
     members.serve(GROUP)
     members.lose("b", heard_at=1.0)
-    members.answer(members.orders(4.0), OrderOutcome.GONE, now=4.0)
+    members.answer(members.orders(4.0), OrderOutcome.WRONG_INSTANCE, now=4.0)
     assert members.look(4.1) == [(LEAVE, "a")]
 
 
@@ -372,12 +374,12 @@
 
 def test_a_group_taken_apart_lets_streams_end_first(members: Members) -> None:
     members.serve(GROUP)
-    members.keeper.end(GROUP.name, TAKEN_APART, now=1.0)
+    members.manager.end(GROUP.name, DISBANDED, now=1.0)
     assert members.look(1.0) == [(CLOSE, "a")]
     members.report(GROUP, GroupState.READY, "a")
     # Ready again is not enough: another planner may tell the head to open.
     assert members.look(1.3) == [(LEAVE, "a")]
-    assert [group.name for group in members.keeper.taken_apart()] == [GROUP.name]
+    assert [group.name for group in members.manager.disbanding()] == [GROUP.name]
 
 
 def test_members_of_a_group_that_stands_still_are_probed(members: Members) -> None:
@@ -388,7 +390,7 @@
     Cause: nobody asked the members.
     """
     members.serve(GROUP)
-    members.keeper.suspect({"a"})
+    members.manager.suspect({"a"})
     for now in (1.0, 1.5):
         probes = members.orders(now)
         assert {(order.kind, order.server_id) for order in probes} == {
@@ -398,11 +400,11 @@
         }
         for probe in probes:
             lost = probe.server_id == "c"
-            outcome = OrderOutcome.UNKNOWN if lost else OrderOutcome.HOLDS
-            members.keeper.answered(probe, outcome, now=now + 0.4)
+            outcome = OrderOutcome.UNKNOWN if lost else OrderOutcome.APPLIED
+            members.manager.answered(probe, outcome, now=now + 0.4)
     assert members.look(2.0) == [(LEAVE, "a")]
-    assert members.keeper.seems_lost("c", now=2.0)
-    assert not members.keeper.seems_lost("b", now=2.0)
+    assert members.manager.seems_lost("c", now=2.0)
+    assert not members.manager.seems_lost("b", now=2.0)
 
 
 def test_a_server_that_was_lost_unseen_holds_up_no_new_group(
@@ -415,36 +417,36 @@
     their entries haven't lapsed, and new groups are formed with them.
     Cause: an order without an answer may be carried out late, so it is waited for.
     """
-    members.keeper.put(GROUP, now=0.0)
+    members.manager.put(GROUP, now=0.0)
     orders = members.orders(0.0)
-    members.answer(orders[:2], OrderOutcome.BEGUN, now=0.1)
+    members.answer(orders[:2], OrderOutcome.IN_PROGRESS, now=0.1)
     members.report(GROUP, GroupState.READY, "a", "b")
     members.answer(orders[2:], OrderOutcome.UNKNOWN, now=0.5)
     for now in (0.6, 1.1):
         probes = [order for order in members.orders(now) if order.kind is PROBE]
         assert [order.server_id for order in probes] == ["c"]
         members.answer(probes, OrderOutcome.UNKNOWN, now=now + 0.4)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.ENDING
-    assert members.keeper.seems_lost("c", now=1.6)
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.ENDING
+    assert members.manager.seems_lost("c", now=1.6)
 
 
 def test_a_server_that_joins_late_is_waited_for(members: Members) -> None:
-    members.keeper.put(GROUP, now=0.0)
+    members.manager.put(GROUP, now=0.0)
     orders = members.orders(0.0)
     members.answer(orders, OrderOutcome.UNKNOWN, now=0.5)
     for now in (0.6, 1.1, 1.6):
         probes = [order for order in members.orders(now) if order.kind is PROBE]
-        members.answer(probes, OrderOutcome.HOLDS, now=now + 0.1)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.FORMING
+        members.answer(probes, OrderOutcome.APPLIED, now=now + 0.1)
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.FORMING
 
 
 def test_members_that_all_answer_end_nothing(members: Members) -> None:
     members.serve(GROUP)
-    members.keeper.suspect({"a"})
+    members.manager.suspect({"a"})
     for now in (1.0, 1.5, 2.0):
-        members.answer(members.orders(now), OrderOutcome.HOLDS, now=now)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.SERVING
-    members.keeper.suspect(set())
+        members.answer(members.orders(now), OrderOutcome.APPLIED, now=now)
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.SERVING
+    members.manager.suspect(set())
     assert members.look(3.0) == []
 
 
@@ -460,11 +462,11 @@
     """
     later = record(9, "b", "d")
     members.report(later, GroupState.READY, "b", "d")
-    members.keeper.put(GROUP, now=0.0)
-    members.keeper.put(later, now=0.0)
+    members.manager.put(GROUP, now=0.0)
+    members.manager.put(later, now=0.0)
     members.look(0.0)
-    assert members.keeper.phase_of(GROUP.name) is not GroupPhase.FORMING
-    assert members.keeper.phase_of(later.name) is GroupPhase.FORMING
+    assert members.manager.phase_of(GROUP.name) is not GroupPhase.FORMING
+    assert members.manager.phase_of(later.name) is GroupPhase.FORMING
 
 
 def test_a_record_that_comes_late_disturbs_no_group_that_serves(
@@ -480,11 +482,11 @@
     """
     members.serve(GROUP)
     late = record(9, "b", "d")
-    members.keeper.put(late, now=5.0)
+    members.manager.put(late, now=5.0)
     assert members.look(5.0) == []
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.SERVING
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.SERVING
     members.look(5.1)
-    assert members.keeper.phase_of(late.name) is GroupPhase.RETIRED
+    assert members.manager.phase_of(late.name) is GroupPhase.RETIRED
 
 
 def test_nobody_joins_while_the_head_of_its_former_group_may_serve(
@@ -500,7 +502,7 @@
     members.serve(GROUP)
     later = record(9, "c", "b")
     members.report(later, GroupState.READY, "c")
-    members.keeper.put(later, now=5.0)
+    members.manager.put(later, now=5.0)
     assert members.look(5.0) == [(LEAVE, "a")]
     assert members.look(5.5) == []
     members.leave("a")
@@ -510,18 +512,18 @@
 def test_a_new_planner_takes_over_a_group_that_serves(members: Members) -> None:
     members.report(GROUP, GroupState.READY, "b", "c")
     members.report(GROUP, GroupState.OPEN, "a")
-    members.keeper.put(GROUP, now=50.0)
+    members.manager.put(GROUP, now=50.0)
     assert members.look(50.0) == []
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.SERVING
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.SERVING
 
 
 def test_forming_that_takes_too_long_is_given_up(members: Members) -> None:
-    members.keeper.put(GROUP, now=0.0)
+    members.manager.put(GROUP, now=0.0)
     members.report(GROUP, GroupState.JOINING, "a", "b", "c")
     members.look(20.0)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.FORMING
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.FORMING
     members.look(26.1)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.ENDING
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.ENDING
 
 
 # Servers that start again under their id
@@ -543,8 +545,8 @@
     members.restart("b", started_at=2)
     members.report(GROUP, GroupState.READY, "b")
     members.look(1.0)
-    kept = members.keeper.kept_by_name[GROUP.name]
-    assert (kept.phase, kept.reason) == (GroupPhase.ENDING, "member_restarted")
+    managed = members.manager.managed_by_name[GROUP.name]
+    assert (managed.phase, managed.reason) == (GroupPhase.ENDING, "member_restarted")
 
 
 def test_a_clock_that_steps_back_hides_no_start(members: Members) -> None:
@@ -553,13 +555,13 @@
     members.restart("b", started_at=4000)
     members.report(GROUP, GroupState.READY, "b")
     members.look(1.0)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.ENDING
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.ENDING
 
 
 def test_a_member_that_starts_again_while_it_joins_is_told_again(
     members: Members,
 ) -> None:
-    members.keeper.put(GROUP, now=0.0)
+    members.manager.put(GROUP, now=0.0)
     members.look(0.0)
     members.report(GROUP, GroupState.READY, "a", "b")
     members.report(GROUP, GroupState.JOINING, "c")
@@ -582,7 +584,7 @@
     members.restart("a", started_at=2)
     members.look(1.0)
     members.look(1.1)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.RETIRED
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
 
 def test_a_head_that_a_late_order_opens_again_is_waited_for(members: Members) -> None:
@@ -598,7 +600,7 @@
     members.restart("a", started_at=2)
     members.report(GROUP, GroupState.OPEN, "a")
     assert members.look(1.0) == [(LEAVE, "a")]
-    assert members.keeper.taken() == {"a", "b", "c"}
+    assert members.manager.taken() == {"a", "b", "c"}
 
 
 def test_a_new_planner_sees_that_a_member_was_started_anew(members: Members) -> None:
@@ -612,30 +614,30 @@
     """
     members.report(GROUP, GroupState.OPEN, "a")
     members.report(GROUP, GroupState.READY, "c")
-    members.keeper.put(GROUP, now=0.0)
+    members.manager.put(GROUP, now=0.0)
     members.look(0.0)
     members.look(MEMBERS_SHOWN)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.SERVING
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.SERVING
     members.look(MEMBERS_SHOWN + 0.1)
-    assert members.keeper.kept_by_name[GROUP.name].reason == "member_left"
+    assert members.manager.managed_by_name[GROUP.name].reason == "member_left"
 
 
 def test_a_server_that_came_back_does_not_seem_lost(members: Members) -> None:
     members.serve(GROUP)
-    members.keeper.suspect({"a"})
+    members.manager.suspect({"a"})
     for now in (1.0, 1.5):
         asked = [order for order in members.orders(now) if order.server_id == "c"]
         members.answer(asked, OrderOutcome.UNKNOWN, now=now)
-    assert members.keeper.seems_lost("c", now=1.6)
+    assert members.manager.seems_lost("c", now=1.6)
     members.now = 1.7
     members.restart("c", started_at=2)
-    assert not members.keeper.seems_lost("c", now=1.8)
+    assert not members.manager.seems_lost("c", now=1.8)
 
 
 def test_a_probe_asks_for_the_start_that_joined(members: Members) -> None:
     members.restart("b", started_at=7)
     members.serve(GROUP)
-    members.keeper.suspect({"a"})
+    members.manager.suspect({"a"})
     starts = {order.server_id: order.started_at for order in members.orders(1.0)}
     assert starts == {"a": 1, "b": 7, "c": 1}
 
@@ -650,27 +652,27 @@
     Cause: only a member that answered no probe was left out for a while, and not one
     that answered to be another, or whose process is gone.
     """
-    members.keeper.put(GROUP, now=1.0)
+    members.manager.put(GROUP, now=1.0)
     [*_, to_c] = members.orders(1.0)
-    members.answer([to_c], OrderOutcome.GONE, now=1.1)
-    assert members.keeper.phase_of(GROUP.name) is GroupPhase.ENDING
-    assert members.keeper.seems_lost("c", now=1.2)
-    assert not members.keeper.seems_lost("b", now=1.2)
+    members.answer([to_c], OrderOutcome.WRONG_INSTANCE, now=1.1)
+    assert members.manager.phase_of(GROUP.name) is GroupPhase.ENDING
+    assert members.manager.seems_lost("c", now=1.2)
+    assert not members.manager.seems_lost("b", now=1.2)
     # Once the list shows that it has come anew, it is of use again.
     members.now = 1.3
     members.restart("c", started_at=2)
-    assert not members.keeper.seems_lost("c", now=1.4)
+    assert not members.manager.seems_lost("c", now=1.4)
 
 
 def test_an_order_that_waited_is_not_sent_to_a_group_that_ends(
     members: Members,
 ) -> None:
     """Guard against a member that joins a group which serves nobody any more."""
-    members.keeper.put(GROUP, now=0.0)
+    members.manager.put(GROUP, now=0.0)
     joins = members.orders(0.0)
-    assert all(members.keeper.wants(order) for order in joins)
+    assert all(members.manager.wants(order) for order in joins)
     members.report(GROUP, GroupState.JOINING, "a")
-    members.keeper.end(GROUP.name, "wrong_size", now=0.1)
-    assert not any(members.keeper.wants(order) for order in joins)
+    members.manager.end(GROUP.name, "wrong_size", now=0.1)
+    assert not any(members.manager.wants(order) for order in joins)
     [leave] = members.orders(0.2)
-    assert (leave.kind, members.keeper.wants(leave)) == (LEAVE, True)
+    assert (leave.kind, members.manager.wants(leave)) == (LEAVE, True)
--- a/tests/test_coordination/test_groups/test_group_times.py
+++ b/tests/test_coordination/test_groups/test_group_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ryelever.coordination.groups.kept_group import GroupPhase
+from ryelever.coordination.groups.managed_group import GroupPhase
 from ryelever.coordination.groups.times import MAX_GAP, GroupTimes
 
 FORMING, SERVING, ENDING = GroupPhase.FORMING, GroupPhase.SERVING, GroupPhase.ENDING
--- a/tests/test_coordination/test_groups/test_orders_explored.py
+++ b/tests/test_coordination/test_groups/test_orders_explored.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from ryelever.coordination.groups.keeper import GroupKeeper
-from ryelever.coordination.groups.kept_group import LATE_ORDERS, GroupPhase
+from ryelever.coordination.groups.managed_group import LATE_ORDERS, GroupPhase
+from ryelever.coordination.groups.manager import GroupManager
 from ryelever.coordination.groups.orders import GroupOrder, OrderKind, OrderOutcome
 from ryelever.emulator.server import EmulatedServer
 from ryelever.state.directory import Directory, GroupState
@@ -62,7 +62,7 @@
         }
         for item in self.servers.values():
             self.directory.put(item.entry, now=0.0)
-        self.keeper = GroupKeeper(
+        self.manager = GroupManager(
             directory=self.directory,
             stall_time=STALL_TIME,
             join_limit=20.0,
@@ -70,19 +70,19 @@
             list_is_stale=lambda: False,
             log=lambda event, **fields: None,
         )
-        self.keeper.put(FORMER, now=0.0, decided_here=True)
+        self.manager.put(FORMER, now=0.0, decided_here=True)
 
     def play(self) -> Run:
         """Play to the end."""
         while self.now < END:
             self.now = round(self.now + STEP, 3)
             self._advance()
-            self.keeper.suspect({"a"} if self.now > CUT_AT + 0.6 else set())
-            free = not {"b", "c"} & self.keeper.taken()
-            ended = self.keeper.phase_of(FORMER.name) is not GroupPhase.FORMING
+            self.manager.suspect({"a"} if self.now > CUT_AT + 0.6 else set())
+            free = not {"b", "c"} & self.manager.taken()
+            ended = self.manager.phase_of(FORMER.name) is not GroupPhase.FORMING
             if self.now > CUT_AT and free and ended:
-                self.keeper.put(LATER, now=self.now, decided_here=True)
-            for order in self.keeper.look(now=self.now):
+                self.manager.put(LATER, now=self.now, decided_here=True)
+            for order in self.manager.look(now=self.now):
                 self._give(order)
         return self
 
@@ -128,12 +128,12 @@
             fate = self._fates.get(self.n_orders)
             self.n_orders += 1
         if self._is_cut(order.server_id):
-            self.keeper.answered(order, OrderOutcome.UNKNOWN, now=self.now)
+            self.manager.answered(order, OrderOutcome.UNKNOWN, now=self.now)
             return
         if fate is None:
-            self.keeper.answered(order, self._carry_out(order), now=self.now)
+            self.manager.answered(order, self._carry_out(order), now=self.now)
             return
-        self.keeper.answered(order, OrderOutcome.UNKNOWN, now=self.now)
+        self.manager.answered(order, OrderOutcome.UNKNOWN, now=self.now)
         self._late.append((self.now + fate, order))
 
     def _carry_out(self, order: GroupOrder) -> OrderOutcome:
@@ -142,7 +142,7 @@
         item = self.servers[order.server_id]
         report = item.entry.group
         outcome = item.obey(order, engine=ENGINE, now=self.now)
-        if order.kind is OrderKind.JOIN and outcome is OrderOutcome.BEGUN:
+        if order.kind is OrderKind.JOIN and outcome is OrderOutcome.IN_PROGRESS:
             if order.epoch == LATER.epoch:
                 self.joined_at = self.joined_at or self.now
             if report is not None and report.epoch != order.epoch:
--- a/tests/test_coordination/test_groups/test_returns_explored.py
+++ b/tests/test_coordination/test_groups/test_returns_explored.py
@@ -123,7 +123,7 @@
         return {
             server.entry.group.name
             for server in self.living
-            if server.is_open_head and self.is_whole(server)
+            if server.is_open_head and self.is_complete(server)
         }
 
     def recorded_groups(self) -> set[str]:
--- a/tests/test_coordination/test_groups/test_taking_apart.py
+++ b/tests/test_coordination/test_groups/test_taking_apart.py
@@ -4,9 +4,9 @@
 
 import pytest
 
+from ryelever.coordination.groups.disbanding import choose_disbanding
 from ryelever.coordination.groups.forming import StandingGroup
-from ryelever.coordination.groups.reshaping import ANNOUNCED_FOR, ReshapingTurn
-from ryelever.coordination.groups.taking_apart import choose_taking_apart
+from ryelever.coordination.groups.reshaping import ANNOUNCED_FOR, ReshapingToken
 
 from .group_fakes import server
 from .test_group_forming import L, S, rules_of, servers_of
@@ -55,7 +55,7 @@
     standing = _standing(("small", 2, "d0", staged))
     free = servers_of(n_survivors, models=L)
     rules = rules_of(demand=demand, groups=groups)
-    chosen = choose_taking_apart(free, standing, rules)
+    chosen = choose_disbanding(free, standing, rules)
     assert [group.name for group in chosen] == expected
 
 
@@ -71,12 +71,12 @@
     """
     standing = _standing(("small", 2, "d0", L), ("small", 2, "d0", L))
     rules = rules_of(demand=(4.0, 3.0), groups=(2, 7))
-    chosen = choose_taking_apart(servers_of(1, models=L), standing, rules)
+    chosen = choose_disbanding(servers_of(1, models=L), standing, rules)
     assert [group.name for group in chosen] == ["g0", "g1"]
     # The domain in which fewer do comes first.
     standing += _standing(("small", 2, "d1", L))
     free = servers_of(1, models=L) + servers_of(2, "d1", models=L)
-    [chosen] = choose_taking_apart(free, standing, rules)
+    [chosen] = choose_disbanding(free, standing, rules)
     assert chosen.members[0].domain == "d1"
 
 
@@ -87,22 +87,22 @@
 
     All see the same, and each could complete a large group.
     """
-    turns = {zone: ReshapingTurn(zone=zone) for zone in zones}
+    turns = {zone: ReshapingToken(zone=zone) for zone in zones}
     taken = dict.fromkeys(zones, 0)
     for tick in range(30):
         now = tick * 0.1
         announced = {zone for zone, turn in turns.items() if turn.is_announced}
         for zone, turn in turns.items():
             others = announced - {zone}
-            chosen = choose_taking_apart(
+            chosen = choose_disbanding(
                 servers_of(2, models=L),
                 _standing(("small", 2, "d0", L)),
                 rules_of(demand=demand, groups=groups),
-                n_coming=turn.n_before(others),
+                n_pending=turn.n_before(others),
             )
             if not chosen:
                 turn.end()
-            elif turn.ask(others, now=now):
+            elif turn.may_start(others, now=now):
                 taken[zone] = 1
     return taken
 
@@ -133,14 +133,14 @@
 
 
 def test_who_announced_earlier_goes_before() -> None:
-    turn = ReshapingTurn(zone="a")
+    turn = ReshapingToken(zone="a")
     assert turn.n_before({"b"}) == 1
-    assert not turn.ask({"b"}, now=0.0)
+    assert not turn.may_start({"b"}, now=0.0)
     assert turn.n_before({"b", "c"}) == 1
-    assert turn.ask({"b", "c"}, now=ANNOUNCED_FOR)
+    assert turn.may_start({"b", "c"}, now=ANNOUNCED_FOR)
 
 
 def test_a_zone_that_is_cut_off_acts_alone() -> None:
-    turn = ReshapingTurn(zone="c")
-    turn.ask(set(), now=0.0)
-    assert turn.ask(set(), now=ANNOUNCED_FOR)
+    turn = ReshapingToken(zone="c")
+    turn.may_start(set(), now=0.0)
+    assert turn.may_start(set(), now=ANNOUNCED_FOR)
--- a/tests/test_coordination/test_groups/test_zone_planner.py
+++ b/tests/test_coordination/test_groups/test_zone_planner.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 
 from ryelever.coordination.groups.adoption import ADOPT_AFTER
-from ryelever.coordination.groups.kept_group import GroupPhase
+from ryelever.coordination.groups.managed_group import GroupPhase
 from ryelever.coordination.groups.orders import OrderKind, OrderOutcome
 from ryelever.coordination.groups.records import GroupRecord, Member
 from ryelever.coordination.groups.silent_heads import STALL_SLACK
@@ -51,7 +51,7 @@
         self.planner = ZonePlanner(
             zone="z",
             n_zones=1,
-            is_own=True,
+            is_local=True,
             directory=self.directory,
             table=lambda: self.table,
             demand=lambda: self.demand,
@@ -178,10 +178,10 @@
     asked = zone.settled()
     zone.planner.appended(asked, end=7 + len(asked.formed), now=4.0)
     gone = asked.formed[0]
-    zone.planner.keeper.end(gone.name, "test", now=4.0)
+    zone.planner.manager.end(gone.name, "test", now=4.0)
     # No member shows this group, so nothing of it can serve.
     zone.planner.look(now=4.1)
-    assert zone.planner.keeper.phase_of(gone.name) is GroupPhase.RETIRED
+    assert zone.planner.manager.phase_of(gone.name) is GroupPhase.RETIRED
     zone.planner.look(now=4.2)
     again = zone.appends(4.3 + FLEET_SETTLING)
     assert again is not None
@@ -218,7 +218,7 @@
     """
     group = _served(zone)
     zone.planner.dropped(group.name, end=20)
-    assert set(group.member_ids) <= zone.planner.keeper.taken()
+    assert set(group.member_ids) <= zone.planner.manager.taken()
     again = zone.appends(4.3)
     assert again is not None
     assert again.restored == (group,)
@@ -238,9 +238,9 @@
         taken = {item for other in formed for item in other.member_ids}
         assert not taken & set(group.member_ids)
     successor.planner.look(now=SETTLING + ADOPT_AFTER + 0.1)
-    keeper = successor.planner.keeper
-    assert set(group.member_ids) <= keeper.taken()
-    assert keeper.phase_of(group.name) is not GroupPhase.ENDING
+    manager = successor.planner.manager
+    assert set(group.member_ids) <= manager.taken()
+    assert manager.phase_of(group.name) is not GroupPhase.ENDING
 
 
 def test_a_part_of_a_group_without_a_record_is_ended(zone: Zone) -> None:
@@ -254,7 +254,7 @@
     orders, _ = successor.planner.look(now=SETTLING + ADOPT_AFTER + 0.2)
     head_id = group.head.server_id
     left = [order.server_id for order in orders if order.kind is OrderKind.LEAVE]
-    assert successor.planner.keeper.phase_of(group.name) is GroupPhase.ENDING
+    assert successor.planner.manager.phase_of(group.name) is GroupPhase.ENDING
     assert left in ([], [head_id])
 
 
@@ -285,8 +285,8 @@
     for now in (4.3, later, later + 0.1):
         for order in zone.planner.look(now=now)[0]:
             if order.server_id != head.id:
-                zone.planner.keeper.answered(order, OrderOutcome.HOLDS, now=now)
-    assert zone.planner.keeper.phase_of(group.name) is GroupPhase.RETIRED
+                zone.planner.manager.answered(order, OrderOutcome.APPLIED, now=now)
+    assert zone.planner.manager.phase_of(group.name) is GroupPhase.RETIRED
     return group, head
 
 
@@ -349,18 +349,18 @@
     for now in (SETTLING, SETTLING + 0.1):
         orders, _ = zone.planner.look(now=now)
         assert [order.kind for order in orders] in ([], [OrderKind.LEAVE])
-    assert zone.planner.keeper.phase_of(lone.name) is GroupPhase.ENDING
+    assert zone.planner.manager.phase_of(lone.name) is GroupPhase.ENDING
 
 
 def _leave(zone: Zone, group: GroupRecord) -> BackendServer:
     """Let the head of a group leave when it is told to; return its former entry."""
-    zone.planner.keeper.end(group.name, "test", now=4.2)
+    zone.planner.manager.end(group.name, "test", now=4.2)
     [order] = [
         order
         for order in zone.planner.look(now=4.3)[0]
         if order.kind is OrderKind.LEAVE
     ]
-    zone.planner.keeper.answered(order, OrderOutcome.HOLDS, now=4.3)
+    zone.planner.manager.answered(order, OrderOutcome.APPLIED, now=4.3)
     return zone.directory.by_id[group.head.server_id]
 
 
@@ -526,11 +526,11 @@
     zone.list_is_stale = True
     for step in range(10, 40):
         zone.planner.look(now=step * 0.1)
-    assert zone.planner.keeper.taken_apart() == []
+    assert zone.planner.manager.disbanding() == []
     zone.list_is_stale = False
     for step in range(40, 70):
         zone.planner.look(now=step * 0.1)
-    assert [record.name for record in zone.planner.keeper.taken_apart()] == ["z-1"]
+    assert [record.name for record in zone.planner.manager.disbanding()] == ["z-1"]
 
 
 def test_a_head_that_has_left_mends_its_own_group(zone: Zone) -> None:
@@ -557,7 +557,7 @@
             zone.directory.put(spare, now=4.2)
     head, lost = group.head.server_id, group.member_ids[-1]
     zone.directory.remove(lost, heard_at=4.2)
-    zone.planner.keeper.end(group.name, "member_silent", now=4.3)
+    zone.planner.manager.end(group.name, "member_silent", now=4.3)
     left = replace(zone.directory.by_id[head], models=frozenset(), group=None)
     zone.directory.put(left, now=4.4)
     again = zone.appends(4.5)
@@ -631,10 +631,10 @@
     for server_id in group.member_ids:
         found = zone.directory.by_id[server_id]
         zone.directory.put(replace(found, group=None), now=4.2)
-    zone.planner.keeper.end(group.name, "test", now=4.2)
+    zone.planner.manager.end(group.name, "test", now=4.2)
     zone.planner.look(now=4.3)
-    assert zone.planner.keeper.phase_of(group.name) is GroupPhase.RETIRED
-    zone.planner.keeper.forget(group.name)
+    assert zone.planner.manager.phase_of(group.name) is GroupPhase.RETIRED
+    zone.planner.manager.forget(group.name)
     zone.planner.listed([group], end=5, era=1, now=5.0)
     orders, again = zone.planner.look(now=5.1)
     assert not [order for order in orders if order.group == group.name]
--- a/tests/test_coordination/test_planner/test_planner_change.py
+++ b/tests/test_coordination/test_planner/test_planner_change.py
@@ -134,7 +134,7 @@
     arrival = Arrival(
         request_id="r", client_account="c", work=work, arrived_at=0, deadline=9
     )
-    assert process.confirmations.is_whole(group, now=zone.now)
+    assert process.confirmations.is_complete(group, now=zone.now)
     assert targets.for_arrival(arrival, zone.now) == []
 
 
--- a/tests/test_coordination/test_planner/test_planner_machine.py
+++ b/tests/test_coordination/test_planner/test_planner_machine.py
@@ -130,7 +130,7 @@
     def _whole_groups_are_whole(self, process: PlannerProcess) -> None:
         now = self.zone.now
         for group in process.fold.groups_by_name.values():
-            if not process.confirmations.is_whole(group, now=now):
+            if not process.confirmations.is_complete(group, now=now):
                 continue
             for host in group.members:
                 seen = self.in_group_at.get((group.name, host, group.fencing), 0.0)
--- a/tests/test_coordination/test_relaying/relay_fakes.py
+++ b/tests/test_coordination/test_relaying/relay_fakes.py
@@ -11,7 +11,7 @@
 from ryelever.coordination.relaying.crashes import CrashWatch
 from ryelever.coordination.relaying.repeat_budget import RepeatBudget
 from ryelever.coordination.relaying.requests import RelayRequests
-from ryelever.coordination.relaying.stillness import StillnessWatch
+from ryelever.coordination.relaying.stall_watch import StallWatch
 from ryelever.metrics import Metrics
 from ryelever.relay_metrics import RelayMetrics
 from ryelever.state.directory import (
@@ -109,7 +109,7 @@
             cold_rate=lambda service: cold_rate,
             seed=seed,
         )
-        self.stillness = StillnessWatch()
+        self.stall_watch = StallWatch()
         self.crashes = CrashWatch(quarantine=Quarantine(seed=1))
         self.sent: list[RelayAttempt] = []
         self.cancelled: list[str] = []
@@ -120,7 +120,7 @@
             table=lambda: self.table,
             balancer=self.balancer,
             budget=RepeatBudget(ratio=0.2, slack=slack, window=10.0, n_hosts=lambda: 1),
-            stillness=self.stillness,
+            stall_watch=self.stall_watch,
             crashes=self.crashes,
             outbox=self,
             served=lambda model, n_events: None,
--- a/tests/test_coordination/test_relaying/test_balance.py
+++ b/tests/test_coordination/test_relaying/test_balance.py
@@ -11,16 +11,16 @@
     DISOWNED_FOR,
     FIRST_AVOIDANCE,
     MAX_AVOIDANCE,
-    STILL_AVOIDANCE,
+    STALL_AVOIDANCE,
     WAITING_AT_SERVER,
     Balancer,
 )
 from ryelever.coordination.relaying.repeat_budget import RepeatBudget
-from ryelever.coordination.relaying.stillness import (
+from ryelever.coordination.relaying.stall_watch import (
     FIRST_SILENCE,
     SILENCE,
-    STILL_FOR,
-    StillnessWatch,
+    STALL_REPORTED_FOR,
+    StallWatch,
 )
 from ryelever.coordination.removals import ENTRIES_BACK, OUTAGE, Removals
 from ryelever.state.directory import BackendServer, Directory, GroupReport, GroupState
@@ -133,9 +133,9 @@
     directory: Directory, balancer: Balancer
 ) -> None:
     directory.put(_head("a"), now=0.0)
-    balancer.stands_still("a", now=1.0)
-    assert _choose(balancer, now=1.0 + STILL_AVOIDANCE - 0.1) is None
-    balancer.moves("a")
+    balancer.mark_stalled("a", now=1.0)
+    assert _choose(balancer, now=1.0 + STALL_AVOIDANCE - 0.1) is None
+    balancer.clear_stall("a")
     assert _choose(balancer, now=1.1) == "a"
 
 
@@ -151,49 +151,49 @@
 
 
 @pytest.fixture
-def watch() -> StillnessWatch:
-    return StillnessWatch()
+def watch() -> StallWatch:
+    return StallWatch()
 
 
-def _still_at(watch: StillnessWatch, start: float, end: float) -> float | None:
+def _still_at(watch: StallWatch, start: float, end: float) -> float | None:
     for index in range(int((end - start) / 0.05) + 1):
         now = start + index * 0.05
-        if watch.newly_still(now=now):
+        if watch.newly_stalled(now=now):
             return now
     return None
 
 
-def test_silence_of_all_streams_shows(watch: StillnessWatch) -> None:
-    watch.newly_still(now=0.0)
+def test_silence_of_all_streams_shows(watch: StallWatch) -> None:
+    watch.newly_stalled(now=0.0)
     watch.began("a", "s1", now=0.0)
     watch.began("a", "s2", now=0.0)
     watch.progressed("a", now=0.05)
     still_at = _still_at(watch, 0.05, 2.0)
     assert SILENCE < still_at - 0.05 <= SILENCE + 0.1
     assert watch.still(now=still_at) == ["a"]
-    assert watch.still(now=still_at + STILL_FOR + 0.1) == []
+    assert watch.still(now=still_at + STALL_REPORTED_FOR + 0.1) == []
 
 
-def test_one_stream_that_moves_is_enough(watch: StillnessWatch) -> None:
-    watch.newly_still(now=0.0)
+def test_one_stream_that_moves_is_enough(watch: StallWatch) -> None:
+    watch.newly_stalled(now=0.0)
     watch.began("a", "s1", now=0.0)
     watch.began("a", "s2", now=0.0)
     for index in range(40):
         now = index * 0.05
         watch.progressed("a", now=now)
-        assert watch.newly_still(now=now) == []
-        assert watch.moves("a", now=now)
+        assert watch.newly_stalled(now=now) == []
+        assert watch.has_progressed("a", now=now)
 
 
-def test_a_first_event_may_take_longer(watch: StillnessWatch) -> None:
-    watch.newly_still(now=0.0)
+def test_a_first_event_may_take_longer(watch: StallWatch) -> None:
+    watch.newly_stalled(now=0.0)
     watch.began("a", "s1", now=0.0)
     still_at = _still_at(watch, 0.0, 3.0)
     assert FIRST_SILENCE < still_at <= FIRST_SILENCE + 0.1
 
 
-def test_a_group_without_streams_is_not_still(watch: StillnessWatch) -> None:
-    watch.newly_still(now=0.0)
+def test_a_group_without_streams_is_not_still(watch: StallWatch) -> None:
+    watch.newly_stalled(now=0.0)
     watch.began("a", "s1", now=0.0)
     watch.ended("a", "s1")
     assert _still_at(watch, 0.0, 3.0) is None
--- a/tests/test_coordination/test_relaying/test_relay_requests.py
+++ b/tests/test_coordination/test_relaying/test_relay_requests.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ryelever.coordination.relaying import NamedLimit
-from ryelever.coordination.relaying.stillness import SILENCE
+from ryelever.coordination.relaying.stall_watch import SILENCE
 from ryelever.coordination.relaying.unrouted import FIRST_CONFIGURATION
 from ryelever.coordination.relaying.waiting import LONGEST_WAIT
 from ryelever.state.routes import RouteKind
@@ -88,7 +88,7 @@
     relaying.arrive(SAFE, number=1)
     relaying.arrive(SAFE, number=2, key="wrong")
     relaying.arrive(SAFE, number=3)
-    relaying.requests.caller_gone(3)
+    relaying.requests.caller_disconnected(3)
     relaying.table = table()
     relaying.requests.dispatch_waiting(now=0.1)
     assert [attempt.request_number for attempt in relaying.sent] == [1]
@@ -342,7 +342,7 @@
         relaying.arrive(STREAM, number=number)
     relaying.arrive(STREAM, number=100, now=0.0)
     relaying.arrive(STREAM, number=101, now=0.4)
-    relaying.requests.caller_gone(1)
+    relaying.requests.caller_disconnected(1)
     relaying.requests.tick(now=0.45)
     assert 101 in [attempt.request_number for attempt in relaying.sent]
 
@@ -375,7 +375,7 @@
 
 def test_a_caller_that_leaves_ends_its_request_at_once(relaying: Relaying) -> None:
     relaying.arrive(STREAM)
-    relaying.requests.caller_gone(1)
+    relaying.requests.caller_disconnected(1)
     assert relaying.cancelled == [relaying.sent[0].id]
     assert relaying.requests.requests_by_number == {}
     assert relaying.balancer.record(relaying.sent[0].server_id).in_flight == 0
@@ -389,8 +389,8 @@
     n_places = 3 * (relaying.slots + 2)
     for number in range(1, n_places + 2):
         relaying.arrive(STREAM, number=number)
-    relaying.requests.caller_gone(n_places + 1)
-    relaying.requests.caller_gone(1)
+    relaying.requests.caller_disconnected(n_places + 1)
+    relaying.requests.caller_disconnected(1)
     relaying.requests.tick(now=0.1)
     assert len(relaying.sent) == n_places
 
--- a/tests/test_coordination/test_requests/request_fakes.py
+++ b/tests/test_coordination/test_requests/request_fakes.py
@@ -67,7 +67,7 @@
         free = [name for name in self.names if name not in tried]
         return Target(name=free[0], address=f"{free[0]}:1") if free else None
 
-    def waits_its_turn(self, arrival, *, now):
+    def must_wait_for_suspects(self, arrival, *, now):
         return False
 
     def is_lost(self, target, arrival, *, now):
@@ -279,7 +279,7 @@
         )
 
     def do_gone(self) -> None:
-        self.take(self.table.caller_gone("r", now=self.now))
+        self.take(self.table.caller_disconnected("r", now=self.now))
 
     def do_targets(self, names: str = "") -> None:
         self.router.names = names.split(",") if names else []
--- a/tests/test_coordination/test_requests/test_requests.py
+++ b/tests/test_coordination/test_requests/test_requests.py
@@ -7,9 +7,9 @@
 import pytest
 
 from ryelever.coordination.actions import (
+    AnswerComplete,
     AnswerError,
     AnswerService,
-    AnswerWhole,
     AppendRecord,
     CancelAttempt,
     SendAttempt,
@@ -44,7 +44,7 @@
             return ",".join(action.tokens)
         case StreamFinished():
             return "finished"
-        case AnswerWhole():
+        case AnswerComplete():
             return "whole:" + ",".join(action.tokens)
         case AnswerService():
             return f"answer-{action.status}" + ("-again" if action.replayed else "")
--- a/tests/test_coordination/test_requests/test_requests_machine.py
+++ b/tests/test_coordination/test_requests/test_requests_machine.py
@@ -9,9 +9,9 @@
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, invariant, rule
 
 from ryelever.coordination.actions import (
+    AnswerComplete,
     AnswerError,
     AnswerService,
-    AnswerWhole,
     SendAttempt,
     StreamFailed,
     StreamFinished,
@@ -22,7 +22,7 @@
 
 from .request_fakes import KEY, Bench, call, chat
 
-FINAL = (AnswerError, AnswerService, AnswerWhole, StreamFailed, StreamFinished)
+FINAL = (AnswerError, AnswerService, AnswerComplete, StreamFailed, StreamFinished)
 KEYS = ("", KEY, f"{KEY}2")
 
 
@@ -64,11 +64,11 @@
         return request_id
 
     @rule(request_id=requests)
-    def caller_gone(self, request_id: str) -> None:
+    def caller_disconnected(self, request_id: str) -> None:
         if not self.finals[request_id]:
             self.gone.add(request_id)
         table = self.bench.table
-        self.bench.take(table.caller_gone(request_id, now=self.bench.now))
+        self.bench.take(table.caller_disconnected(request_id, now=self.bench.now))
 
     @rule()
     def read_back(self) -> None:
--- a/tests/test_host_exchange.py
+++ b/tests/test_host_exchange.py
@@ -14,7 +14,7 @@
     HostHeartbeats,
 )
 from ryelever.coordination.quarantine import Quarantine
-from ryelever.coordination.relaying import Balancer, CrashWatch, StillnessWatch
+from ryelever.coordination.relaying import Balancer, CrashWatch, StallWatch
 from ryelever.events import Datagram
 from ryelever.host_exchange import (
     HEARTBEAT_INTERVAL,
@@ -69,7 +69,7 @@
             settings=settings_of(host, zone=zone),
             heartbeats=heartbeats,
             balancer=Balancer(directory=Directory(), zone=zone),
-            stillness=StillnessWatch(),
+            stall_watch=StallWatch(),
             crashes=CrashWatch(quarantine=Quarantine()),
             describe=lambda: HostHeartbeat(
                 host=host,
--- a/tests/test_platform/test_orders.py
+++ b/tests/test_platform/test_orders.py
@@ -54,11 +54,11 @@
 @pytest.mark.parametrize(
     ("status", "outcome"),
     [
-        (200, OrderOutcome.HOLDS),
-        (202, OrderOutcome.BEGUN),
+        (200, OrderOutcome.APPLIED),
+        (202, OrderOutcome.IN_PROGRESS),
         (409, OrderOutcome.REFUSED),
-        (412, OrderOutcome.OVERTAKEN),
-        (421, OrderOutcome.GONE),
+        (412, OrderOutcome.SUPERSEDED),
+        (421, OrderOutcome.WRONG_INSTANCE),
         (400, OrderOutcome.REFUSED),
         (500, OrderOutcome.UNKNOWN),
         (503, OrderOutcome.UNKNOWN),
@@ -73,18 +73,22 @@
     [
         pytest.param(
             b'{"group":{"name":"g7","epoch":12,"rank":1,"state":"ready"}}',
-            OrderOutcome.HOLDS,
+            OrderOutcome.APPLIED,
             id="in-the-group",
         ),
-        pytest.param(b'{"group":null}', OrderOutcome.APART, id="in-none"),
+        pytest.param(b'{"group":null}', OrderOutcome.NOT_A_MEMBER, id="in-none"),
         pytest.param(
-            b'{"group":{"name":"g7","epoch":13}}', OrderOutcome.APART, id="later-epoch"
+            b'{"group":{"name":"g7","epoch":13}}',
+            OrderOutcome.NOT_A_MEMBER,
+            id="later-epoch",
         ),
         pytest.param(
-            b'{"group":{"name":"g8","epoch":12}}', OrderOutcome.APART, id="in-another"
+            b'{"group":{"name":"g8","epoch":12}}',
+            OrderOutcome.NOT_A_MEMBER,
+            id="in-another",
         ),
-        pytest.param(b'{"busy":false}', OrderOutcome.HOLDS, id="does-not-say"),
-        pytest.param(b"<html>", OrderOutcome.HOLDS, id="unreadable"),
+        pytest.param(b'{"busy":false}', OrderOutcome.APPLIED, id="does-not-say"),
+        pytest.param(b"<html>", OrderOutcome.APPLIED, id="unreadable"),
     ],
 )
 def test_what_a_probe_says_about_the_group(body: bytes, outcome: OrderOutcome) -> None:
@@ -94,9 +98,9 @@
 @pytest.mark.parametrize(
     ("started_at", "born", "outcome"),
     [
-        (7, b"7", OrderOutcome.HOLDS),
-        (7, b"8", OrderOutcome.APART),
-        (None, b"8", OrderOutcome.HOLDS),
+        (7, b"7", OrderOutcome.APPLIED),
+        (7, b"8", OrderOutcome.NOT_A_MEMBER),
+        (None, b"8", OrderOutcome.APPLIED),
     ],
 )
 def test_a_probe_tells_a_member_from_its_next_incarnation(
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -20,7 +20,7 @@
         self.requests_by_id: dict[str, object] = {}
         self.let_in = ["second", "third"]
 
-    def caller_gone(self, request_id: str, *, now: float) -> list[AppendRecord]:
+    def caller_disconnected(self, request_id: str, *, now: float) -> list[AppendRecord]:
         if request_id != "first":
             self.let_in.clear()
         return []
--- a/tests/test_system/test_drain.py
+++ b/tests/test_system/test_drain.py
@@ -83,7 +83,7 @@
         old = list(fleet.entries_by_name)
         for name in old:
             new = fleet.start_entry(f"{name}-new", zone="z", drain_grace=DRAIN_GRACE)
-            wait_until(lambda new=new: new.n_whole_groups() == 1, what="new host")
+            wait_until(lambda new=new: new.n_complete_groups() == 1, what="new host")
             assert fleet.entries_by_name[name].process.stop() == 0
             del fleet.entries_by_name[name]
 
--- a/tests/test_system/test_peers.py
+++ b/tests/test_system/test_peers.py
@@ -86,7 +86,7 @@
     fleet.publish(_document("1"))
 
     def all_whole(hosts: list[EntryHost]) -> bool:
-        return all(entry.n_whole_groups() == 1 for entry in hosts)
+        return all(entry.n_complete_groups() == 1 for entry in hosts)
 
     def members(entry: EntryHost) -> list[str]:
         return entry.dump()["peers"]["live_members"]
--- a/tests/test_transport/conftest.py
+++ b/tests/test_transport/conftest.py
@@ -38,7 +38,7 @@
             callers_request_timeout=1.0,
             max_body=1 << 20,
         )
-        wait_until(lambda: entry.n_whole_groups() == 1, what="the group is whole")
+        wait_until(lambda: entry.n_complete_groups() == 1, what="the group is whole")
         yield fleet
 
 
--- a/tests/test_transport/test_peers.py
+++ b/tests/test_transport/test_peers.py
@@ -8,7 +8,7 @@
 import pytest
 from circuits import Component, handler
 
-from ryelever.events import Datagram, peers_look, peers_send
+from ryelever.events import Datagram, peers_poll, peers_send
 from ryelever.metrics import Metrics
 from ryelever.peering import Peering
 from ryelever.settings import Settings
@@ -87,7 +87,7 @@
     n_sent = 3 * MAX_BATCH + 1
     for number in range(n_sent):
         outside.sendto(b"%d" % number, _to(peers))
-    looking_taker.fire(peers_look(), "peers")
+    looking_taker.fire(peers_poll(), "peers")
     wait_until(lambda: len(looking_taker.taken) == n_sent, what="datagrams")
     assert [datagram.data for datagram in looking_taker.taken] == [
         b"%d" % number for number in range(n_sent)
--- a/tests/test_transport/test_relay_callers.py
+++ b/tests/test_transport/test_relay_callers.py
@@ -64,7 +64,7 @@
             request.number, status=200, headers=[(b"x", b"1")], body=body
         )
 
-    @handler("relayed_gone")
+    @handler("relayed_caller_disconnected")
     def _on_gone(self, number: int) -> None:
         self.gone.append(number)
         self.is_gone.set()
--- a/tests/zone.py
+++ b/tests/zone.py
@@ -375,7 +375,7 @@
             group is not None
             and not group.draining
             and all(
-                process.confirmations.is_whole(group, now=self.now)
+                process.confirmations.is_complete(group, now=self.now)
                 for process in self.planners
                 if not process.paused and not process.cut_from_hosts
             )
