--- a/ryelever/coordination/groups/manager.py
+++ b/ryelever/coordination/groups/manager.py
@@ -144,7 +144,7 @@
     def answered(self, order: GroupOrder, outcome: OrderOutcome, *, now: float) -> None:
         """Take the answer to an order."""
         if outcome not in (OrderOutcome.UNKNOWN, OrderOutcome.WRONG_INSTANCE):
-            self._directory.heard_at_by_id[order.server_id] = now
+            self._directory.last_seen_at_by_id[order.server_id] = now
             self._lost_by_id.pop(order.server_id, None)
         elif outcome is OrderOutcome.WRONG_INSTANCE:
             # Its entry stays until it lapses.  Chosen again before then, it would end
--- a/ryelever/coordination/groups/silent_heads.py
+++ b/ryelever/coordination/groups/silent_heads.py
@@ -62,7 +62,7 @@
         """
         head_id = managed.record.head.server_id
         # Where no sign of life was ever noticed, it counts as heard now.
-        heard_at = self._directory.heard_at_by_id.setdefault(head_id, now)
+        heard_at = self._directory.last_seen_at_by_id.setdefault(head_id, now)
         is_overdue = now - heard_at > self._stall_limit
         if not is_overdue or not self._any_member_stayed(managed, now=now):
             return False
--- a/ryelever/coordination/host_heartbeats.py
+++ b/ryelever/coordination/host_heartbeats.py
@@ -187,9 +187,9 @@
         self._zone = zone
         self.addresses_by_host: dict[str, HostAddress] = {}
         self._heard_by_host: dict[str, _Received] = {}
-        self._zone_heard_at: dict[str, float] = {}
+        self._zone_received_at: dict[str, float] = {}
         self._zone_asked_at: dict[str, float] = {}
-        self._speaker_by_zone: dict[str, str] = {}
+        self._representative_by_zone: dict[str, str] = {}
         self._n_hosts_by_zone: dict[str, int] = {}
         # Who is heard is asked a hundred times a second.  No word lapses before this
         # moment, so that until then no word has to be looked at for that.
@@ -218,13 +218,13 @@
             return False
         self._forget(heartbeat.host)
         if heartbeat.for_zone:
-            self._take_speaker(heartbeat)
+            self._record_representative(heartbeat)
         heard = _Received(heartbeat=heartbeat, heard_at=now)
         self._heard_by_host[heartbeat.host] = heard
         self._near = None
         self._none_lapses_before = min(self._none_lapses_before, heard.lapses_after)
         self._in_flight.update(heartbeat.in_flight_by_server)
-        self._zone_heard_at[heartbeat.availability_zone] = now
+        self._zone_received_at[heartbeat.availability_zone] = now
         self.addresses_by_host[heartbeat.host] = HostAddress(
             host=heartbeat.host,
             address=heartbeat.address or address,
@@ -232,18 +232,18 @@
         )
         return True
 
-    def _take_speaker(self, heartbeat: HostHeartbeat) -> None:
+    def _record_representative(self, heartbeat: HostHeartbeat) -> None:
         """Let a word for a zone take the place of the former speaker's."""
         zone = heartbeat.availability_zone
-        former = self._speaker_by_zone.get(zone)
+        former = self._representative_by_zone.get(zone)
         if former is not None and former != heartbeat.host:
             self._forget(former)
-        self._speaker_by_zone[zone] = heartbeat.host
+        self._representative_by_zone[zone] = heartbeat.host
         self._n_hosts_by_zone[zone] = heartbeat.n_hosts
 
-    def speaker(self, zone: str) -> str | None:
+    def zone_representative(self, zone: str) -> str | None:
         """Return the host that spoke last for another zone, if one ever did."""
-        return self._speaker_by_zone.get(zone)
+        return self._representative_by_zone.get(zone)
 
     def hosts_of(self, zone: str) -> list[str]:
         """Return the known hosts of a zone by name, this one included if it is known.
@@ -274,7 +274,7 @@
         """Return how many ticks lie between two words to the hosts of this zone."""
         return math.ceil((1 + len(self.near(now=now))) / FREQUENT_HOSTS)
 
-    def speaks(self, *, planning: bool, now: float) -> bool:
+    def represents_zone(self, *, planning: bool, now: float) -> bool:
         """Tell whether this host speaks for its zone to the others.
 
         The zone's planner does, as what it announces is what others wait for; else
@@ -353,11 +353,11 @@
         """Return the heads whose streams go on at other hosts, of those in doubt."""
         return {head for heartbeat in self.living(now=now) for head in heartbeat.moving}
 
-    def unheard_zones(self, *, now: float) -> set[str]:
+    def unreachable_zones(self, *, now: float) -> set[str]:
         """Return the other zones whose hosts were heard once and are no more."""
         return {
             zone
-            for zone, heard_at in self._zone_heard_at.items()
+            for zone, heard_at in self._zone_received_at.items()
             if zone != self._zone and now - heard_at > ZONE_SILENCE
         }
 
@@ -418,7 +418,7 @@
         heard = self.near(now=now)
         if zone != self._zone:
             first_asked_at = self._zone_asked_at.setdefault(zone, now)
-            heard_at = self._zone_heard_at.get(zone, first_asked_at)
+            heard_at = self._zone_received_at.get(zone, first_asked_at)
             if now - heard_at < ORPHANED:
                 return False
             heard = self.living(now=now)
--- a/ryelever/coordination/quarantine/quarantine.py
+++ b/ryelever/coordination/quarantine/quarantine.py
@@ -82,7 +82,7 @@
         Least seconds after a second crash until its verdict.  Meanwhile peers learn of
         the suspect before its caller can ask them, and tell of others in the same
         crash.
-    peers_heard_since : callable or None
+    peers_reported_since : callable or None
         Tell whether each living peer has told all that it had seen at some monotonic
         time; None where there are no peers.
     seed : int or None
@@ -96,13 +96,13 @@
         *,
         max_age: float = 900.0,
         settle: float = 0.0,
-        peers_heard_since: Callable[[float], bool] | None = None,
+        peers_reported_since: Callable[[float], bool] | None = None,
         seed: int | None = None,
         reports: QuarantineReports | None = None,
     ) -> None:
         self._max_age = max_age
         self._settle = settle
-        self._peers_heard_since = peers_heard_since
+        self._peers_reported_since = peers_reported_since
         self._reports = reports if reports is not None else NoReports()
         self._random = random.Random(seed)
         self._suspects_by_fingerprint: dict[str, Suspect] = {}
@@ -138,7 +138,7 @@
         """
         if now - suspect.newest_at < self._settle:
             return False
-        heard_since = self._peers_heard_since
+        heard_since = self._peers_reported_since
         return heard_since is None or heard_since(suspect.newest_at)
 
     def unsettled_since(self, *, now: float) -> float | None:
--- a/ryelever/coordination/relaying/balance.py
+++ b/ryelever/coordination/relaying/balance.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ...state.directory import GroupState
-from .levelling import ServerLoad, UnheardRequests, spread
+from .levelling import ServerLoad, UnreportedRequests, spread
 from .rate_limits import Allowance, ServerRateLimits
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
 
 #: The same, in places of a server, for one of a zone none of whose hosts is heard: it
 #: comes after all others that have a place.
-UNHEARD_ZONE = 2.0
+UNREACHABLE_ZONE = 2.0
 
 #: Backend servers that are looked at for one request, and those of other zones among
 #: them at the least.  Each that is looked at takes processor time, and a drawn part of
@@ -96,7 +96,7 @@
 
     Attributes
     ----------
-    unheard_zones : set of str
+    unreachable_zones : set of str
         Zones none of whose hosts is heard, as when a zone is cut off.  Each of their
         servers would cost a request one of its attempts before it was avoided.
     limits : ServerRateLimits
@@ -117,9 +117,9 @@
         self._is_evacuated = is_evacuated
         self.records_by_id: dict[str, ServerRecord] = {}
         self.peers_in_flight_by_id: Counter[str] = Counter()
-        self.unheard_zones: set[str] = set()
+        self.unreachable_zones: set[str] = set()
         self.limits = ServerRateLimits(directory=directory, cold_rate=cold_rate)
-        self._unheard = UnheardRequests()
+        self._unreported = UnreportedRequests()
         self._random = random.Random(seed)
         self._seen_changes = -1
         self._candidates_by_work: dict[tuple[str, str], list[BackendServer]] = {}
@@ -167,7 +167,7 @@
         # The request that is to be sent counts as well: while nothing is in flight all
         # hosts would take the same server for the least loaded.
         n_in_flight = 1 + sum(option.in_flight for option in options)
-        near, far = self._unheard.expected((service, model), n_in_flight=n_in_flight)
+        near, far = self._unreported.expected((service, model), n_in_flight=n_in_flight)
         weights = spread(options, near=near, far=far, distance=OTHER_ZONE)
         if near == far == 0.0:
             return options[weights.index(max(weights))].server
@@ -206,7 +206,7 @@
         n_near, n_hosts : int
             Other hosts of this zone, and all hosts.
         """
-        self._unheard.hear(interval=interval, n_near=n_near, n_hosts=n_hosts)
+        self._unreported.hear(interval=interval, n_near=n_near, n_hosts=n_hosts)
 
     def sent(self, server_id: str) -> None:
         """Count a request that is under way to a backend server."""
@@ -220,11 +220,11 @@
 
     def took(self, service: str, model: str, seconds: float) -> None:
         """Take for how long a request was under way at its server."""
-        self._unheard.took((service, model), seconds)
+        self._unreported.took((service, model), seconds)
 
     def times_under_way(self) -> dict[str, float]:
         """Return for how many seconds requests are under way, by service and model."""
-        return self._unheard.times_by_work()
+        return self._unreported.times_by_work()
 
     def succeeded(self, server_id: str) -> None:
         """Forget the failures of a backend server."""
@@ -296,12 +296,12 @@
         if in_flight >= n_places or not self.limits.allows(server.id, now=now):
             return None
         zone = server.availability_zone
-        is_unheard = zone in self.unheard_zones
+        is_unheard = zone in self.unreachable_zones
         return ServerLoad(
             server=server,
             is_near=zone == self._zone,
             in_flight=in_flight,
-            load=in_flight + (UNHEARD_ZONE * n_places if is_unheard else 0.0),
+            load=in_flight + (UNREACHABLE_ZONE * n_places if is_unheard else 0.0),
         )
 
     def _forget_former(self) -> None:
--- a/ryelever/coordination/relaying/crashes.py
+++ b/ryelever/coordination/relaying/crashes.py
@@ -24,7 +24,7 @@
 
 #: Seconds for which a suspicion is told after it has changed: ten words within a zone
 #: and three to others, of which one arrives even where three packets in ten are lost.
-TOLD_FOR = 2.0
+ANNOUNCED_FOR = 2.0
 
 #: Suspicions in one word, the newest first; each takes some 60 bytes.
 MAX_TOLD = 32
@@ -68,7 +68,7 @@
 
     def told(self, *, now: float) -> tuple[SuspicionRow, ...]:
         """Return what the other hosts are to hear: what has changed just now."""
-        return tuple(self._quarantine.changes(since=now - TOLD_FOR)[:MAX_TOLD])
+        return tuple(self._quarantine.changes(since=now - ANNOUNCED_FOR)[:MAX_TOLD])
 
     def heard(self, rows: Iterable[SuspicionRow], *, host: str, now: float) -> None:
         """Take what another host has told."""
--- a/ryelever/coordination/relaying/levelling.py
+++ b/ryelever/coordination/relaying/levelling.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from ...state.directory import BackendServer
 
-__all__ = ["ServerLoad", "UnheardRequests", "spread"]
+__all__ = ["ServerLoad", "UnreportedRequests", "spread"]
 
 #: Seconds for which a request is taken to be under way before any has ended.
 USUAL_TIME = 1.0
@@ -48,7 +48,7 @@
     load: float
 
 
-class UnheardRequests:
+class UnreportedRequests:
     """Estimate how many requests other hosts have sent since they last told."""
 
     __slots__ = ("_far_share", "_interval", "_near_share", "_times_by_work")
--- a/ryelever/coordination/routing/departures.py
+++ b/ryelever/coordination/routing/departures.py
@@ -23,7 +23,7 @@
 SERVICE_HOLD = 2.0
 
 #: Seconds for which peers are told of a refusal.
-TOLD_FOR = 3.0
+ANNOUNCED_FOR = 3.0
 
 #: Seconds after which any word is dropped.
 MAX_AGE = 60.0
@@ -101,7 +101,7 @@
             host
             for host, departure in list(self._departures_by_host.items())
             if departure.told
-            and now - departure.at <= TOLD_FOR
+            and now - departure.at <= ANNOUNCED_FOR
             and self.is_leaving(host, now=now)
         }
         for host, listed in self._hosts_by_name.items():
--- a/ryelever/coordination/soft_state/exchange.py
+++ b/ryelever/coordination/soft_state/exchange.py
@@ -185,7 +185,7 @@
             }
         )
 
-    def zone_heard_since(self, moment: float, *, now: float) -> bool:
+    def zone_reported_since(self, moment: float, *, now: float) -> bool:
         """Tell whether the zone's living hosts have told all that they had seen.
 
         Parameters
--- a/ryelever/host_exchange.py
+++ b/ryelever/host_exchange.py
@@ -86,7 +86,7 @@
         self._last_near_state: tuple[object, ...] = ()
         self._last_far_state: tuple[object, ...] = ()
         self._heard: set[str] = set()
-        self._unheard_zones: set[str] = set()
+        self._unreachable_zones: set[str] = set()
         self._started_at = time.monotonic()
 
     @property
@@ -100,9 +100,9 @@
         self._sequence += 1
         described = self._describe()
         planning = self._settings.availability_zone in described.plans
-        speaks = self._heartbeats.speaks(planning=planning, now=now)
+        represents_zone = self._heartbeats.represents_zone(planning=planning, now=now)
         # Others rely on who speaks or reads for them, and notice soon if it is lost.
-        relied_on = speaks or self._heartbeats.reads_for_zone(
+        relied_on = represents_zone or self._heartbeats.reads_for_zone(
             reads_store=described.reads_store, now=now
         )
         usual_ticks = self._heartbeats.ticks_between_heartbeats(now=now)
@@ -120,10 +120,10 @@
                 self._spread_near(data)
             else:
                 self._send(data, self._near_hosts())
-        if speaks:
-            self._speak(heartbeat, now=now)
+        if represents_zone:
+            self._send_zone_heartbeat(heartbeat, now=now)
         self._balancer.peers_in_flight_by_id = self._heartbeats.in_flight(now=now)
-        self._balancer.unheard_zones = self._heartbeats.unheard_zones(now=now)
+        self._balancer.unreachable_zones = self._heartbeats.unreachable_zones(now=now)
         self._balancer.hear(
             interval=HEARTBEAT_INTERVAL * usual_ticks,
             n_near=len(self._heartbeats.near(now=now)),
@@ -160,7 +160,7 @@
             },
         )
 
-    def _speak(self, own: HostHeartbeat, *, now: float) -> None:
+    def _send_zone_heartbeat(self, own: HostHeartbeat, *, now: float) -> None:
         """Tell the other zones what there is to say for this one, if it is time."""
         summary = replace(
             zone_summary(own, self._heartbeats.near(now=now)),
@@ -176,7 +176,7 @@
             # Who spoke last may be lost, so that another one is told as well.
             others = self._heartbeats.hosts_of(zone)
             told = {others[self._sequence // TICKS_PER_ZONE_HEARTBEAT % len(others)]}
-            told.add(self._heartbeats.speaker(zone) or "")
+            told.add(self._heartbeats.zone_representative(zone) or "")
             self._send(data, told)
 
     @handler("peers_received")
@@ -228,7 +228,8 @@
     def _pass_on(self, updates: ServerUpdates) -> None:
         """Tell this zone, and one host of each other one."""
         told = {
-            self._heartbeats.speaker(zone) or self._heartbeats.hosts_of(zone)[0]
+            self._heartbeats.zone_representative(zone)
+            or self._heartbeats.hosts_of(zone)[0]
             for zone in self._far_zones()
         }
         for data in encode_updates(updates):
@@ -302,9 +303,9 @@
         for host in self._heard - heard:
             log_event("peer_lost", peer=host)
         self._heard = heard
-        unheard = self._balancer.unheard_zones
-        for zone in unheard - self._unheard_zones:
+        unheard = self._balancer.unreachable_zones
+        for zone in unheard - self._unreachable_zones:
             log_event("zone_lost", zone=zone)
-        for zone in self._unheard_zones - unheard:
+        for zone in self._unreachable_zones - unheard:
             log_event("zone_regained", zone=zone)
-        self._unheard_zones = unheard
+        self._unreachable_zones = unheard
--- a/ryelever/peering.py
+++ b/ryelever/peering.py
@@ -94,7 +94,7 @@
 
     def heard_since(self, moment: float) -> bool:
         """Tell whether the zone's living hosts have told all that they had seen."""
-        return self.exchange.zone_heard_since(moment, now=time.monotonic())
+        return self.exchange.zone_reported_since(moment, now=time.monotonic())
 
     @handler("control_tick")
     def _on_control_tick(self) -> None:
--- a/ryelever/request_path.py
+++ b/ryelever/request_path.py
@@ -63,7 +63,7 @@
         Return the number of entry hosts.
     place : callable
         Return this entry host's place among all of them, and their number.
-    peers_heard_since : callable
+    peers_reported_since : callable
         Tell whether the zone's living entry hosts have told all that they had seen at
         some monotonic time.
 
@@ -87,7 +87,7 @@
         account: Callable[[str], ClientAccount | None],
         n_hosts: Callable[[], int],
         place: Callable[[], tuple[int, int]],
-        peers_heard_since: Callable[[float], bool],
+        peers_reported_since: Callable[[float], bool],
     ) -> None:
         self.departures = Departures(
             confirmations=confirmations, hosts_by_name=hosts_by_name
@@ -95,7 +95,7 @@
         settle = SUSPICION_SETTLE if settings.peers else 0.0
         self.quarantine = Quarantine(
             settle=settle,
-            peers_heard_since=peers_heard_since,
+            peers_reported_since=peers_reported_since,
             reports=QuarantineLog(),
         )
         targets = Targets(
--- a/ryelever/state/directory.py
+++ b/ryelever/state/directory.py
@@ -89,7 +89,7 @@
     ----------
     by_id : dict of str to BackendServer
         All of them, leaving ones included.
-    heard_at_by_id : dict of str to float
+    last_seen_at_by_id : dict of str to float
         Monotonic time of the last sign of life of each that is lost: its entry lapses
         only some time after it.
     cold_until_by_id : dict of str to float
@@ -107,7 +107,7 @@
 
     def __init__(self) -> None:
         self.by_id: dict[str, BackendServer] = {}
-        self.heard_at_by_id: dict[str, float] = {}
+        self.last_seen_at_by_id: dict[str, float] = {}
         self.cold_until_by_id: dict[str, float] = {}
         self.listed_since_by_id: dict[str, float] = {}
         self.served_by_id: dict[str, frozenset[str]] = {}
@@ -133,7 +133,7 @@
             self.served_by_id[server.id] = server.models
         self.by_id[server.id] = server
         self.listed_since_by_id.setdefault(server.id, now)
-        self.heard_at_by_id.pop(server.id, None)
+        self.last_seen_at_by_id.pop(server.id, None)
         self._by_service.setdefault(server.service, {})[server.id] = server
         self.n_changes += 1
         return True
@@ -153,8 +153,8 @@
         del self.listed_since_by_id[server_id]
         self.cold_until_by_id.pop(server_id, None)
         self.served_by_id.pop(server_id, None)
-        known = self.heard_at_by_id.get(server_id, heard_at)
-        self.heard_at_by_id[server_id] = max(known, heard_at)
+        known = self.last_seen_at_by_id.get(server_id, heard_at)
+        self.last_seen_at_by_id[server_id] = max(known, heard_at)
         self.n_changes += 1
         return True
 
--- a/tests/test_coordination/test_host_words.py
+++ b/tests/test_coordination/test_host_words.py
@@ -370,10 +370,10 @@
 def test_a_zone_none_of_whose_hosts_is_heard(heartbeats: HostHeartbeats) -> None:
     _take(heartbeats, _heartbeat("a", availability_zone="y"), now=0.0)
     _take(heartbeats, _heartbeat("c", availability_zone="y"), now=1.0)
-    assert heartbeats.unheard_zones(now=1.0 + ZONE_SILENCE) == set()
-    assert heartbeats.unheard_zones(now=1.1 + ZONE_SILENCE) == {"y"}
+    assert heartbeats.unreachable_zones(now=1.0 + ZONE_SILENCE) == set()
+    assert heartbeats.unreachable_zones(now=1.1 + ZONE_SILENCE) == {"y"}
     _take(heartbeats, _heartbeat("a", sequence=2, availability_zone="y"), now=4.0)
-    assert heartbeats.unheard_zones(now=4.0) == set()
+    assert heartbeats.unreachable_zones(now=4.0) == set()
 
 
 def test_what_other_hosts_say_of_groups_and_zones(heartbeats: HostHeartbeats) -> None:
@@ -457,7 +457,7 @@
 
 
 @pytest.mark.parametrize(
-    ("others", "planning", "speaks"),
+    ("others", "planning", "represents_zone"),
     [
         ([], False, True),
         ([("a", ())], False, False),
@@ -483,11 +483,11 @@
     heartbeats: HostHeartbeats,
     others: list[tuple[str, tuple[str, ...]]],
     planning: bool,
-    speaks: bool,
+    represents_zone: bool,
 ) -> None:
     for host, plans in others:
         _take(heartbeats, _heartbeat(host, plans=plans), now=0.0)
-    assert heartbeats.speaks(planning=planning, now=0.1) is speaks
+    assert heartbeats.represents_zone(planning=planning, now=0.1) is represents_zone
 
 
 def test_the_newest_word_for_a_zone_counts_alone(heartbeats: HostHeartbeats) -> None:
@@ -500,7 +500,7 @@
     _take(heartbeats, _heartbeat("y1", in_flight_by_server={"i1": 3}, **far), now=0.0)
     _take(heartbeats, _heartbeat("y2", in_flight_by_server={"i1": 4}, **far), now=0.1)
     assert heartbeats.in_flight(now=0.2) == {"i1": 4}
-    assert heartbeats.speaker("y") == "y2"
+    assert heartbeats.zone_representative("y") == "y2"
     # Hosts that are not heard any more may still serve.
     assert heartbeats.n_hosts(now=60.0) == 6
 
--- a/tests/test_coordination/test_relaying/test_balance.py
+++ b/tests/test_coordination/test_relaying/test_balance.py
@@ -312,7 +312,7 @@
     for _ in range(10):
         balancer.sent("near")
     assert _choose(balancer) == "far"
-    balancer.unheard_zones = {"y"}
+    balancer.unreachable_zones = {"y"}
     assert _choose(balancer) == "near"
     while _choose(balancer) == "near":
         balancer.sent("near")
--- a/tests/test_coordination/test_relaying/test_crashes.py
+++ b/tests/test_coordination/test_relaying/test_crashes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ryelever.coordination.relaying.crashes import TOLD_FOR
+from ryelever.coordination.relaying.crashes import ANNOUNCED_FOR
 from ryelever.state.routes import RouteKind
 
 from .relay_fakes import Relaying, head
@@ -122,5 +122,5 @@
 def test_suspicions_are_told_for_a_while_only() -> None:
     relaying = Relaying()
     _crash_all(relaying, "poison", now=0.0)
-    assert len(relaying.crashes.told(now=TOLD_FOR)) == 1
-    assert relaying.crashes.told(now=TOLD_FOR + 0.1) == ()
+    assert len(relaying.crashes.told(now=ANNOUNCED_FOR)) == 1
+    assert relaying.crashes.told(now=ANNOUNCED_FOR + 0.1) == ()
--- a/tests/test_coordination/test_relaying/test_levelling.py
+++ b/tests/test_coordination/test_relaying/test_levelling.py
@@ -7,7 +7,7 @@
 from benchmarks.stale_balance import FLEETS, play
 from ryelever.coordination.relaying.levelling import (
     ServerLoad,
-    UnheardRequests,
+    UnreportedRequests,
     spread,
 )
 
@@ -58,7 +58,7 @@
 
 
 def test_as_many_come_unheard_as_are_under_way_for_that_long() -> None:
-    unheard = UnheardRequests()
+    unheard = UnreportedRequests()
     unheard.hear(interval=0.4, n_near=4, n_hosts=10)
     for _ in range(200):
         unheard.took(("engines", "m"), 0.8)
--- a/tests/test_host_exchange.py
+++ b/tests/test_host_exchange.py
@@ -188,7 +188,7 @@
     # Those that don't speak hear of the other zone from the one that does.
     for name in "cd":
         heartbeats = _heartbeats_at(network, name)
-        assert heartbeats.speaker("x") == "a"
+        assert heartbeats.zone_representative("x") == "a"
         assert heartbeats.in_flight(now=time.monotonic())["i1"] == sum(
             ord(other) for other in "abcd" if other != name
         )
@@ -255,7 +255,7 @@
     """Guard against living hosts that count as gone while a large zone starts."""
     for exchange in network.exchanges_by_host.values():
         exchange._heartbeats.reads_for_zone = lambda reads_store, now: False
-        exchange._heartbeats.speaks = lambda planning, now: False
+        exchange._heartbeats.represents_zone = lambda planning, now: False
     teller = network.exchanges_by_host["d"]
     # None of the next words is due at these intervals, but for the first.
     teller._sequence = 4 * 7
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -90,9 +90,9 @@
         return Quarantine(
             seed=1,
             settle=settle,
-            peers_heard_since=lambda moment: self._peerings[
+            peers_reported_since=lambda moment: self._peerings[
                 address
-            ].exchange.zone_heard_since(moment, now=self._clock.now),
+            ].exchange.zone_reported_since(moment, now=self._clock.now),
         )
 
     def _peering(self, address: str) -> Peering:
