--- a/ryelever/emulator/fleet.py
+++ b/ryelever/emulator/fleet.py
@@ -208,7 +208,7 @@
         return ZonePlanner(
             zone=zone,
             n_zones=self.deployment.n_zones,
-            is_own=True,
+            is_local=True,
             directory=self.directory,
             table=lambda: table,
             demand=lambda: self.deployment.demand if self.now >= 0 else {},
--- a/ryelever/platform/store.py
+++ b/ryelever/platform/store.py
@@ -39,7 +39,7 @@
 EXPIRED = 410
 
 #: Statuses of an append that another writer has come before.
-SUPERSEDED = frozenset({409, 412})
+APPEND_CONFLICT = frozenset({409, 412})
 
 
 class _Item(msgspec.Struct):
@@ -157,7 +157,7 @@
         if status == 200:
             read = decode(body, _Appended, step="append", peer=self.address)
             return read.map(lambda found: Appended(offset=found.offset, end=found.end))
-        if status in SUPERSEDED:
+        if status in APPEND_CONFLICT:
             read = decode(body, _Refused, step="append", peer=self.address)
             return read.map(lambda found: AppendRefused(end=found.end))
         return Error(self._refusal(status, step="append"))
