--- a/ryelever/coordination/relaying/__init__.py
+++ b/ryelever/coordination/relaying/__init__.py
@@ -1,6 +1,7 @@
-"""Take relayed requests to their final answer.
+"""Handle relayed requests from arrival to final answer.
 
-Which backend server gets them, when they are repeated, moved or given up.
+Chooses the backend server for each request and decides when a request is retried, moved
+to another server or abandoned.
 """
 
 from .actions import RelayAttempt, RelayMeasures, RelayRefusal
--- a/ryelever/coordination/relaying/balance.py
+++ b/ryelever/coordination/relaying/balance.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ...state.directory import GroupState
-from .levelling import ServerLoad, UnreportedRequests, spread
+from .levelling import ServerLoad, UnreportedRequests, spread_weights
 from .rate_limits import Allowance, ServerRateLimits
 
 if TYPE_CHECKING:
@@ -19,88 +19,98 @@
 
 __all__ = ["Balancer", "ServerRecord"]
 
-#: Requests that wait at a backend server beside those that it works on.  They wait
-#: for less than one of them takes, and no place idles while word of it is under way.
-WAITING_AT_SERVER = 2
+#: Requests that may be queued at a backend server in addition to those it runs. They
+#: wait for less time than one request takes, and no slot stays idle while the report
+#: that it is free is in transit.
+QUEUED_PER_SERVER = 2
 
-#: Requests in flight by which a backend server of another availability zone counts
-#: as more loaded: the way there and back costs a few milliseconds and bytes that are
-#: paid for.
-OTHER_ZONE = 1.5
+#: Penalty for a backend server of another availability zone, as a number of requests in
+#: flight. The round trip costs a few milliseconds, and the transferred bytes are
+#: charged for.
+OTHER_ZONE_PENALTY = 1.5
 
-#: The same, in places of a server, for one of a zone none of whose hosts is heard: it
-#: comes after all others that have a place.
-UNREACHABLE_ZONE = 2.0
+#: Penalty for a server in a zone from whose hosts no heartbeats are received, as a
+#: multiple of the server's capacity. Such a server is chosen only after all others that
+#: have a free slot.
+UNREACHABLE_ZONE_PENALTY = 2.0
 
-#: Backend servers that are looked at for one request, and those of other zones among
-#: them at the least.  Each that is looked at takes processor time, and a drawn part of
-#: the far ones tells as well where there is room.
+#: Backend servers examined for one request, and the minimum number of servers of other
+#: zones among them. Examining a server takes processor time, and a random sample of the
+#: servers of other zones is enough to find one with a free slot.
 MAX_CANDIDATES = 64
 MIN_FAR_CANDIDATES = 16
 
-#: Seconds for which a backend server that failed to answer is left alone, the
-#: first time and at most; doubled at each failure without a success between.
+#: Seconds for which a backend server that failed to answer is avoided: after the first
+#: failure, and at most. The time doubles with each failure until a success.
 FIRST_AVOIDANCE = 0.5
 MAX_AVOIDANCE = 4.0
 
-#: Seconds for which a backend server that disowned a request is left alone while its
-#: entry stays the same.  During an outage of the store entries go stale, and each
-#: request that is sent there nevertheless uses up one of its attempts and of the
-#: repeats that all hosts share.
-DISOWNED_FOR = 10.0
+#: Seconds for which a backend server that answered that its directory entry is wrong is
+#: avoided while the entry stays the same. Entries become stale during an outage of the
+#: store, and each request sent to such a server uses up one of its attempts and part of
+#: the retry budget that all hosts share.
+STALE_ENTRY_AVOIDANCE = 10.0
 
-#: Seconds for which a group that stands still is left alone.  If a member is lost, it
-#: is ended within that time; if it was only held up, an event ends the avoidance.
+#: Seconds for which a stalled group is avoided. If a member has been lost, the group is
+#: ended within that time; if the group was only delayed, its next event ends the
+#: avoidance.
 STALL_AVOIDANCE = 2.5
 
 
 class ServerRecord(msgspec.Struct, kw_only=True):
-    """Hold what this host has seen of one backend server.
+    """Observations of one backend server by this host.
 
     Attributes
     ----------
+    in_flight : int
+        Requests that this host has in flight at the server.
     n_failures : int
-        Failures in a row.
+        Consecutive failures.
     avoided_until : float
-        Monotonic time until which it gets nothing.
+        Monotonic time until which the server gets no requests.
     server : BackendServer or None
-        The incarnation that the failures belong to.
-    disowned, disowned_until
-        The entry under which it said that it is another incarnation or no head, and
-        the monotonic time until which that is believed.
+        The incarnation to which the failures belong.
+    stale_entry : BackendServer or None
+        The directory entry under which the server answered that it is another
+        incarnation or not the head of its group.
+    stale_until : float
+        Monotonic time until which that entry counts as stale.
     """
 
     in_flight: int = 0
     n_failures: int = 0
     avoided_until: float = 0.0
     server: BackendServer | None = None
-    disowned: BackendServer | None = None
-    disowned_until: float = 0.0
+    stale_entry: BackendServer | None = None
+    stale_until: float = 0.0
 
 
 class Balancer:
     """Choose the least loaded backend server that can run a request.
 
-    Load is what this host has in flight there, and what its peers told.
+    The load of a server is the number of requests that this host has in flight there,
+    plus the number that other entry hosts report.
 
     Parameters
     ----------
     zone : str
         This host's availability zone.
     cold_rate : callable
-        Return the requests a second that a cold server of a service bears, or None.
+        Return the requests a second that a cold server of a service can take, or None
+        for no limit.
     is_evacuated : callable
-        Tell whether the servers of an availability zone are to get nothing new.
+        Return whether the servers of an availability zone get no new requests.
     seed : int or None
-        Seed of the draws.
+        Seed of the random choices.
 
     Attributes
     ----------
     unreachable_zones : set of str
-        Zones none of whose hosts is heard, as when a zone is cut off.  Each of their
-        servers would cost a request one of its attempts before it was avoided.
+        Zones from whose hosts no heartbeats are received, for example after a network
+        partition. Each of their servers would cost a request one of its attempts before
+        the server was avoided.
     limits : ServerRateLimits
-        The rate limits that servers name.
+        The rate limits that apply to servers.
     """
 
     def __init__(
@@ -125,7 +135,7 @@
         self._candidates_by_work: dict[tuple[str, str], list[BackendServer]] = {}
 
     def record(self, server_id: str) -> ServerRecord:
-        """Return the record of a backend server, a new one if there is none."""
+        """Return the record of a backend server, creating it if necessary."""
         record = self.records_by_id.get(server_id)
         if record is None:
             server = self._directory.by_id.get(server_id)
@@ -133,17 +143,17 @@
         return record
 
     def candidates(self, service: str, model: str) -> list[BackendServer]:
-        """Return the backend servers that can run such work."""
+        """Return the backend servers that can run requests for a service and model."""
         if self._seen_changes != self._directory.n_changes:
             self._seen_changes = self._directory.n_changes
             self._candidates_by_work.clear()
-            self._forget_former()
+            self._drop_former_incarnations()
         found = self._candidates_by_work.get((service, model))
         if found is None:
             found = [
                 server
                 for server in self._directory.of_service(service)
-                if not server.draining and _runs(server, model)
+                if not server.draining and _serves_model(server, model)
             ]
             self._candidates_by_work[service, model] = found
         return found
@@ -151,24 +161,28 @@
     def choose(
         self, service: str, model: str, *, excluded: set[str], now: float
     ) -> BackendServer | None:
-        """Return a backend server with a place, if there is one.
+        """Return a backend server with a free slot, or None.
 
-        The least loaded one, where no other host sends unheard.  Else it is drawn so
-        that all hosts together level out the loads: had each sent to the one that it
-        takes for the least loaded, that one would be full before any of them heard.
+        If the reported loads are up to date, this is the least loaded server. If other
+        hosts may have sent requests that are not reported yet, the server is drawn at
+        random with weights that level the loads across all hosts. Otherwise all hosts
+        would send to the same least loaded server, and it would be full before any of
+        them learned of the others' requests.
         """
         candidates = self.candidates(service, model)
-        looked_at = self._looked_at(candidates)
-        options = self._options(looked_at, excluded=excluded, now=now)
-        if not options and looked_at is not candidates:
-            options = self._options(candidates, excluded=excluded, now=now)
+        sampled = self._sampled(candidates)
+        options = self._available_loads(sampled, excluded=excluded, now=now)
+        if not options and sampled is not candidates:
+            options = self._available_loads(candidates, excluded=excluded, now=now)
         if not options:
             return None
-        # The request that is to be sent counts as well: while nothing is in flight all
-        # hosts would take the same server for the least loaded.
+        # Count the request being sent as well: otherwise, with nothing in flight, all
+        # hosts would choose the same server as the least loaded one.
         n_in_flight = 1 + sum(option.in_flight for option in options)
         near, far = self._unreported.expected((service, model), n_in_flight=n_in_flight)
-        weights = spread(options, near=near, far=far, distance=OTHER_ZONE)
+        weights = spread_weights(
+            options, near=near, far=far, distance=OTHER_ZONE_PENALTY
+        )
         if near == far == 0.0:
             return options[weights.index(max(weights))].server
         return self._random.choices(options, weights)[0].server
@@ -182,9 +196,15 @@
         seconds: float,
         now: float,
     ) -> Allowance | None:
-        """Return what may be sent for such work soon, where rate limits bound it.
+        """Return the requests that rate limits allow for such work, or None.
+
+        The result is None if a server without a limit can run the work, or if no server
+        can.
 
-        None where a server that names no limit can run it, or none can.
+        Parameters
+        ----------
+        seconds : float
+            Time span that counts for ``Allowance.n_available``.
         """
         total = None
         for server in self.candidates(service, model):
@@ -197,70 +217,71 @@
         return total
 
     def hear(self, *, interval: float, n_near: int, n_hosts: int) -> None:
-        """Take how often and from how many hosts words come.
+        """Set how often, and from how many hosts, heartbeats are received.
 
         Parameters
         ----------
         interval : float
-            Seconds between two words of a host of this zone.
+            Seconds between two heartbeats of a host of this zone.
         n_near, n_hosts : int
-            Other hosts of this zone, and all hosts.
+            Number of other hosts in this zone, and number of all hosts.
         """
-        self._unreported.hear(interval=interval, n_near=n_near, n_hosts=n_hosts)
+        self._unreported.set_interval(interval=interval, n_near=n_near, n_hosts=n_hosts)
 
     def sent(self, server_id: str) -> None:
-        """Count a request that is under way to a backend server."""
+        """Count a request as in flight to a backend server."""
         self.record(server_id).in_flight += 1
 
     def ended(self, server_id: str) -> None:
-        """Count a request out."""
+        """Stop counting a request as in flight to a backend server."""
         record = self.records_by_id.get(server_id)
         if record is not None and record.in_flight > 0:
             record.in_flight -= 1
 
     def took(self, service: str, model: str, seconds: float) -> None:
-        """Take for how long a request was under way at its server."""
-        self._unreported.took((service, model), seconds)
+        """Record for how many seconds a request was in flight."""
+        self._unreported.record_duration((service, model), seconds)
 
     def times_under_way(self) -> dict[str, float]:
-        """Return for how many seconds requests are under way, by service and model."""
-        return self._unreported.times_by_work()
+        """Return the mean seconds that requests are in flight, by service and model."""
+        return self._unreported.mean_durations()
 
     def succeeded(self, server_id: str) -> None:
-        """Forget the failures of a backend server."""
+        """Reset the failures of a backend server."""
         record = self.record(server_id)
         record.n_failures = 0
         record.avoided_until = 0.0
 
     def failed(self, server_id: str, *, now: float) -> None:
-        """Leave a backend server alone for a while, longer each time."""
+        """Avoid a backend server for a while, longer after each failure in a row."""
         record = self.record(server_id)
         if now < record.avoided_until:
-            # What was sent before the failure showed fails with it.
+            # Requests sent before the first failure was noticed fail with it and count
+            # once.
             return
         record.n_failures += 1
         pause = FIRST_AVOIDANCE * 2 ** (record.n_failures - 1)
         record.avoided_until = now + min(MAX_AVOIDANCE, pause)
 
-    def disowned(self, server_id: str, *, now: float) -> None:
-        """Send nothing to a server that its entry describes wrongly."""
+    def mark_entry_stale(self, server_id: str, *, now: float) -> None:
+        """Avoid a server whose directory entry is stale."""
         record = self.record(server_id)
-        record.disowned = self._directory.by_id.get(server_id)
-        record.disowned_until = now + DISOWNED_FOR
+        record.stale_entry = self._directory.by_id.get(server_id)
+        record.stale_until = now + STALE_ENTRY_AVOIDANCE
 
     def mark_stalled(self, server_id: str, *, now: float) -> None:
-        """Leave a group alone in which nothing moves."""
+        """Avoid a group that has stalled."""
         record = self.record(server_id)
         record.avoided_until = max(record.avoided_until, now + STALL_AVOIDANCE)
 
     def clear_stall(self, server_id: str) -> None:
-        """Take word that something moves in a group."""
+        """Stop avoiding a group that makes progress."""
         record = self.records_by_id.get(server_id)
         if record is not None and record.avoided_until:
             record.avoided_until = 0.0
 
-    def _looked_at(self, candidates: list[BackendServer]) -> list[BackendServer]:
-        """Return all candidates, or those of this zone and some of the others."""
+    def _sampled(self, candidates: list[BackendServer]) -> list[BackendServer]:
+        """Return all candidates, or this zone's and a random sample of the others."""
         if len(candidates) <= MAX_CANDIDATES:
             return candidates
         parts: tuple[list[BackendServer], list[BackendServer]] = ([], [])
@@ -270,42 +291,45 @@
         n_far = max(MIN_FAR_CANDIDATES, MAX_CANDIDATES - len(near))
         return near + self._random.sample(far, min(n_far, len(far)))
 
-    def _options(
+    def _available_loads(
         self, servers: list[BackendServer], *, excluded: set[str], now: float
     ) -> list[ServerLoad]:
-        """Return the loads of those that have a place."""
+        """Return the loads of those servers that have a free slot."""
         return [
             option
             for server in servers
             if server.id not in excluded
-            and (option := self._option(server, now=now)) is not None
+            and (option := self._available_load(server, now=now)) is not None
         ]
 
-    def _option(self, server: BackendServer, *, now: float) -> ServerLoad | None:
-        """Return what is known of a server's load, unless it gets nothing now."""
+    def _available_load(
+        self, server: BackendServer, *, now: float
+    ) -> ServerLoad | None:
+        """Return the load of a server, or None if it must not get a request now."""
         if self._is_evacuated(server.availability_zone):
             return None
         record = self.records_by_id.get(server.id)
         in_flight = self.peers_in_flight_by_id[server.id]
         if record is not None:
-            disowned = server is record.disowned and now < record.disowned_until
-            if disowned or now < record.avoided_until:
+            has_stale_entry = server is record.stale_entry and now < record.stale_until
+            if has_stale_entry or now < record.avoided_until:
                 return None
             in_flight += record.in_flight
-        n_places = server.slots + WAITING_AT_SERVER
-        if in_flight >= n_places or not self.limits.allows(server.id, now=now):
+        capacity = server.slots + QUEUED_PER_SERVER
+        if in_flight >= capacity or not self.limits.allows(server.id, now=now):
             return None
         zone = server.availability_zone
-        is_unheard = zone in self.unreachable_zones
+        is_unreachable = zone in self.unreachable_zones
         return ServerLoad(
             server=server,
-            is_near=zone == self._zone,
+            is_local_zone=zone == self._zone,
             in_flight=in_flight,
-            load=in_flight + (UNREACHABLE_ZONE * n_places if is_unheard else 0.0),
+            load=in_flight
+            + (UNREACHABLE_ZONE_PENALTY * capacity if is_unreachable else 0.0),
         )
 
-    def _forget_former(self) -> None:
-        """Forget what was seen of servers that are gone, or were started anew."""
+    def _drop_former_incarnations(self) -> None:
+        """Drop the observations of servers that are gone or have restarted."""
         for server_id, record in list(self.records_by_id.items()):
             server = self._directory.by_id.get(server_id)
             if server is None:
@@ -319,8 +343,8 @@
                 record.avoided_until = 0.0
 
 
-def _runs(server: BackendServer, model: str) -> bool:
-    """Tell whether a backend server takes requests for a model, or plain ones."""
+def _serves_model(server: BackendServer, model: str) -> bool:
+    """Return whether a backend server runs a model; "" stands for plain requests."""
     if not model:
         return True
     group = server.group
--- a/ryelever/coordination/relaying/crashes.py
+++ b/ryelever/coordination/relaying/crashes.py
@@ -1,4 +1,4 @@
-"""Bound how many backend servers one relayed request can crash, over all hosts."""
+"""Limit how many backend servers one relayed request can crash, over all hosts."""
 
 from __future__ import annotations
 
@@ -15,33 +15,37 @@
 
 __all__ = ["CrashWatch"]
 
-#: Reasons of a failed attempt that a backend server's death may be behind.  Silence
-#: is none: a partition silences many servers at once, and would make suspects of all
-#: that runs.
+#: Reasons of a failed attempt that can mean that the backend server died. Silence is
+#: not among them: a network partition silences many servers at once, and would make
+#: suspects of all requests that run there.
 CRASH_REASONS = frozenset(
     {"connection_failed", "stream_cut_off", "answer_without_head"}
 )
 
-#: Seconds for which a suspicion is told after it has changed: ten words within a zone
-#: and three to others, of which one arrives even where three packets in ten are lost.
+#: Seconds for which a suspicion is announced after it has changed. This covers ten
+#: heartbeats within a zone and three to other zones, of which one arrives even if three
+#: packets in ten are lost.
 ANNOUNCED_FOR = 2.0
 
-#: Suspicions in one word, the newest first; each takes some 60 bytes.
-MAX_TOLD = 32
+#: Maximum number of suspicions in one heartbeat, the newest first; each takes about 60
+#: bytes.
+MAX_ANNOUNCED = 32
 
 
 class CrashWatch:
-    """Tell the requests that crash backend servers from those that were near.
+    """Find the requests that crash backend servers.
 
-    A request that crashes what runs it comes again, to any entry host, and takes one
-    backend server after the other; an operator sees group after group lose its head.
-    Each host counts the crashes that a request was in and tells the others, so that
-    none of them sends it after the second one.
+    A request that crashes the server running it is sent again, through any entry host,
+    and takes down one backend server after the other; an operator sees group after
+    group lose its head. Each host counts the crashes that a request was involved in and
+    announces them to the other hosts, so that no host sends the request after its
+    second crash. Requests that only ran beside the cause of a crash are cleared when
+    they complete.
 
     Parameters
     ----------
     quarantine : Quarantine
-        Judges by the crashes that a request was in.
+        Decides, by the crashes a request was involved in, whether to refuse it.
     """
 
     __slots__ = ("_quarantine",)
@@ -50,7 +54,7 @@
         self._quarantine = quarantine
 
     def verdict(self, request: RelayRequest, *, now: float) -> Quarantined | None:
-        """Return why a request is not sent to a backend server, or None."""
+        """Return why a request must not be sent to a backend server, or None."""
         if not self._quarantine.has_suspects:
             return None
         return self._quarantine.verdict(_fingerprint(request), now=now)
@@ -58,24 +62,26 @@
     def failed(
         self, request: RelayRequest, *, server_id: str, reason: str, now: float
     ) -> None:
-        """Take a failed attempt; each attempt that a crash breaks off tells of it."""
+        """Record a failed attempt; every attempt that a crash breaks off reports it."""
         if reason in CRASH_REASONS:
             self._quarantine.crashed(server_id, {_fingerprint(request)}, now=now)
 
     def completed(self, request: RelayRequest, *, now: float) -> None:
-        """Clear a request that got its whole answer."""
+        """Clear a request that got its complete answer."""
         self._quarantine.completed(_fingerprint(request), now=now)
 
     def told(self, *, now: float) -> tuple[SuspicionRow, ...]:
-        """Return what the other hosts are to hear: what has changed just now."""
-        return tuple(self._quarantine.changes(since=now - ANNOUNCED_FOR)[:MAX_TOLD])
+        """Return the suspicions that have changed recently, for the other hosts."""
+        return tuple(
+            self._quarantine.changes(since=now - ANNOUNCED_FOR)[:MAX_ANNOUNCED]
+        )
 
     def heard(self, rows: Iterable[SuspicionRow], *, host: str, now: float) -> None:
-        """Take what another host has told."""
+        """Record the suspicions that another host has announced."""
         for row in rows:
             self._quarantine.observed(row, peer=host, observed_at=now, now=now)
 
 
 def _fingerprint(request: RelayRequest) -> str:
-    """Return what a request has in common with its repeats: caller and content."""
+    """Return what a request shares with its retries: account and content."""
     return f"{request.account}/{request.arrival.content}"
--- a/ryelever/coordination/relaying/demand.py
+++ b/ryelever/coordination/relaying/demand.py
@@ -1,4 +1,4 @@
-"""Measure the work that arrives for each model."""
+"""Measure the demand that arrives for each model."""
 
 from __future__ import annotations
 
@@ -12,40 +12,41 @@
 
 __all__ = ["DemandMeter", "time_in_batch"]
 
-#: Seconds over which arrivals are averaged: a burst of some seconds shows, a moment
-#: with a few large requests doesn't.
-AVERAGED_OVER = 4.0
+#: Seconds over which arrivals are averaged. A burst of some seconds shows in the
+#: average; a moment with a few large requests doesn't.
+AVERAGING_TIME = 4.0
 
-#: Part of its slots that a busy group has in use; batches cost less a token the
-#: fuller they are, so a demand that is assumed at this filling is a little high.
-USUAL_FILLING = 0.6
+#: Share of its slots that a busy group uses. The fuller a batch is, the less time each
+#: token takes, so a demand computed with this share is a little high.
+TYPICAL_UTILIZATION = 0.6
 
 
-#: Answers that the length which the operator calls usual counts for.  The shortest
-#: answers end first, and an average that begins with them shows half of the truth for
-#: the first twenty seconds of a host that gets three requests a second.
-USUAL_ANSWERS = 10
+#: Weight of the operator's usual answer length in the average, as a number of answers.
+#: The shortest answers end first, and an average that begins with them shows half of
+#: the true length for the first twenty seconds of a host that gets three requests a
+#: second.
+PRIOR_ANSWERS = 10
 
-#: Least seconds for which arrivals count as having been averaged.  Below it one
-#: request would count for a rush.
-LEAST_AVERAGED = 1.0
+#: Minimum seconds for which arrivals count as having been averaged. With less, a single
+#: request would count as a burst.
+MIN_AVERAGED_TIME = 1.0
 
 
 def time_in_batch(
     engine: EngineProfile, model: str, *, n_prompt: float, n_answer: float
 ) -> float:
-    """Return the seconds for which a request keeps a whole group busy."""
+    """Return the seconds of a group's full capacity that a request takes up."""
     profile = engine.models_by_name.get(model)
     if profile is None:
         return 0.0
-    n_running = max(1.0, USUAL_FILLING * engine.slots)
+    n_running = max(1.0, TYPICAL_UTILIZATION * engine.slots)
     step = engine.step_time + n_running * engine.step_time_per_request
-    writing = n_answer * step / n_running
-    return profile.pace * (n_prompt / engine.prefill_rate + writing)
+    decode_time = n_answer * step / n_running
+    return profile.pace * (n_prompt / engine.prefill_rate + decode_time)
 
 
 class DemandMeter:
-    """Average the work that arrives at this host, in groups kept busy, by model."""
+    """Average the demand for each model, as the number of groups it keeps busy."""
 
     def __init__(self) -> None:
         self._rate_by_model: dict[str, float] = {}
@@ -54,44 +55,45 @@
         self._lengths_by_model: dict[str, RunningMean] = {}
 
     def arrived(self, model: str, seconds: float, *, now: float) -> None:
-        """Take note of a request that keeps a group busy for some seconds."""
+        """Record a request that keeps a group busy for some seconds."""
         self._since_by_model.setdefault(model, now)
         self._decay(model, now=now)
-        self._rate_by_model[model] += seconds / AVERAGED_OVER
+        self._rate_by_model[model] += seconds / AVERAGING_TIME
 
     def served(self, model: str, n_events: int) -> None:
-        """Take note of a whole stream and of its length."""
+        """Record the number of events of a complete stream."""
         self._lengths_by_model.setdefault(model, RunningMean()).add(n_events)
 
     def answer_length(self, model: str, engine: EngineProfile) -> float:
-        """Return the tokens that an answer of a model has on average.
+        """Return the average number of tokens in an answer of a model.
 
-        While answers are few it is nearer to what the operator calls usual.
+        While few answers have ended, the average stays near the usual length that the
+        operator has configured.
         """
         lengths = self._lengths_by_model.get(model)
         if lengths is None:
             return engine.usual_answer
-        n_counted = lengths.n_counted
-        total = n_counted * lengths.mean * engine.tokens_per_event
-        total += USUAL_ANSWERS * engine.usual_answer
-        return total / (n_counted + USUAL_ANSWERS)
+        effective_count = lengths.effective_count
+        total = effective_count * lengths.mean * engine.tokens_per_event
+        total += PRIOR_ANSWERS * engine.usual_answer
+        return total / (effective_count + PRIOR_ANSWERS)
 
     def by_model(self, *, now: float) -> dict[str, float]:
-        """Return the work of each model as of now.
+        """Return the current demand of each model, in groups kept busy.
 
-        What arrived since the first request stands for all of the time over which it
-        is averaged, or a host would seem idle for its first seconds.
+        The average is scaled to the time since the first request: otherwise a host
+        would seem idle for its first seconds.
         """
         work = {}
         for model in self._rate_by_model:
             self._decay(model, now=now)
-            averaged = max(LEAST_AVERAGED, now - self._since_by_model[model])
-            share = 1.0 - math.exp(-averaged / AVERAGED_OVER)
+            averaged_time = max(MIN_AVERAGED_TIME, now - self._since_by_model[model])
+            share = 1.0 - math.exp(-averaged_time / AVERAGING_TIME)
             work[model] = self._rate_by_model[model] / share
         return work
 
     def _decay(self, model: str, *, now: float) -> None:
-        passed = now - self._at_by_model.get(model, now)
+        elapsed = now - self._at_by_model.get(model, now)
         rate = self._rate_by_model.get(model, 0.0)
-        self._rate_by_model[model] = rate * math.exp(-passed / AVERAGED_OVER)
+        self._rate_by_model[model] = rate * math.exp(-elapsed / AVERAGING_TIME)
         self._at_by_model[model] = now
--- a/ryelever/coordination/relaying/levelling.py
+++ b/ryelever/coordination/relaying/levelling.py
@@ -1,9 +1,10 @@
-"""Spread requests over servers whose loads were told some tenths of a second ago.
+"""Spread requests over servers whose reported loads are some tenths of a second old.
 
-Between two words of an entry host the others send on without its knowing.  Where each
-sends to the server that looks least loaded, all send to that one until they hear of
-each other: some groups are full while others idle, by turns.  So a host reckons with
-what the others send meanwhile, and draws among the servers that it would level out.
+Between two heartbeats of an entry host, the other hosts don't know what it sends. If
+each host sent to the server that looks least loaded, all would choose the same one
+until their next heartbeats, and groups would in turn be full while others are idle.
+Each host therefore estimates what the other hosts send in the meantime, and draws among
+the servers that would fill up to the same level.
 """
 
 from __future__ import annotations
@@ -17,115 +18,130 @@
 if TYPE_CHECKING:
     from ...state.directory import BackendServer
 
-__all__ = ["ServerLoad", "UnreportedRequests", "spread"]
+__all__ = ["ServerLoad", "UnreportedRequests", "spread_weights"]
 
-#: Seconds for which a request is taken to be under way before any has ended.
-USUAL_TIME = 1.0
+#: Seconds that a request is assumed to be in flight before any request has ended.
+DEFAULT_DURATION = 1.0
 
-#: Seconds for which one is under way at the least, so that a mean is never nothing.
-LEAST_TIME = 0.001
+#: Minimum seconds that a request counts as in flight, so that the mean is never zero.
+MIN_DURATION = 0.001
 
-#: Requests that are poured at the least, so that the least loaded server shows.
-LEAST_POURED = 1e-6
+#: Minimum number of requests to distribute, so that the least loaded server gets a
+#: weight above zero.
+MIN_ADDED = 1e-6
 
 
 class ServerLoad(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold how many requests a server has, as far as this host has heard.
+    """The load of a server as far as this host knows it.
 
     Attributes
     ----------
-    is_near : bool
-        True where it is in this host's availability zone.
+    is_local_zone : bool
+        True if the server is in this host's availability zone.
     in_flight : int
-        Requests under way there.
+        Requests in flight there.
     load : float
-        The same, and more where it is to come after others.
+        Requests in flight, plus a penalty if other servers are to be preferred.
     """
 
     server: BackendServer
-    is_near: bool
+    is_local_zone: bool
     in_flight: int
     load: float
 
 
 class UnreportedRequests:
-    """Estimate how many requests other hosts have sent since they last told."""
+    """Estimate how many requests other hosts have sent since their last heartbeats."""
 
-    __slots__ = ("_far_share", "_interval", "_near_share", "_times_by_work")
+    __slots__ = ("_far_share", "_interval", "_near_share", "_durations_by_work")
 
     def __init__(self) -> None:
         self._interval = 0.0
         self._near_share = 0.0
         self._far_share = 0.0
-        self._times_by_work: dict[tuple[str, str], RunningMean] = {}
+        self._durations_by_work: dict[tuple[str, str], RunningMean] = {}
 
-    def hear(self, *, interval: float, n_near: int, n_hosts: int) -> None:
-        """Take how often and from how many hosts words come."""
+    def set_interval(self, *, interval: float, n_near: int, n_hosts: int) -> None:
+        """Set how often, and from how many hosts, heartbeats are received."""
         self._interval = interval
         self._near_share = n_near / max(1, n_hosts)
         self._far_share = max(0, n_hosts - n_near - 1) / max(1, n_hosts)
 
-    def took(self, work: tuple[str, str], seconds: float) -> None:
-        """Take for how long a request was under way."""
-        self._times_by_work.setdefault(work, RunningMean()).add(seconds)
+    def record_duration(self, work: tuple[str, str], seconds: float) -> None:
+        """Record for how many seconds a request was in flight."""
+        self._durations_by_work.setdefault(work, RunningMean()).add(seconds)
 
-    def times_by_work(self) -> dict[str, float]:
-        """Return the mean seconds for which requests are under way, by their kind."""
+    def mean_durations(self) -> dict[str, float]:
+        """Return the mean seconds that requests are in flight, by service and model."""
         return {
-            " ".join(work).strip(): times.mean
-            for work, times in self._times_by_work.items()
+            " ".join(work).strip(): durations.mean
+            for work, durations in self._durations_by_work.items()
         }
 
     def expected(
         self, work: tuple[str, str], *, n_in_flight: float
     ) -> tuple[float, float]:
-        """Return how many requests near and far hosts sent since they last told.
+        """Return how many requests hosts have sent since their last heartbeats.
 
-        As many come in the time for which one is under way as are in flight.
+        The first number is for hosts of this zone, the second for hosts of other zones.
+        In the mean time that one request is in flight, as many new requests are sent as
+        are in flight at once.
         """
-        times = self._times_by_work.get(work)
-        mean = USUAL_TIME if times is None else max(LEAST_TIME, times.mean)
+        durations = self._durations_by_work.get(work)
+        mean = (
+            DEFAULT_DURATION if durations is None else max(MIN_DURATION, durations.mean)
+        )
         n_new = n_in_flight * self._interval / mean
         return n_new * self._near_share, n_new * self._far_share
 
 
-def spread(
+def spread_weights(
     options: list[ServerLoad], *, near: float, far: float, distance: float
 ) -> list[float]:
-    """Return the weights by which a server is to be drawn.
+    """Return the weights with which to draw a server.
 
-    What the hosts of other zones send goes to their own servers first, so that these
-    count as fuller by it; what this zone's hosts send goes where it levels out the
-    loads, far servers counting as more loaded by the distance.
+    Requests from hosts of other zones are assumed to go to the servers of those zones
+    first, which raises the load of these servers. Requests from this zone's hosts go
+    where they level the loads; servers of other zones count as more loaded by
+    ``distance``.
 
     Parameters
     ----------
     near, far : float
-        Requests that hosts of this zone and of others have sent unheard.
+        Requests that hosts of this zone and of other zones have sent and not reported
+        yet.
     distance : float
-        Requests by which a far server counts as more loaded.
+        Number of requests by which a server of another zone counts as more loaded.
     """
     loads = [option.load for option in options]
     sizes = [option.server.slots for option in options]
-    theirs = [index for index, option in enumerate(options) if not option.is_near]
-    sent = _poured([loads[i] for i in theirs], [sizes[i] for i in theirs], far)
-    for index, amount in zip(theirs, sent, strict=True):
+    far_indices = [
+        index for index, option in enumerate(options) if not option.is_local_zone
+    ]
+    sent = _water_fill(
+        [loads[i] for i in far_indices], [sizes[i] for i in far_indices], far
+    )
+    for index, amount in zip(far_indices, sent, strict=True):
         loads[index] += distance + amount
-    return _poured(loads, sizes, max(near, LEAST_POURED))
+    return _water_fill(loads, sizes, max(near, MIN_ADDED))
+
 
+def _water_fill(loads: list[float], sizes: list[int], amount: float) -> list[float]:
+    """Return each server's part of some requests, given to the least loaded first.
 
-def _poured(loads: list[float], sizes: list[int], amount: float) -> list[float]:
-    """Return what each server gets when requests are poured on the least loaded."""
-    fillings = [load / size for load, size in zip(loads, sizes, strict=True)]
+    The requests fill the servers to a common level of load per slot; servers above that
+    level get nothing.
+    """
+    utilizations = [load / size for load, size in zip(loads, sizes, strict=True)]
     level = 0.0
-    n_places = 0
-    held = amount
-    for index in sorted(range(len(loads)), key=fillings.__getitem__):
-        if n_places and fillings[index] >= level:
+    n_slots = 0
+    total = amount
+    for index in sorted(range(len(loads)), key=utilizations.__getitem__):
+        if n_slots and utilizations[index] >= level:
             break
-        n_places += sizes[index]
-        held += loads[index]
-        level = held / n_places
+        n_slots += sizes[index]
+        total += loads[index]
+        level = total / n_slots
     return [
         max(0.0, level * size - load) for load, size in zip(loads, sizes, strict=True)
     ]
--- a/ryelever/coordination/relaying/limit_shares.py
+++ b/ryelever/coordination/relaying/limit_shares.py
@@ -10,21 +10,21 @@
 
     from ..host_heartbeats import HostHeartbeat
 
-__all__ = ["TokenBucket", "WantedBy", "share_of"]
+__all__ = ["RequestingHosts", "TokenBucket", "share_of"]
 
-#: Seconds of its rate that a host may send at once, where these are more than one
+#: Capacity of a token bucket in seconds of its rate, unless that is less than one
 #: request.
-BURST = 0.5
+BURST_TIME = 0.5
 
-#: Part of a token by which sums of times may be off.
+#: Rounding error of summed times, as a fraction of a token.
 ROUNDING = 1e-6
 
 
 class TokenBucket:
-    """Allow requests at a rate, and few at once.
+    """Token bucket that allows requests at a rate, with a small burst.
 
-    It starts empty: who begins to send to a server knows nothing of what others have
-    just sent there.
+    The bucket starts empty: a host that begins to send to a server does not know what
+    other hosts have just sent there.
     """
 
     __slots__ = ("_filled_at", "_rate", "_tokens")
@@ -35,135 +35,141 @@
         self._filled_at = 0.0
 
     def set_rate(self, rate: float, *, now: float) -> None:
-        """Allow so many requests a second from now on."""
+        """Set the requests a second to allow from now on."""
         self._fill(now=now)
         self._rate = rate
         self._tokens = min(self._tokens, self._capacity)
 
     def has_token(self, *, now: float) -> bool:
-        """Tell whether a request may be sent."""
+        """Return whether a request may be sent."""
         self._fill(now=now)
         return self._tokens >= 1.0 - ROUNDING
 
     def take(self, *, now: float) -> None:
-        """Count a request."""
+        """Use up a token for a request."""
         self._fill(now=now)
         self._tokens = max(0.0, self._tokens - 1.0)
 
     @property
     def rate(self) -> float:
-        """Return the requests a second that it allows."""
+        """Return the requests a second that the bucket allows."""
         return self._rate
 
     def tokens_within(self, seconds: float, *, now: float) -> float:
-        """Return how many requests may be sent until some seconds from now."""
+        """Return how many requests may be sent within the given seconds."""
         self._fill(now=now)
         return self._tokens + self._rate * seconds
 
     @property
     def _capacity(self) -> float:
-        return max(1.0, BURST * self._rate) if self._rate else 0.0
+        return max(1.0, BURST_TIME * self._rate) if self._rate else 0.0
 
     def _fill(self, *, now: float) -> None:
-        passed = now - self._filled_at
+        elapsed = now - self._filled_at
         self._filled_at = now
-        self._tokens = min(self._capacity, self._tokens + self._rate * passed)
+        self._tokens = min(self._capacity, self._tokens + self._rate * elapsed)
 
 
-class WantedBy:
-    """Collect which zones, and which hosts of the own one, want a server.
+class RequestingHosts:
+    """Collect the zones, and the hosts of the local zone, with requests for a server.
 
     Parameters
     ----------
     host, zone : str
         This host and its availability zone.
-    all_share : bool
-        True where those that want it are not told from the others.
+    include_idle : bool
+        True to share the limit among all zones and hosts, whether or not they have
+        requests for the server.
     """
 
     __slots__ = (
-        "_all_share",
+        "_include_idle",
         "_hosts",
-        "_wanting_hosts",
-        "_wanting_zones",
+        "_requesting_hosts",
+        "_requesting_zones",
         "_zones",
         "host",
         "zone",
     )
 
-    def __init__(self, *, host: str, zone: str, all_share: bool = False) -> None:
-        self._all_share = all_share
+    def __init__(self, *, host: str, zone: str, include_idle: bool = False) -> None:
+        self._include_idle = include_idle
         self.host = host
         self.zone = zone
         self._zones = {zone}
         self._hosts = {host}
-        self._wanting_zones: set[str] = set()
-        self._wanting_hosts: set[str] = set()
+        self._requesting_zones: set[str] = set()
+        self._requesting_hosts: set[str] = set()
 
-    def add_own(self, *, is_wanted: bool) -> None:
-        """Count this host."""
-        self._add(self.host, self.zone, is_wanted=is_wanted)
+    def add_local(self, *, has_demand: bool) -> None:
+        """Add this host."""
+        self._add(self.host, self.zone, has_demand=has_demand)
 
-    def add(self, heartbeat: HostHeartbeat, *, is_wanted: bool) -> None:
-        """Count another host of this zone, or who speaks for another zone."""
-        self._add(heartbeat.host, heartbeat.availability_zone, is_wanted=is_wanted)
+    def add(self, heartbeat: HostHeartbeat, *, has_demand: bool) -> None:
+        """Add another host of this zone, or the representative of another zone."""
+        self._add(heartbeat.host, heartbeat.availability_zone, has_demand=has_demand)
 
     @property
     def zones(self) -> set[str]:
-        """Return the zones that want the server; all where none does."""
-        return self._wanting_zones or self._zones
+        """Return the zones with requests for the server; all zones if none has any."""
+        return self._requesting_zones or self._zones
 
     @property
     def hosts(self) -> set[str]:
-        """Return the hosts of this zone that want it; all where none does."""
-        return self._wanting_hosts or self._hosts
+        """Return this zone's hosts with requests for the server; all if none has."""
+        return self._requesting_hosts or self._hosts
 
-    def _add(self, host: str, zone: str, *, is_wanted: bool) -> None:
+    def _add(self, host: str, zone: str, *, has_demand: bool) -> None:
         self._zones.add(zone)
-        is_told_apart = is_wanted and not self._all_share
-        if is_told_apart:
-            self._wanting_zones.add(zone)
+        is_requesting = has_demand and not self._include_idle
+        if is_requesting:
+            self._requesting_zones.add(zone)
         if zone == self.zone:
             self._hosts.add(host)
-            if is_told_apart:
-                self._wanting_hosts.add(host)
+            if is_requesting:
+                self._requesting_hosts.add(host)
 
 
 def share_of(
-    server_id: str, rate: float, *, home_zone: str, wanted_by: WantedBy
+    server_id: str, rate: float, *, home_zone: str, requesting_hosts: RequestingHosts
 ) -> float:
-    """Return the requests a second that a host may send to a server.
+    """Return the requests a second that this host may send to a server.
 
-    At most half as many hosts have a part as the server takes requests in a second, or
-    one: what they can send at once beside their rate is then within half of what it
-    takes in a second.  All hosts that hear each other choose the same ones.
+    The number of hosts that get a share is at most half of the server's requests a
+    second, but at least one. The bursts that these hosts may send beside their rates
+    then add up to at most half of what the server takes in a second. All hosts that
+    receive each other's heartbeats select the same hosts.
 
     Parameters
     ----------
     rate : float
-        Requests a second that the server takes from all hosts.
+        Requests a second that the server takes from all hosts together.
     home_zone : str
-        Its availability zone, whose hosts come first: the way is shorter.
+        The server's availability zone, whose hosts are preferred because they are
+        closer.
     """
-    zones = _ranked(wanted_by.zones, server_id, first=home_zone)
-    n_zones = _at_most(rate, zones)
-    if wanted_by.zone not in zones[:n_zones]:
+    zones = _ranked(requesting_hosts.zones, server_id, first=home_zone)
+    n_zones = _n_sharing(rate, zones)
+    if requesting_hosts.zone not in zones[:n_zones]:
         return 0.0
     rate_of_zone = rate / n_zones
-    hosts = _ranked(wanted_by.hosts, server_id)
-    n_hosts = _at_most(rate_of_zone, hosts)
-    if wanted_by.host not in hosts[:n_hosts]:
+    hosts = _ranked(requesting_hosts.hosts, server_id)
+    n_hosts = _n_sharing(rate_of_zone, hosts)
+    if requesting_hosts.host not in hosts[:n_hosts]:
         return 0.0
     return rate_of_zone / n_hosts
 
 
-def _at_most(rate: float, names: list[str]) -> int:
-    """Return how many have a part of a rate, so that each has two a second or all."""
+def _n_sharing(rate: float, names: list[str]) -> int:
+    """Return how many of the names share a rate.
+
+    Each of them gets two requests a second or more; a lower rate goes to a single one.
+    """
     return max(1, min(int(rate / 2), len(names)))
 
 
 def _ranked(names: Iterable[str], server_id: str, *, first: str = "") -> list[str]:
-    """Return names in an order that is alike on all hosts, another for each server."""
+    """Sort names in an order that is the same on all hosts but differs by server."""
     return sorted(
         names,
         key=lambda name: (name != first, zlib.crc32(f"{server_id} {name}".encode())),
--- a/ryelever/coordination/relaying/messages.py
+++ b/ryelever/coordination/relaying/messages.py
@@ -1,4 +1,4 @@
-"""Hold what decides about a relayed request, and the head of its answer."""
+"""Define the data by which relayed requests are decided."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 
 
 class RelayArrival(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold what decides about one request.
+    """The properties of an arriving request that relay decisions depend on.
 
     Attributes
     ----------
     request_id : str
-        Id that the caller gave this sending.
+        Id that the caller gave this transmission of the request.
     content : str
-        Hash of what is sent on; repeats of a request have the same.
+        Hash of the forwarded content; the caller's retries of a request have the same
+        hash.
     key : str or None
-        Key of the client account; None where none was sent.
+        Key of the client account; None if none was sent.
     model : str
-        Model that is asked for; empty at plain services.
+        Requested model; empty for plain services.
     n_prompt : int
-        Tokens of the prompt.
+        Number of tokens in the prompt.
     last_event_id : str
         Event after which the caller resumes a stream.
     deadline : float or None
-        Monotonic time at which the caller gives up.
+        Monotonic time at which the caller stops waiting.
     """
 
     request_id: str
@@ -44,15 +45,15 @@
 
 
 class NamedLimit(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold a rate limit as a backend server names it in an answer.
+    """A rate limit that a backend server names in an answer.
 
     Attributes
     ----------
     text : str
-        What it wrote.
+        The limit as the server wrote it.
     rate : float or None
-        Requests a second that it takes from all entry hosts together; None where the
-        text is no such number.
+        Requests a second that the server takes from all entry hosts together; None if
+        the text is not a valid number.
     """
 
     text: str
@@ -60,22 +61,22 @@
 
 
 class AnswerHead(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold the head of a backend server's answer.
+    """The head of a backend server's answer.
 
     Attributes
     ----------
     signed : bool
-        True where the backend server vouches for the body.
+        True if the backend server has signed the body.
     not_run : bool
-        True where it promises not to have run the request.
+        True if the server promises not to have run the request.
     wrong_server : bool
-        True where another one has the address now.
+        True if another server now has the address.
     encoded : bool
-        True where something on the way has changed the body's encoding.
+        True if an intermediary has changed the encoding of the body.
     headers : list of (bytes, bytes)
-        What the caller gets.
+        Headers that the caller gets.
     rate_limit : NamedLimit or None
-        None where the answer names no rate limit.
+        None if the answer names no rate limit.
     """
 
     status: int
--- a/ryelever/coordination/relaying/rate_limits.py
+++ b/ryelever/coordination/relaying/rate_limits.py
@@ -1,10 +1,10 @@
 """Share the rate limits of backend servers among all entry hosts.
 
-A server names a limit in its answers, and has one while it is cold.  It holds for the
-sum over all hosts, and a host learns of it in an answer of its own, in another host's
-word or in the server's entry.  Of the hosts that have requests for a limited server as
-many send there as keep its limit even where all of them do so at once; each has an
-equal part.
+A server can name a limit in its answers, and a cold server has a limit until it is
+warm. A limit applies to the sum of requests from all hosts. A host learns of it from an
+answer, from another host's heartbeat or from the server's directory entry. Of the hosts
+with requests for a limited server, only so many get a share that the limit is kept even
+if all of them send at once; the shares are equal.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 import msgspec
 
 from ...state.observations import RateLimitRow
-from .limit_shares import TokenBucket, WantedBy, share_of
+from .limit_shares import RequestingHosts, TokenBucket, share_of
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -25,81 +25,87 @@
 
 __all__ = ["Allowance", "ServerRateLimits"]
 
-#: Requests a second that a server gets at the least, from all hosts.  Only an answer
-#: shows that a limit has ended, also one of zero.
-LEAST_RATE = 0.1
+#: Minimum requests a second that a server gets from all hosts together, so that answers
+#: keep arriving: only an answer shows that a limit has ended, even a limit of zero.
+MIN_RATE = 0.1
 
-#: Seconds for which a request that a limited server could have taken counts as demand
-#: for it.
-WANTED_FOR = 3.0
+#: Seconds for which a request that a limited server could have run counts as demand for
+#: that server.
+DEMAND_WINDOW = 3.0
 
-#: Seconds beyond a server's own word for which it counts as cold: its entry was read
-#: some tenths of a second after it was written.
+#: Seconds to add to the cold time that a server announces: its entry is read some
+#: tenths of a second after it was written.
 COLD_SLACK = 0.2
 
-#: Seconds for which other hosts are told that a limit has ended: several words to each
-#: zone.
-ENDED_TOLD_FOR = 5.0
+#: Seconds for which the end of a limit is announced to other hosts: several heartbeats
+#: to each zone.
+ENDED_ANNOUNCED_FOR = 5.0
 
-#: Seconds for which the limit of a server is kept after its entry is gone: entries
-#: lapse while the store is away, and come back.
-KEPT_WITHOUT_ENTRY = 60.0
+#: Seconds for which a server's limit is kept after the server's entry is gone: entries
+#: lapse during an outage of the store, and return afterwards.
+RETENTION_WITHOUT_ENTRY = 60.0
 
 
 class Allowance(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold what one host may send to servers that name rate limits.
+    """The requests that one host may send to servers with rate limits.
 
     Attributes
     ----------
-    n_soon : float
-        Requests within the seconds that were asked for.
+    n_available : float
+        Requests within the requested time span.
     rate : float
-        Requests a second after them.
+        Requests a second after that.
     """
 
-    n_soon: float = 0.0
+    n_available: float = 0.0
     rate: float = 0.0
 
     def __add__(self, other: Allowance) -> Allowance:
-        return Allowance(n_soon=self.n_soon + other.n_soon, rate=self.rate + other.rate)
+        return Allowance(
+            n_available=self.n_available + other.n_available,
+            rate=self.rate + other.rate,
+        )
 
 
 class _Limit(msgspec.Struct, kw_only=True):
-    """Hold what is known of one server's limit, and this host's part of it.
+    """The known rate limit of one server, and this host's share of it.
 
     Attributes
     ----------
     rate : float or None
-        Requests a second; None where it names no limit.
-    said_at : float
-        Monotonic time of the answer that said so.
-    is_own : bool
-        True where this host got that answer.
+        Requests a second; None if the server names no limit.
+    reported_at : float
+        Monotonic time of the answer that named the rate.
+    is_local : bool
+        True if this host received that answer.
     server : BackendServer or None
-        The incarnation that said so.
+        The incarnation that sent the answer.
+    requested_at : float
+        Monotonic time at which this host last had a request for the server.
     bucket : TokenBucket or None
-        This host's part; None until it is first divided.
+        This host's share; None until the limit is first divided.
     """
 
     rate: float | None
-    said_at: float
-    is_own: bool
+    reported_at: float
+    is_local: bool
     server: BackendServer | None
-    wanted_at: float = float("-inf")
+    requested_at: float = float("-inf")
     bucket: TokenBucket | None = None
 
-    def is_wanted(self, *, now: float) -> bool:
-        """Tell whether this host had a request for the server lately."""
-        return now - self.wanted_at < WANTED_FOR
+    def has_demand(self, *, now: float) -> bool:
+        """Return whether this host recently had a request for the server."""
+        return now - self.requested_at < DEMAND_WINDOW
 
 
 class ServerRateLimits:
-    """Know the rate limits of backend servers, and this host's part of them.
+    """Track the rate limits of backend servers and this host's share of each.
 
     Parameters
     ----------
     cold_rate : callable
-        Return the requests a second that a cold server of a service bears, or None.
+        Return the requests a second that a cold server of a service can take, or None
+        for no limit.
     """
 
     __slots__ = ("_cold_rate", "_directory", "_limits_by_server")
@@ -113,163 +119,177 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether no server has a limit; cheap, for each request."""
+        """Return whether no server has a limit; a cheap check for each request."""
         return not self._limits_by_server and not self._directory.cold_until_by_id
 
-    # What servers say
+    # Limits of servers
 
-    def answered(
+    def record_answer(
         self, server_id: str, rate: float | None, *, sent_at: float, now: float
     ) -> bool:
-        """Take what an answer says; tell whether it is news.
+        """Record the limit in an answer; return whether it differs from the known one.
 
         Parameters
         ----------
         rate : float or None
-            Requests a second; None where the answer names no limit.
+            Requests a second; None if the answer names no limit.
         sent_at : float
-            Monotonic time at which the request was sent.  An answer to an older
-            request may have been overtaken by one that names a limit.
+            Monotonic time at which the request was sent. An answer without a limit is
+            ignored if its request was sent before the answer that named the limit
+            arrived.
         """
-        known = self._known(server_id)
+        known = self._find_limit(server_id)
         if rate is None:
-            named = None if known is None else known.rate
-            if named is None or sent_at < known.said_at:
+            named_rate = None if known is None else known.rate
+            if named_rate is None or sent_at < known.reported_at:
                 return False
-        is_news = known is None or known.rate != rate
-        self._set(server_id, rate, said_at=now, is_own=True)
-        return is_news
+        has_changed = known is None or known.rate != rate
+        self._set(server_id, rate, reported_at=now, is_local=True)
+        return has_changed
 
     def heard(self, rows: Iterable[RateLimitRow], *, now: float) -> None:
-        """Take what another host's word says of limits."""
+        """Record the limits in another host's heartbeat."""
         for row in rows:
             server = self._directory.by_id.get(row.server_id)
             if server is not None and not row.is_of(server):
                 continue
-            said_at = now - row.age
-            known = self._known(row.server_id)
-            if known is None or said_at > known.said_at:
-                self._set(row.server_id, row.rate, said_at=said_at, is_own=False)
+            reported_at = now - row.age
+            known = self._find_limit(row.server_id)
+            if known is None or reported_at > known.reported_at:
+                self._set(
+                    row.server_id, row.rate, reported_at=reported_at, is_local=False
+                )
 
     def rate(self, server_id: str, *, now: float) -> float | None:
-        """Return the requests a second that a server takes; None for any number."""
-        known = self._known(server_id)
-        named = math.inf if known is None or known.rate is None else known.rate
-        cold = self._rate_while_cold(server_id, now=now)
-        lower = min(named, math.inf if cold is None else cold)
+        """Return the requests a second that a server takes; None for no limit."""
+        known = self._find_limit(server_id)
+        named_rate = math.inf if known is None or known.rate is None else known.rate
+        rate_while_cold = self._rate_while_cold(server_id, now=now)
+        lower = min(
+            named_rate, math.inf if rate_while_cold is None else rate_while_cold
+        )
         return None if lower == math.inf else lower
 
     def _rate_while_cold(self, server_id: str, *, now: float) -> float | None:
-        """Return what a server bears because it is cold; None where it isn't."""
+        """Return the requests a second that a cold server takes; None if warm."""
         cold_until = self._directory.cold_until_by_id.get(server_id)
         if cold_until is None or now > cold_until + COLD_SLACK:
             return None
         return self._cold_rate(self._directory.by_id[server_id].service)
 
-    # What other hosts are told
+    # Announcements to other hosts
 
     def told(self, *, now: float) -> tuple[RateLimitRow, ...]:
-        """Return what this host's answers say of limits, the newest first.
+        """Return the limits that this host learned from answers, the newest first.
 
-        What it has from others isn't told again: it would seem newer each time.
+        Limits received from other hosts are not announced again: their ages would be
+        reset with each announcement.
         """
-        own = [
-            (limit.said_at, server_id, limit)
+        local_limits = [
+            (limit.reported_at, server_id, limit)
             for server_id, limit in self._limits_by_server.items()
-            if limit.is_own
-            and (limit.rate is not None or now - limit.said_at < ENDED_TOLD_FOR)
+            if limit.is_local
+            and (
+                limit.rate is not None or now - limit.reported_at < ENDED_ANNOUNCED_FOR
+            )
         ]
-        own.sort(key=lambda item: item[:2], reverse=True)
+        local_limits.sort(key=lambda item: item[:2], reverse=True)
         return tuple(
             RateLimitRow(
                 server_id=server_id,
                 rate=limit.rate,
-                age=now - said_at,
+                age=now - reported_at,
                 started_at=limit.server.started_at if limit.server else None,
             )
-            for said_at, server_id, limit in own
+            for reported_at, server_id, limit in local_limits
         )
 
     def wanted(self, *, now: float) -> tuple[str, ...]:
-        """Return the servers with a named limit that this host has requests for."""
+        """Return the servers with a limit for which this host has requests, by id."""
         wanted = [
             server_id
             for server_id, limit in self._limits_by_server.items()
-            if limit.rate is not None and limit.is_wanted(now=now)
+            if limit.rate is not None and limit.has_demand(now=now)
         ]
         return tuple(sorted(wanted))
 
-    # This host's part
+    # This host's share
 
     def share_out(
         self, *, host: str, zone: str, heartbeats: list[HostHeartbeat], now: float
     ) -> None:
-        """Set this host's part of each limit.
+        """Set this host's share of each limit.
 
         Parameters
         ----------
         host, zone : str
             This host and its availability zone.
-        words : list of HostHeartbeat
-            The newest words of the hosts that are heard.
+        heartbeats : list of HostHeartbeat
+            The newest heartbeats of the hosts that are alive.
         """
-        self._drop_outdated(now=now)
+        self._drop_expired(now=now)
         for server_id in self._directory.cold_until_by_id:
-            self._limit(server_id)
+            self._ensure_limit(server_id)
         for server_id, limit in self._limits_by_server.items():
             rate = self.rate(server_id, now=now)
             if rate is None:
                 limit.bucket = None
                 continue
-            # Coldness is over before all have heard who wants the server.
+            # A server is warm before all hosts have learned who has requests for it, so
+            # hosts without requests count as well.
             is_cold = self._rate_while_cold(server_id, now=now) is not None
-            wanted_by = WantedBy(host=host, zone=zone, all_share=is_cold)
-            wanted_by.add_own(is_wanted=limit.is_wanted(now=now))
+            requesting_hosts = RequestingHosts(
+                host=host, zone=zone, include_idle=is_cold
+            )
+            requesting_hosts.add_local(has_demand=limit.has_demand(now=now))
             for heartbeat in heartbeats:
-                wanted_by.add(
-                    heartbeat, is_wanted=server_id in heartbeat.wanted_servers
+                requesting_hosts.add(
+                    heartbeat, has_demand=server_id in heartbeat.wanted_servers
                 )
             share = share_of(
                 server_id,
-                max(rate, LEAST_RATE),
+                max(rate, MIN_RATE),
                 home_zone=limit.server.availability_zone if limit.server else "",
-                wanted_by=wanted_by,
+                requesting_hosts=requesting_hosts,
             )
             if limit.bucket is None:
                 limit.bucket = TokenBucket()
             limit.bucket.set_rate(share, now=now)
 
     def allows(self, server_id: str, *, now: float) -> bool:
-        """Tell whether this host may send a server a request it has for it."""
+        """Return whether this host may send a request to a server now.
+
+        The request counts as this host's demand for the server.
+        """
         if self.is_empty:
             return True
         if self.rate(server_id, now=now) is None:
             return True
-        limit = self._limit(server_id)
-        limit.wanted_at = now
+        limit = self._ensure_limit(server_id)
+        limit.requested_at = now
         return limit.bucket is not None and limit.bucket.has_token(now=now)
 
     def allowance(
         self, server_id: str, *, seconds: float, now: float
     ) -> Allowance | None:
-        """Return what this host may send a server soon; None where nothing is known."""
-        limit = self._known(server_id)
+        """Return the requests that this host may send; None if no limit is known."""
+        limit = self._find_limit(server_id)
         if limit is None or limit.bucket is None:
             return None
         if self.rate(server_id, now=now) is None:
             return None
         bucket = limit.bucket
-        n_soon = bucket.tokens_within(seconds, now=now)
-        return Allowance(n_soon=n_soon, rate=bucket.rate)
+        n_available = bucket.tokens_within(seconds, now=now)
+        return Allowance(n_available=n_available, rate=bucket.rate)
 
     def sent(self, server_id: str, *, now: float) -> None:
-        """Count a request that is sent to a server."""
+        """Count a request sent to a server."""
         limit = self._limits_by_server.get(server_id)
         if limit is not None and limit.bucket is not None:
             limit.bucket.take(now=now)
 
-    def _known(self, server_id: str) -> _Limit | None:
-        """Return what is known of a server, but not of its former incarnations."""
+    def _find_limit(self, server_id: str) -> _Limit | None:
+        """Return the limit of a server's current incarnation, or None."""
         limit = self._limits_by_server.get(server_id)
         if limit is None:
             return None
@@ -279,39 +299,39 @@
         del self._limits_by_server[server_id]
         return None
 
-    def _limit(self, server_id: str) -> _Limit:
-        """Return what is known of a server, which may name no limit."""
-        limit = self._known(server_id)
+    def _ensure_limit(self, server_id: str) -> _Limit:
+        """Return the limit of a server, creating one without a rate if necessary."""
+        limit = self._find_limit(server_id)
         if limit is None:
             limit = self._limits_by_server[server_id] = _Limit(
                 rate=None,
-                said_at=float("-inf"),
-                is_own=False,
+                reported_at=float("-inf"),
+                is_local=False,
                 server=self._directory.by_id.get(server_id),
             )
         return limit
 
     def _set(
-        self, server_id: str, rate: float | None, *, said_at: float, is_own: bool
+        self, server_id: str, rate: float | None, *, reported_at: float, is_local: bool
     ) -> None:
-        limit = self._limit(server_id)
+        limit = self._ensure_limit(server_id)
         limit.rate = rate
-        limit.said_at = said_at
-        limit.is_own = is_own
+        limit.reported_at = reported_at
+        limit.is_local = is_local
         limit.server = self._directory.by_id.get(server_id, limit.server)
 
-    def _drop_outdated(self, *, now: float) -> None:
+    def _drop_expired(self, *, now: float) -> None:
         for server_id in list(self._limits_by_server):
-            limit = self._known(server_id)
+            limit = self._find_limit(server_id)
             if limit is None:
                 continue
             if limit.rate is None:
-                kept_for = ENDED_TOLD_FOR
+                retention = ENDED_ANNOUNCED_FOR
                 if server_id in self._directory.cold_until_by_id:
                     continue
             elif server_id in self._directory.by_id:
                 continue
             else:
-                kept_for = KEPT_WITHOUT_ENTRY
-            if now - limit.said_at > kept_for:
+                retention = RETENTION_WITHOUT_ENTRY
+            if now - limit.reported_at > retention:
                 del self._limits_by_server[server_id]
--- a/ryelever/coordination/relaying/refusals.py
+++ b/ryelever/coordination/relaying/refusals.py
@@ -1,4 +1,4 @@
-"""Give callers the answers that are the entry host's own."""
+"""Send callers the answers that the entry host generates itself."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
     from .request import RelayRequest
     from .waiting import WaitingRequests
 
-__all__ = ["COME_BACK", "Refusals"]
+__all__ = ["DEFAULT_RETRY_AFTER", "Refusals"]
 
-#: Seconds after which a refused caller may come back.
-COME_BACK = 0.3
+#: Default seconds after which a refused caller should retry.
+DEFAULT_RETRY_AFTER = 0.3
 
-#: Reasons for which the log says what was known of places.
-WITHOUT_PLACE = frozenset({"no_place", "limited"})
+#: Reasons of refusals whose log line gives the numbers of servers and waiting requests.
+NO_SLOT_REASONS = frozenset({"no_place", "limited"})
 
 
 class Refusals:
-    """Say why a request ends without a backend server's answer.
+    """Refuse or end requests that get no answer from a backend server.
 
-    Whether a refusal promises that the request was not run follows from what its
-    sendings have come to, and from nothing else.
+    Whether a refusal promises that the request was not run depends only on the outcomes
+    of the attempts to send it.
     """
 
     __slots__ = ("_balancer", "_outbox", "_reports", "_waiting")
@@ -46,7 +46,7 @@
         self._balancer = balancer
         self._waiting = waiting
 
-    def unread(
+    def refuse_on_arrival(
         self,
         number: int,
         arrival: RelayArrival,
@@ -54,16 +54,16 @@
         reason: str,
         *,
         version: int,
-        retry_after: float = COME_BACK,
+        retry_after: float = DEFAULT_RETRY_AFTER,
     ) -> None:
-        """Refuse a request that was not taken.
+        """Refuse a request that was not accepted.
 
         Parameters
         ----------
         version : int
-            Version of the configuration that decided; -1 for none.
+            Version of the configuration in use; -1 for none.
         retry_after : float
-            Seconds after which coming back makes sense, with status 503.
+            Seconds after which the caller should retry; sent with status 503 only.
         """
         refusal = RelayRefusal(
             request_id=arrival.request_id,
@@ -74,20 +74,21 @@
         self._outbox.refuse(number, refusal)
         self._reports.refused(refusal, version=version)
 
-    def unserved(
+    def end_without_answer(
         self,
         request: RelayRequest,
         reason: str,
         *,
         now: float,
-        retry_after: float = COME_BACK,
+        retry_after: float = DEFAULT_RETRY_AFTER,
     ) -> None:
-        """Give the last answer to a request that was taken.
+        """Send the final answer of an accepted request that no server answered.
 
         Parameters
         ----------
         retry_after : float
-            Seconds after which coming back makes sense, where it was not run.
+            Seconds after which the caller should retry; sent only if the request was
+            not run.
         """
         if request.phase is RequestPhase.STREAMING:
             self._outbox.abort(request.number)
@@ -105,12 +106,12 @@
             status=refusal.status,
             now=now,
             reason=reason,
-            **self._places(request, reason),
+            **self._slot_fields(request, reason),
         )
 
-    def _places(self, request: RelayRequest, reason: str) -> dict[str, object]:
-        """Return what was known of places, for the line of who found none."""
-        if reason not in WITHOUT_PLACE:
+    def _slot_fields(self, request: RelayRequest, reason: str) -> dict[str, object]:
+        """Return log fields about servers and waiting requests if no slot was free."""
+        if reason not in NO_SLOT_REASONS:
             return {}
         model = request.arrival.model
         return {
@@ -121,7 +122,7 @@
 
 
 def _status(request: RelayRequest, reason: str) -> int:
-    """Return the status of a request that was not served; 503 promises: not run."""
+    """Return the status for a request without an answer; 503 promises "not run"."""
     if not request.may_have_run:
         return 503
     return 504 if reason == "too_late" else 502
--- a/ryelever/coordination/relaying/repeat_budget.py
+++ b/ryelever/coordination/relaying/repeat_budget.py
@@ -1,4 +1,4 @@
-"""Bound how often requests are sent to a second backend server."""
+"""Limit how often requests are sent to a second backend server."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 __all__ = ["RepeatBudget"]
 
-#: Part of the bound that is used.  Entry hosts count on their own and at other
-#: moments than those who check, so the last tenth stays.
+#: Share of the bound that is used. Entry hosts count independently, over time windows
+#: that differ from those in which the bound is checked, so the last tenth stays unused.
 USED_SHARE = 0.9
 
 
 class RepeatBudget:
-    """Allow repeats up to a share of the requests, plus this host's part of a slack.
+    """Allow retries up to a share of the requests, plus this host's share of a slack.
 
-    When many backend servers fail, unbounded repeats multiply the load that made
-    them fail.  The bound holds for the sum over all entry hosts, so each takes its
-    part of the slack; with no word from the others the part of the last number
-    known is safe.
+    When many backend servers fail, unlimited retries multiply the load that made them
+    fail. The bound applies to the sum over all entry hosts, so each host takes its
+    share of the slack. Without heartbeats from the other hosts, the share computed from
+    the last known number of hosts is safe.
 
     Parameters
     ----------
     ratio : float
-        Repeats allowed for each request.
+        Retries allowed for each request.
     slack : float
-        Repeats that all hosts may make beside these in one window.
+        Additional retries that all hosts together may make in one window.
     window : float
-        Seconds over which repeats are counted.
+        Seconds over which requests and retries are counted.
     n_hosts : callable
         Return how many entry hosts share the slack.
     """
@@ -45,14 +45,14 @@
         self._requests_by_service: dict[str, deque[float]] = {}
         self._repeats_by_service: dict[str, deque[float]] = {}
 
-    def requested(self, service: str, *, now: float) -> None:
-        """Take note of a request."""
+    def record_request(self, service: str, *, now: float) -> None:
+        """Count a request."""
         times = self._requests_by_service.setdefault(service, deque())
         times.append(now)
         self._trim(times, now=now)
 
     def allow(self, service: str, *, now: float) -> bool:
-        """Tell whether one more repeat may be sent, and count it if so."""
+        """Return whether another retry may be sent, and count it if so."""
         repeats = self._repeats_by_service.setdefault(service, deque())
         requests = self._requests_by_service.setdefault(service, deque())
         self._trim(repeats, now=now)
--- a/ryelever/coordination/relaying/reports.py
+++ b/ryelever/coordination/relaying/reports.py
@@ -1,4 +1,4 @@
-"""Tell what becomes of relayed requests: one log line a decision, and measures."""
+"""Report what happens to relayed requests, in log lines and metrics."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class RequestReports:
-    """Write the lines about requests and take their times.
+    """Write log lines about requests and record their times.
 
     Parameters
     ----------
     log : callable
-        Take one line about a decision: its name and its fields.
+        Write one log line, given the name of the event and its fields.
     """
 
     __slots__ = ("_log", "_measures")
@@ -31,12 +31,12 @@
         self._log = log
 
     def sent(self, request: RelayRequest, *, limited: bool, now: float) -> None:
-        """Measure a sending, which the request counts already.
+        """Record an attempt that ``n_sent`` of the request already counts.
 
         Parameters
         ----------
         limited : bool
-            True where the backend server has named a rate limit.
+            True if a rate limit applies to the backend server.
         """
         if request.n_sent == 1:
             request.first_sent_at = now
@@ -47,7 +47,7 @@
         )
 
     def event(self, request: RelayRequest, *, now: float) -> None:
-        """Measure an event that is passed on."""
+        """Record an event that is forwarded."""
         if request.last_event_at:
             pause = now - request.last_event_at
             request.longest_pause = max(request.longest_pause, pause)
@@ -57,17 +57,17 @@
             self._measures.first_event(now - request.arrival.arrived_at)
         request.last_event_at = now
 
-    def group_still(self, server_id: str) -> None:
-        """Tell that nothing moves in a group any more."""
+    def group_stalled(self, server_id: str) -> None:
+        """Log that a group has stalled."""
         self._log("group_still", server=server_id)
 
     def rate_limit(self, request: RelayRequest, *, rate: float | None) -> None:
-        """Tell what a backend server's answer says of its rate limit.
+        """Log a change of a backend server's rate limit.
 
         Parameters
         ----------
         rate : float or None
-            Requests a second; None where it names no limit any more.
+            Requests a second; None if the server no longer names a limit.
         """
         self._log(
             "server_limited",
@@ -77,7 +77,7 @@
         )
 
     def limit_unreadable(self, request: RelayRequest, text: str) -> None:
-        """Tell of a rate limit that makes no sense."""
+        """Log a rate limit that is not a valid number."""
         self._log(
             "limit_unreadable",
             server=request.attempt.server_id,
@@ -86,7 +86,7 @@
         )
 
     def caller_left(self, request: RelayRequest) -> None:
-        """Tell that a caller has closed its connection."""
+        """Log that a caller has closed its connection."""
         self._log(
             "caller_left",
             request=request.arrival.request_id,
@@ -97,7 +97,7 @@
     def attempt_failed(
         self, request: RelayRequest, server_id: str, reason: str, *, may_have_run: bool
     ) -> None:
-        """Tell of a sending that came to nothing."""
+        """Log a failed attempt."""
         self._log(
             "attempt_failed",
             request=request.arrival.request_id,
@@ -109,18 +109,18 @@
         )
 
     def quarantined(self, request: RelayRequest, *, n_crashes: int) -> None:
-        """Tell why a request is not sent to a backend server."""
+        """Log that a request is quarantined and therefore not sent."""
         self._log(
             "quarantined", request=request.arrival.request_id, n_crashes=n_crashes
         )
 
     def refused(self, refusal: RelayRefusal, *, version: int) -> None:
-        """Tell of a request that was not taken.
+        """Log a request that was not accepted.
 
         Parameters
         ----------
         version : int
-            Version of the configuration that decided; -1 for none.
+            Version of the configuration in use; -1 for none.
         """
         self._log(
             "refused",
@@ -138,23 +138,23 @@
         now: float,
         reason: str = "",
         server: str = "",
-        **places: object,
+        **slot_fields: object,
     ) -> None:
-        """Tell of a request's end.
+        """Log and record the end of a request.
 
         Parameters
         ----------
         status : int
-            What the caller got; 0 for a stream that was cut off.
-        **places : object
-            What was known of places, where there was none.
+            Status that the caller got; 0 for a stream that was cut off.
+        **slot_fields : object
+            Log fields about servers and waiting requests if no slot was free.
         """
-        passed = now - request.arrival.arrived_at
+        elapsed = now - request.arrival.arrived_at
         self._measures.ended(
             route=request.route.name,
             account=request.account,
             status=status,
-            seconds=passed,
+            seconds=elapsed,
         )
         self._log(
             "answered",
@@ -165,7 +165,7 @@
             server=server,
             n_sent=request.n_sent,
             version=request.version,
-            late=cause_of_lateness(request, passed=passed),
-            **places,
-            ms=round(passed * 1000),
+            late=cause_of_lateness(request, elapsed=elapsed),
+            **slot_fields,
+            ms=round(elapsed * 1000),
         )
--- a/ryelever/coordination/relaying/request.py
+++ b/ryelever/coordination/relaying/request.py
@@ -1,4 +1,4 @@
-"""Hold the state of one relayed request."""
+"""Define the state of one relayed request."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
     from .actions import RelayAttempt
     from .messages import AnswerHead, RelayArrival
 
-__all__ = ["RelayRequest", "RequestPhase", "follows", "routed_request"]
+__all__ = ["RelayRequest", "RequestPhase", "is_after", "routed_request"]
 
-#: Seconds before a caller leaves, at which it gets its final answer: the way there
-#: takes a few milliseconds, and a tick may come a tenth of a second late.
-LAST_ANSWER = 0.06
+#: Seconds before the caller's deadline at which its final answer is sent: the answer
+#: takes a few milliseconds to arrive, and a tick may come a tenth of a second late.
+FINAL_ANSWER_MARGIN = 0.06
 
-#: Part of the latency objective that the first event or the answer itself takes.
-#: A request that waits longer than the rest of it is served after those that can
-#: still be in time.
-OBJECTIVE_LEFT = 0.6
+#: Share of the latency objective for which a request may wait and still count as on
+#: time; the first event, or the answer itself, takes the rest. Requests that have
+#: waited longer are served after those that can still be on time.
+ON_TIME_WAIT_SHARE = 0.6
 
 
 class RequestPhase(enum.Enum):
-    """Name where a request is on its way."""
+    """The phase of a relayed request."""
 
     WAITING = "waiting"
     SENT = "sent"
@@ -37,30 +37,36 @@
 
 
 class RelayRequest(msgspec.Struct, kw_only=True, eq=False):
-    """Hold the state of one request.
+    """The state of one request.
 
     Attributes
     ----------
     version : int
-        Version of the configuration that gave it its route and account.
-    gives_up_at : float
-        Monotonic time of its final answer at the latest.
+        Version of the configuration that determined the route and the account.
+    deadline : float
+        Monotonic time at which the backend server may stop.
+    times_out_at : float
+        Monotonic time by which the final answer is sent.
+    on_time_until : float
+        Monotonic time until which a waiting request can still meet its latency
+        objective.
     may_have_run : bool
-        True once a sending of it may have reached a backend server that did not
-        promise not to have run it.
-    tried : set of str
-        Ids of the backend servers that it was sent to.
+        True once an attempt may have reached a backend server that did not promise not
+        to have run the request.
     waits_until : float
-        Monotonic time until which it waits for a place at a backend server.
+        Monotonic time until which the request waits for a free slot at a backend
+        server.
+    tried : set of str
+        Ids of the backend servers to which the request was sent.
+    last_event_id : str
+        The last event forwarded, or the one after which the caller resumes.
     sent_at : float
-        Monotonic time of the last sending.
+        Monotonic time of the last attempt.
     first_sent_at, first_event_at, last_event_at : float
-        Monotonic times of the first sending, and of the first and the last event
-        passed on; 0 before it.
+        Monotonic times of the first attempt, and of the first and the last event
+        forwarded; 0 before it.
     longest_pause : float
-        Seconds of the longest pause between two events so far.
-    last_event_id : str
-        The last event passed on, or the one after which the caller resumes.
+        Longest pause between two events so far, in seconds.
     """
 
     number: int
@@ -71,7 +77,7 @@
     account: str
     priority: int
     deadline: float
-    gives_up_at: float
+    times_out_at: float
     on_time_until: float
     phase: RequestPhase = RequestPhase.WAITING
     attempt: RelayAttempt | None = None
@@ -91,12 +97,12 @@
 
     @property
     def is_stream(self) -> bool:
-        """Tell whether the answer is a series of events."""
+        """Return whether the answer is a stream of events."""
         return self.route.kind is RouteKind.STREAM
 
 
 class Rejection(msgspec.Struct, kw_only=True, frozen=True):
-    """Say why a request is not taken, and with which status."""
+    """The status and reason with which a request is not accepted."""
 
     status: int
     reason: str
@@ -105,7 +111,7 @@
 def routed_request(
     number: int, arrival: RelayArrival, table: RouteTable
 ) -> Result[RelayRequest, Rejection]:
-    """Find a request's route and client account.
+    """Create a request from its arrival, with its route and client account.
 
     Parameters
     ----------
@@ -120,7 +126,7 @@
         account = table.account_by_key.get(arrival.key or "")
         if account is None:
             return Error(Rejection(status=401, reason="unknown_key"))
-    request = _request_of(
+    request = _new_request(
         number,
         version=table.version,
         arrival=arrival,
@@ -130,7 +136,7 @@
     return Ok(request)
 
 
-def _request_of(
+def _new_request(
     number: int,
     *,
     version: int,
@@ -138,10 +144,10 @@
     route: Route,
     account: RouteAccount | None,
 ) -> RelayRequest:
-    """Return a request that has arrived, with what its route makes of it."""
+    """Return a request with the times and priority that follow from its route."""
     now = arrival.arrived_at
-    patience = route.timeout if route.timeout else float("inf")
-    timed_out_at = now + patience
+    time_limit = route.timeout if route.timeout else float("inf")
+    timed_out_at = now + time_limit
     deadline = timed_out_at if arrival.deadline is None else arrival.deadline
     priority = route.priority
     if account is not None and account.priority is not None:
@@ -154,15 +160,15 @@
         service=route.service_of(arrival.request_id),
         account=account.name if account else "",
         priority=priority,
-        deadline=min(deadline, timed_out_at + LAST_ANSWER),
-        gives_up_at=min(deadline - LAST_ANSWER, timed_out_at),
-        on_time_until=now + OBJECTIVE_LEFT * route.latency_objective,
+        deadline=min(deadline, timed_out_at + FINAL_ANSWER_MARGIN),
+        times_out_at=min(deadline - FINAL_ANSWER_MARGIN, timed_out_at),
+        on_time_until=now + ON_TIME_WAIT_SHARE * route.latency_objective,
         last_event_id=arrival.last_event_id,
     )
 
 
-def follows(event_id: str, last_event_id: str) -> bool:
-    """Tell whether an event comes after the last one passed on."""
+def is_after(event_id: str, last_event_id: str) -> bool:
+    """Return whether an event comes after the last event forwarded."""
     if not last_event_id:
         return True
     if event_id.isdecimal() and last_event_id.isdecimal():
--- a/ryelever/coordination/relaying/requests.py
+++ b/ryelever/coordination/relaying/requests.py
@@ -1,8 +1,8 @@
-"""Take relayed requests from their arrival to their final answer.
+"""Handle relayed requests from their arrival to their final answer.
 
-A request's answer is either a backend server's, whole and unchanged, or the entry
-host's own.  Only this module knows that a request was not run, and only while no
-sending of it can have been.
+The answer to a request is either the complete and unchanged answer of a backend server,
+or an answer that the entry host generates. Only this module can promise a caller that a
+request was not run, and only while no attempt can have run it.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from typing import TYPE_CHECKING
 
 from .actions import RelayAttempt
-from .refusals import COME_BACK, Refusals
+from .refusals import DEFAULT_RETRY_AFTER, Refusals
 from .reports import RequestReports
-from .request import RequestPhase, follows, routed_request
+from .request import RequestPhase, is_after, routed_request
 from .unrouted import UnroutedArrivals
-from .waiting import LIMITED_WAIT, WaitingRequests, seconds_to_turn
+from .waiting import MAX_LIMITED_WAIT, WaitingRequests, seconds_to_slot
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -32,14 +32,15 @@
 
 __all__ = ["RelayRequests"]
 
-#: Statuses by which callers learn that a request was not run and never will be.
-PROMISES = frozenset({408, 421, 429, 503})
+#: Statuses that promise the caller that its request was not run and never will be.
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
-#: Longest whole answer, in bytes.
+#: Maximum length of an answer that is not streamed, in bytes.
 MAX_ANSWER = 8 << 20
 
-#: Seconds within which a sending again still makes sense.
-LEAST_TIME_TO_REPEAT = 0.15
+#: Seconds that must be left before a request's timeout for another attempt to be
+#: worthwhile.
+MIN_RETRY_TIME = 0.15
 
 
 class RelayRequests:
@@ -48,20 +49,20 @@
     Parameters
     ----------
     table : callable
-        Return the configuration in force, or None before there is one.
+        Return the active configuration, or None before there is one.
     served : callable
-        Take the model of a whole stream and the number of its events.
+        Record a complete stream, given its model and its number of events.
     measures : RelayMeasures
-        Takes what becomes of requests.
+        Records the outcomes of requests.
     since : float
         Monotonic time of the process's start.
     log : callable
-        Take one line about a decision: its name and its fields.
+        Write one log line about a decision, given the name of the event and its fields.
 
     Attributes
     ----------
     refuses_new : bool
-        True once the process is too near its end to finish what comes.
+        True once the process is too close to its end to complete new requests.
     """
 
     def __init__(
@@ -101,16 +102,16 @@
 
     @property
     def has_waiting(self) -> bool:
-        """Tell whether requests wait for a place, or for the first configuration."""
+        """Return whether requests wait for a free slot or the first configuration."""
         return bool(self._waiting or self._unrouted)
 
     # Callers
 
     def arrive(self, number: int, arrival: RelayArrival) -> None:
-        """Take a caller's request."""
+        """Handle a caller's request."""
         now = arrival.arrived_at
         if self.refuses_new:
-            self._refuse_unread(number, arrival, 503, "stopping")
+            self._refuse_on_arrival(number, arrival, 503, "stopping")
             return
         table = self._table()
         if table is None:
@@ -120,31 +121,31 @@
         self._route(number, arrival, table, now=now)
 
     def _route_unrouted(self, *, now: float) -> None:
-        """Take up what came before there was a configuration, or refuse it in time."""
+        """Route or refuse the requests that waited for the first configuration."""
         if not self._unrouted:
             return
         table = self._table()
-        due = self._unrouted.take_due(is_configured=table is not None, now=now)
+        due = self._unrouted.pop_due(is_configured=table is not None, now=now)
         for number, arrival in due:
             if table is None:
-                self._refuse_unread(number, arrival, 503, "no_configuration")
+                self._refuse_on_arrival(number, arrival, 503, "no_configuration")
             else:
                 self._route(number, arrival, table, now=now)
 
     def _route(
         self, number: int, arrival: RelayArrival, table: RouteTable, *, now: float
     ) -> None:
-        """Take a request to its route, and send it if there is a place for it."""
+        """Find the route of a request, and send the request if a slot is free."""
         routed = routed_request(number, arrival, table)
         if routed.is_error():
             rejection = routed.error
-            self._refuse_unread(number, arrival, rejection.status, rejection.reason)
+            self._refuse_on_arrival(number, arrival, rejection.status, rejection.reason)
             return
         request = routed.ok
         quarantined = self._crashes.verdict(request, now=now)
         if quarantined is not None:
             self._reports.quarantined(request, n_crashes=quarantined.n_crashes)
-            self._refuse_unread(
+            self._refuse_on_arrival(
                 number,
                 arrival,
                 503,
@@ -153,7 +154,7 @@
             )
             return
         self.requests_by_number[number] = request
-        self._budget.requested(request.service, now=now)
+        self._budget.record_request(request.service, now=now)
         if not self._dispatch(request, now=now):
             self._wait_or_refuse(request, now=now)
 
@@ -164,36 +165,37 @@
         if request is None:
             return
         self._reports.caller_left(request)
-        self._drop_attempt(request)
+        self._cancel_attempt(request)
         self._end(request)
 
     # Backend servers
 
     def answer_head(self, attempt_id: str, head: AnswerHead, *, now: float) -> None:
-        """Take the head of an answer."""
+        """Handle the head of an answer."""
         request = self._requests_by_attempt.get(attempt_id)
         if request is None:
             return
-        wanted = request.arrival.request_id
-        if head.request_id and wanted and head.request_id != wanted:
-            # A surplus answer to an earlier request on this connection; ours may
-            # follow, but what follows such a slip can't be trusted.
-            self._attempt_failed(request, "answer_of_another", now=now)
+        expected_id = request.arrival.request_id
+        if head.request_id and expected_id and head.request_id != expected_id:
+            # This is a surplus answer to an earlier request on the connection. The
+            # answer to this request may follow, but the connection can no longer be
+            # trusted.
+            self._handle_ambiguous_failure(request, "answer_of_another", now=now)
             return
         if not head.wrong_server:
-            self._take_limit(request, head, now=now)
+            self._record_limit(request, head, now=now)
         if head.not_run:
-            self._rejected(request, head, now=now)
+            self._handle_rejection(request, head, now=now)
             return
         if head.encoded or (200 <= head.status < 300 and not head.signed):
-            self._attempt_failed(request, "answer_not_signed", now=now)
+            self._handle_ambiguous_failure(request, "answer_not_signed", now=now)
             return
         request.head = head
 
-    def _take_limit(
+    def _record_limit(
         self, request: RelayRequest, head: AnswerHead, *, now: float
     ) -> None:
-        """Take note of the rate limit that an answer names, or names no more."""
+        """Record the rate limit in an answer, or that a former limit has ended."""
         named = head.rate_limit
         if named is None and not head.signed:
             return
@@ -201,21 +203,21 @@
             self._reports.limit_unreadable(request, named.text)
             return
         rate = None if named is None else named.rate
-        is_news = self._balancer.limits.answered(
+        has_changed = self._balancer.limits.record_answer(
             request.attempt.server_id, rate, sent_at=request.sent_at, now=now
         )
-        if is_news:
+        if has_changed:
             self._reports.rate_limit(request, rate=rate)
 
     def is_streaming(self, attempt_id: str) -> bool:
-        """Tell whether the body of an attempt's answer is a series of events."""
+        """Return whether the body of an attempt's answer is a stream of events."""
         request = self._requests_by_attempt.get(attempt_id)
         if request is None or request.head is None:
             return False
         return request.is_stream and request.head.status == 200
 
     def answer_body(self, attempt_id: str, data: bytes, *, now: float) -> None:
-        """Take bytes of an answer that is passed on whole."""
+        """Handle part of the body of an answer that is not streamed."""
         request = self._requests_by_attempt.get(attempt_id)
         if request is None or request.head is None:
             return
@@ -226,42 +228,42 @@
     def answer_events(
         self, attempt_id: str, events: list[tuple[str, bytes]], *, now: float
     ) -> None:
-        """Take whole events of a stream, each with its id."""
+        """Handle complete events of a stream, each given with its id."""
         request = self._requests_by_attempt.get(attempt_id)
         if request is not None:
             self._stall_watch.progressed(request.attempt.server_id, now=now)
             self._balancer.clear_stall(request.attempt.server_id)
-            self._pass_events(request, events, now=now)
+            self._forward_events(request, events, now=now)
 
     def answer_broken(self, attempt_id: str, reason: str, *, now: float) -> None:
-        """Take word that an answer is not one that may be passed on."""
+        """Handle an answer that is invalid and must not be forwarded."""
         request = self._requests_by_attempt.get(attempt_id)
         if request is not None:
-            self._attempt_failed(request, reason, now=now)
+            self._handle_ambiguous_failure(request, reason, now=now)
 
     def answer_end(self, attempt_id: str, *, cut: bool, now: float) -> None:
-        """Take the end of an answer.
+        """Handle the end of an answer.
 
         Parameters
         ----------
         cut : bool
-            True where it ended in the middle of an event.
+            True if the answer ended in the middle of an event.
         """
         request = self._requests_by_attempt.get(attempt_id)
         if request is None:
             return
         if request.head is None:
-            self._attempt_failed(request, "answer_without_head", now=now)
+            self._handle_ambiguous_failure(request, "answer_without_head", now=now)
             return
         if not request.is_stream or request.head.status != 200:
             self._complete_answer(request, now=now)
             return
         if cut or not request.n_events:
-            self._attempt_failed(request, "stream_cut_off", now=now)
+            self._handle_ambiguous_failure(request, "stream_cut_off", now=now)
             return
         server_id = request.attempt.server_id
-        self._succeeded(request, now=now)
-        self._forget_attempt(request)
+        self._record_success(request, now=now)
+        self._release_attempt(request)
         self._outbox.finish(request.number)
         self._served(request.arrival.model, request.n_events)
         self._crashes.completed(request, now=now)
@@ -271,45 +273,45 @@
     def attempt_failed(
         self, attempt_id: str, reason: str, *, sent: bool, now: float
     ) -> None:
-        """Take the failure of a connection to a backend server.
+        """Handle a failed connection to a backend server.
 
         Parameters
         ----------
         sent : bool
-            False where no byte of the request can have left.
+            False if no byte of the request can have been sent.
         """
         request = self._requests_by_attempt.get(attempt_id)
         if request is None:
             return
         if sent:
-            self._attempt_failed(request, reason, now=now)
+            self._handle_ambiguous_failure(request, reason, now=now)
             return
         server_id = request.attempt.server_id
         self._balancer.failed(server_id, now=now)
         request.n_sent -= 1
-        self._forget_attempt(request)
+        self._release_attempt(request)
         self._reports.attempt_failed(request, server_id, reason, may_have_run=False)
-        self._again(request, reason, now=now)
+        self._retry(request, reason, now=now)
 
-    # Time and news
+    # Periodic work
 
     def tick(self, *, now: float) -> None:
-        """Give up what is due, move what stands still, dispatch what waits."""
+        """End overdue requests, move those of stalled groups and send waiting ones."""
         for request in list(self.requests_by_number.values()):
-            waited = self._waiting.has_waited_enough(request, now=now)
-            if waited or now >= request.gives_up_at:
-                self._give_up(request, now=now)
+            waited = self._waiting.has_timed_out(request, now=now)
+            if waited or now >= request.times_out_at:
+                self._time_out(request, now=now)
         for server_id in self._stall_watch.newly_stalled(now=now):
             self._leave_stalled(server_id, now=now)
         self.dispatch_waiting(now=now)
 
     def dispatch_waiting(self, *, now: float) -> None:
-        """Send what waits, for a place or for the first configuration."""
+        """Send the requests that wait for a free slot or the first configuration."""
         self._route_unrouted(now=now)
         if not self._waiting:
             return
         full: set[tuple[str, str]] = set()
-        for request in self._waiting.in_order(now=now):
+        for request in self._waiting.sorted_for_dispatch(now=now):
             work = (request.service, request.arrival.model)
             if work in full and not request.tried:
                 continue
@@ -356,34 +358,36 @@
         self._outbox.send(attempt)
         return True
 
-    def _rejected(self, request: RelayRequest, head: AnswerHead, *, now: float) -> None:
-        """Go on after a backend server's promise not to have run the request."""
+    def _handle_rejection(
+        self, request: RelayRequest, head: AnswerHead, *, now: float
+    ) -> None:
+        """Retry or end a request that a backend server promised not to have run."""
         server_id = request.attempt.server_id
         reason = "wrong_server" if head.wrong_server else "rejected"
         if head.wrong_server:
-            self._balancer.disowned(server_id, now=now)
+            self._balancer.mark_entry_stale(server_id, now=now)
         else:
             self._balancer.failed(server_id, now=now)
-        self._drop_attempt(request)
+        self._cancel_attempt(request)
         self._reports.attempt_failed(request, server_id, reason, may_have_run=False)
-        self._again(request, reason, now=now)
+        self._retry(request, reason, now=now)
 
-    def _attempt_failed(
+    def _handle_ambiguous_failure(
         self, request: RelayRequest, reason: str, *, now: float
     ) -> None:
-        """Go on after a failure that leaves open whether the request was run."""
+        """Retry or end a request that may have been run despite the failure."""
         server_id = request.attempt.server_id
         request.may_have_run = True
         self._balancer.failed(server_id, now=now)
         self._crashes.failed(request, server_id=server_id, reason=reason, now=now)
-        self._drop_attempt(request)
+        self._cancel_attempt(request)
         self._reports.attempt_failed(request, server_id, reason, may_have_run=True)
-        self._again(request, reason, now=now)
+        self._retry(request, reason, now=now)
 
-    def _again(self, request: RelayRequest, reason: str, *, now: float) -> None:
-        """Send a request once more, let it wait for a place, or end it."""
-        if not self._may_repeat(request, now=now):
-            self._end_unserved(request, reason, now=now)
+    def _retry(self, request: RelayRequest, reason: str, *, now: float) -> None:
+        """Send a request again, let it wait for a free slot, or end it."""
+        if not self._may_retry(request, now=now):
+            self._end_without_answer(request, reason, now=now)
             return
         if not self._dispatch(request, now=now):
             if request.phase is RequestPhase.SENT:
@@ -391,61 +395,66 @@
             self._wait_or_refuse(request, now=now)
 
     def _wait_or_refuse(self, request: RelayRequest, *, now: float) -> None:
-        """Let a request wait for a place, unless rate limits leave it none in time."""
+        """Let a request wait for a free slot, unless rate limits rule one out."""
         service, model = request.service, request.arrival.model
         allowance = self._balancer.limited_allowance(
-            service, model, excluded=request.tried, seconds=LIMITED_WAIT, now=now
+            service, model, excluded=request.tried, seconds=MAX_LIMITED_WAIT, now=now
         )
-        # What has begun to reach its caller is worth a place that frees by chance.
+        # A stream that has already started is worth waiting for a slot that becomes
+        # free by chance.
         if allowance is None or request.phase is RequestPhase.STREAMING:
             self._waiting.add(request, now=now)
             return
-        n_ahead = self._waiting.n_for(service, model)
-        turn_comes_in = seconds_to_turn(allowance, n_ahead=n_ahead)
-        if turn_comes_in <= LIMITED_WAIT:
+        n_ahead = self._waiting.n_waiting_for(service, model)
+        expected_wait = seconds_to_slot(allowance, n_ahead=n_ahead)
+        if expected_wait <= MAX_LIMITED_WAIT:
             self._waiting.add(request, now=now)
             return
-        # Where this host has no part of the limits, another one may.
-        retry_after = COME_BACK if turn_comes_in == math.inf else turn_comes_in
-        self._end_unserved(request, "limited", retry_after=retry_after, now=now)
+        # If this host has no share of the limits, another host may have one.
+        retry_after = (
+            DEFAULT_RETRY_AFTER if expected_wait == math.inf else expected_wait
+        )
+        self._end_without_answer(request, "limited", retry_after=retry_after, now=now)
 
-    def _may_repeat(self, request: RelayRequest, *, now: float) -> bool:
+    def _may_retry(self, request: RelayRequest, *, now: float) -> bool:
         if request.may_have_run and not request.route.repeatable:
             return False
         if request.n_sent >= request.route.max_attempts:
             return False
-        if request.gives_up_at - now < LEAST_TIME_TO_REPEAT:
+        if request.times_out_at - now < MIN_RETRY_TIME:
             return False
         if self._crashes.verdict(request, now=now) is not None:
             return False
         return request.n_sent == 0 or self._budget.allow(request.service, now=now)
 
     def _leave_stalled(self, server_id: str, *, now: float) -> None:
-        """Move what runs at a group that stands still to other groups."""
-        self._reports.group_still(server_id)
+        """Move the streams of a stalled group to other groups."""
+        self._reports.group_stalled(server_id)
         self._balancer.mark_stalled(server_id, now=now)
         for request in list(self._requests_by_attempt.values()):
             if request.is_stream and request.attempt.server_id == server_id:
-                self._move(request, "still", now=now)
+                self._move_elsewhere(request, "still", now=now)
 
-    def _move(self, request: RelayRequest, reason: str, *, now: float) -> bool:
-        """Send a request to another backend server, if one has a place for it."""
+    def _move_elsewhere(
+        self, request: RelayRequest, reason: str, *, now: float
+    ) -> bool:
+        """Send a request to another backend server, if one has a free slot for it."""
         if not request.route.repeatable:
             return False
         elsewhere = self._balancer.choose(
             request.service, request.arrival.model, excluded=request.tried, now=now
         )
-        if elsewhere is None or not self._may_repeat(request, now=now):
+        if elsewhere is None or not self._may_retry(request, now=now):
             return False
         server_id = request.attempt.server_id
-        self._drop_attempt(request)
+        self._cancel_attempt(request)
         request.may_have_run = True
         self._reports.attempt_failed(request, server_id, reason, may_have_run=True)
         return self._dispatch(request, now=now)
 
     # Answers
 
-    def _pass_events(
+    def _forward_events(
         self, request: RelayRequest, events: list[tuple[str, bytes]], *, now: float
     ) -> None:
         if request.phase is not RequestPhase.STREAMING:
@@ -460,7 +469,7 @@
         fresh = []
         for event_id, event in events:
             if event_id:
-                if not follows(event_id, request.last_event_id):
+                if not is_after(event_id, request.last_event_id):
                     continue
                 request.last_event_id = event_id
             fresh.append(event)
@@ -470,25 +479,25 @@
     def _complete_answer(self, request: RelayRequest, *, now: float) -> None:
         head = request.head
         server_id = request.attempt.server_id
-        failed = head.status >= 500 or head.status in PROMISES
+        failed = head.status >= 500 or head.status in NOT_RUN_STATUSES
         reason = f"answered_{head.status}"
         if request.phase is RequestPhase.STREAMING:
-            # A stream was to go on here, and what came is no stream.
-            self._attempt_failed(request, reason, now=now)
+            # The stream was to be resumed, but this answer is not a stream.
+            self._handle_ambiguous_failure(request, reason, now=now)
             return
-        if failed and self._move(request, reason, now=now):
+        if failed and self._move_elsewhere(request, reason, now=now):
             return
-        if head.status in PROMISES:
-            # Without the promise in its headers the request may have been run, and
-            # the caller would take the status alone for one.
+        if head.status in NOT_RUN_STATUSES:
+            # Without the promise in the answer's headers the request may have been run,
+            # but the caller would take the status alone as that promise.
             request.may_have_run = True
-            self._drop_attempt(request)
-            self._end_unserved(request, reason, now=now)
+            self._cancel_attempt(request)
+            self._end_without_answer(request, reason, now=now)
             return
         if not failed:
-            self._succeeded(request, now=now)
+            self._record_success(request, now=now)
             self._crashes.completed(request, now=now)
-        self._forget_attempt(request)
+        self._release_attempt(request)
         self._outbox.answer(
             request.number,
             status=head.status,
@@ -498,44 +507,46 @@
         self._reports.answered(request, status=head.status, server=server_id, now=now)
         self._end(request)
 
-    def _succeeded(self, request: RelayRequest, *, now: float) -> None:
-        """Take note of a backend server's whole answer."""
+    def _record_success(self, request: RelayRequest, *, now: float) -> None:
+        """Record that a backend server has answered completely."""
         self._balancer.succeeded(request.attempt.server_id)
         if request.n_sent == 1:
-            took = now - request.first_sent_at
-            self._balancer.took(request.service, request.arrival.model, took)
+            duration = now - request.first_sent_at
+            self._balancer.took(request.service, request.arrival.model, duration)
 
-    def _give_up(self, request: RelayRequest, *, now: float) -> None:
+    def _time_out(self, request: RelayRequest, *, now: float) -> None:
         if request.phase is RequestPhase.ENDED:
             return
         sent = request.attempt is not None
         if sent:
             request.may_have_run = True
-            self._drop_attempt(request)
-        self._end_unserved(request, "too_late" if sent else "no_place", now=now)
+            self._cancel_attempt(request)
+        self._end_without_answer(request, "too_late" if sent else "no_place", now=now)
 
-    def _end_unserved(
+    def _end_without_answer(
         self,
         request: RelayRequest,
         reason: str,
         *,
         now: float,
-        retry_after: float = COME_BACK,
+        retry_after: float = DEFAULT_RETRY_AFTER,
     ) -> None:
-        self._refusals.unserved(request, reason, now=now, retry_after=retry_after)
+        self._refusals.end_without_answer(
+            request, reason, now=now, retry_after=retry_after
+        )
         self._end(request)
 
-    def _refuse_unread(
+    def _refuse_on_arrival(
         self,
         number: int,
         arrival: RelayArrival,
         status: int,
         reason: str,
         *,
-        retry_after: float = COME_BACK,
+        retry_after: float = DEFAULT_RETRY_AFTER,
     ) -> None:
         table = self._table()
-        self._refusals.unread(
+        self._refusals.refuse_on_arrival(
             number,
             arrival,
             status,
@@ -546,13 +557,13 @@
 
     # Bookkeeping
 
-    def _drop_attempt(self, request: RelayRequest) -> None:
+    def _cancel_attempt(self, request: RelayRequest) -> None:
         attempt = request.attempt
         if attempt is not None:
-            self._forget_attempt(request)
+            self._release_attempt(request)
             self._outbox.cancel(attempt.id)
 
-    def _forget_attempt(self, request: RelayRequest) -> None:
+    def _release_attempt(self, request: RelayRequest) -> None:
         attempt = request.attempt
         self._balancer.ended(attempt.server_id)
         self._stall_watch.ended(attempt.server_id, attempt.id)
--- a/ryelever/coordination/relaying/running_mean.py
+++ b/ryelever/coordination/relaying/running_mean.py
@@ -1,15 +1,15 @@
-"""Average what is observed again and again, the newer the more."""
+"""Compute running means in which newer values count more."""
 
 from __future__ import annotations
 
 __all__ = ["RunningMean"]
 
-#: Share of each new value in the mean, at least: fifty values make it.
-NEW_SHARE = 0.02
+#: Minimum weight of each new value in the mean, which then covers about fifty values.
+MIN_WEIGHT = 0.02
 
 
 class RunningMean:
-    """Hold the mean of all values at first, and of the last ones later.
+    """Mean of all values at first, and an exponentially weighted mean later.
 
     Attributes
     ----------
@@ -24,11 +24,11 @@
         self.mean = 0.0
 
     @property
-    def n_counted(self) -> float:
-        """Return how many values the mean stands for."""
-        return min(self._n, 1.0 / NEW_SHARE)
+    def effective_count(self) -> float:
+        """Return how many values the mean effectively covers."""
+        return min(self._n, 1.0 / MIN_WEIGHT)
 
     def add(self, value: float) -> None:
-        """Take one value."""
+        """Add a value to the mean."""
         self._n += 1
-        self.mean += (value - self.mean) * max(NEW_SHARE, 1.0 / self._n)
+        self.mean += (value - self.mean) * max(MIN_WEIGHT, 1.0 / self._n)
--- a/ryelever/coordination/relaying/stall_watch.py
+++ b/ryelever/coordination/relaying/stall_watch.py
@@ -1,8 +1,8 @@
-"""Tell groups that stand still from the silence of all their streams.
+"""Detect stalled groups by the silence of all their streams.
 
-A group whose member is lost goes on accepting requests for seconds, and nothing
-moves in it.  Its streams show that at once: while it works, each of them gets an
-event in every pass, some tens of milliseconds apart.
+A group that loses a member goes on accepting requests for seconds without making
+progress. Its streams show the stall at once: while a group works, each stream gets an
+event in every batch step, some tens of milliseconds apart.
 """
 
 from __future__ import annotations
@@ -11,57 +11,71 @@
 
 __all__ = ["StallWatch"]
 
-#: Seconds of silence on all begun streams of a group.  A full batch takes 62 ms
-#: between two events, and the longest prompts hold it up by about 100 ms each.
-SILENCE = 0.45
+#: Seconds without an event on all started streams of a group after which the group
+#: counts as stalled. A full batch takes 62 ms between two events, and the longest
+#: prompts delay it by about 100 ms each.
+STREAM_SILENCE = 0.45
 
-#: Seconds without a first event, at a group none of whose streams has begun here.
-FIRST_SILENCE = 1.2
+#: Seconds without a first event after which a group counts as stalled if none of its
+#: streams has started.
+FIRST_EVENT_SILENCE = 1.2
 
-#: Seconds for which a group counts as standing still once its streams are gone: its
-#: members are probed meanwhile, and one that is lost is known within a second.
+#: Seconds for which a group is reported as stalled after its streams have moved away.
+#: Its members are probed meanwhile, and a lost member is known within a second.
 STALL_REPORTED_FOR = 2.5
 
-#: Seconds between two ticks beyond which this process itself was held up, so that
-#: what looks silent may lie unread.  Ticks come every 0.1 s, some of them late.
-OWN_DELAY = 0.25
+#: Seconds between two ticks beyond which this process itself was delayed, so that
+#: events may be waiting unread. Ticks come every 0.1 s, some of them late.
+MAX_TICK_GAP = 0.25
 
 
 class _Activity(msgspec.Struct, kw_only=True):
-    """Hold the streams that one group serves for this host."""
+    """The streams that one group serves for this host.
+
+    Attributes
+    ----------
+    progressed_at : float
+        Monotonic time of the last event, or of the start of the first stream.
+    has_started : bool
+        True once an event has arrived on any of the streams.
+    is_reported : bool
+        True if the current stall has been reported.
+    attempts : set of str
+        Ids of the attempts whose streams are open.
+    """
 
     progressed_at: float
-    begun: bool = False
-    told: bool = False
+    has_started: bool = False
+    is_reported: bool = False
     attempts: set[str] = msgspec.field(default_factory=set)
 
 
 class StallWatch:
-    """Watch the streams of all groups."""
+    """Detect groups whose streams have all stopped making progress."""
 
     def __init__(self) -> None:
         self._activity_by_id: dict[str, _Activity] = {}
         self._stalled_since_by_id: dict[str, float] = {}
-        self._looked_at = float("-inf")
+        self._checked_at = float("-inf")
 
     def began(self, server_id: str, attempt_id: str, *, now: float) -> None:
-        """Take note of a stream that a group is asked for."""
+        """Record that a stream was requested from a group."""
         activity = self._activity_by_id.get(server_id)
         if activity is None or not activity.attempts:
             activity = self._activity_by_id[server_id] = _Activity(progressed_at=now)
         activity.attempts.add(attempt_id)
 
     def progressed(self, server_id: str, *, now: float) -> None:
-        """Take note of an event."""
+        """Record an event of a group."""
         activity = self._activity_by_id.get(server_id)
         if activity is not None:
             activity.progressed_at = now
-            activity.begun = True
-            activity.told = False
+            activity.has_started = True
+            activity.is_reported = False
             self._stalled_since_by_id.pop(server_id, None)
 
     def ended(self, server_id: str, attempt_id: str) -> None:
-        """Take note of a stream's end."""
+        """Record the end of a stream."""
         activity = self._activity_by_id.get(server_id)
         if activity is None:
             return
@@ -70,10 +84,10 @@
             del self._activity_by_id[server_id]
 
     def still(self, *, now: float) -> list[str]:
-        """Return the heads whose groups came to stand still a short while ago.
+        """Return the heads whose groups stalled a short while ago.
 
-        Their streams are moved away at once, so that nothing shows any more whether
-        they go on to stand still.
+        The streams of a stalled group are moved away at once, after which nothing shows
+        whether the group is still stalled.
         """
         for server_id, since in list(self._stalled_since_by_id.items()):
             if now - since > STALL_REPORTED_FOR:
@@ -81,25 +95,25 @@
         return list(self._stalled_since_by_id)
 
     def has_progressed(self, server_id: str, *, now: float) -> bool:
-        """Tell whether a group has written an event here just now."""
+        """Return whether a group has recently sent an event to this host."""
         activity = self._activity_by_id.get(server_id)
-        if activity is None or not activity.begun:
+        if activity is None or not activity.has_started:
             return False
-        return now - activity.progressed_at <= SILENCE
+        return now - activity.progressed_at <= STREAM_SILENCE
 
     def newly_stalled(self, *, now: float) -> list[str]:
-        """Return the heads whose groups have come to stand still."""
-        held_up = now - self._looked_at > OWN_DELAY
-        self._looked_at = now
-        if held_up:
+        """Return the heads whose groups have stalled since the last call."""
+        was_delayed = now - self._checked_at > MAX_TICK_GAP
+        self._checked_at = now
+        if was_delayed:
             for activity in self._activity_by_id.values():
                 activity.progressed_at = now
             return []
         still = []
         for server_id, activity in self._activity_by_id.items():
-            limit = SILENCE if activity.begun else FIRST_SILENCE
-            if not activity.told and now - activity.progressed_at > limit:
-                activity.told = True
+            limit = STREAM_SILENCE if activity.has_started else FIRST_EVENT_SILENCE
+            if not activity.is_reported and now - activity.progressed_at > limit:
+                activity.is_reported = True
                 self._stalled_since_by_id[server_id] = now
                 still.append(server_id)
         return still
--- a/ryelever/coordination/relaying/unrouted.py
+++ b/ryelever/coordination/relaying/unrouted.py
@@ -1,4 +1,4 @@
-"""Hold the requests that come before a host has its first configuration."""
+"""Hold the requests that arrive before a host has its first configuration."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 if TYPE_CHECKING:
     from .messages import RelayArrival
 
-__all__ = ["FIRST_CONFIGURATION", "UnroutedArrivals"]
+__all__ = ["FIRST_CONFIGURATION_WAIT", "UnroutedArrivals"]
 
-#: Seconds after its start for which a host lets requests wait for its first
-#: configuration.  The store gives it within 0.15 s, or peers do within a second.
-FIRST_CONFIGURATION = 1.0
+#: Seconds after a host's start during which requests wait for its first configuration.
+#: The store delivers the configuration within 0.15 s, or peers do within a second.
+FIRST_CONFIGURATION_WAIT = 1.0
 
 
 class UnroutedArrivals:
-    """Let requests wait for the first configuration, but not for long.
+    """Hold requests for a short time until the first configuration arrives.
 
-    A host that was restarted is called at once, and refusing everybody until the store
-    has answered once would fail all callers of that tenth of a second.
+    A host gets requests as soon as it has restarted. Refusing them until the store's
+    first response would fail all callers of that tenth of a second.
 
     Parameters
     ----------
@@ -26,28 +26,28 @@
         Monotonic time of the process's start.
     """
 
-    __slots__ = ("_arrivals_by_number", "_configured_by")
+    __slots__ = ("_arrivals_by_number", "_wait_until")
 
     def __init__(self, *, since: float) -> None:
         self._arrivals_by_number: dict[int, RelayArrival] = {}
-        self._configured_by = since + FIRST_CONFIGURATION
+        self._wait_until = since + FIRST_CONFIGURATION_WAIT
 
     def __len__(self) -> int:
         return len(self._arrivals_by_number)
 
     def add(self, number: int, arrival: RelayArrival) -> None:
-        """Let a request wait."""
+        """Hold a request."""
         self._arrivals_by_number[number] = arrival
 
     def discard(self, number: int) -> None:
-        """Let a request wait no more."""
+        """Stop holding a request, if it is held."""
         self._arrivals_by_number.pop(number, None)
 
-    def take_due(
+    def pop_due(
         self, *, is_configured: bool, now: float
     ) -> list[tuple[int, RelayArrival]]:
-        """Return the requests that are to be routed or refused now, and forget them."""
-        if not is_configured and now <= self._configured_by:
+        """Return and remove the requests that are to be routed or refused now."""
+        if not is_configured and now <= self._wait_until:
             return []
         due = list(self._arrivals_by_number.items())
         self._arrivals_by_number.clear()
--- a/ryelever/coordination/relaying/waiting.py
+++ b/ryelever/coordination/relaying/waiting.py
@@ -1,4 +1,4 @@
-"""Hold the requests that wait for a place at a backend server."""
+"""Hold the requests that wait for a free slot at a backend server."""
 
 from __future__ import annotations
 
@@ -9,18 +9,20 @@
     from .rate_limits import Allowance
     from .request import RelayRequest
 
-__all__ = ["LIMITED_WAIT", "LONGEST_WAIT", "WaitingRequests", "seconds_to_turn"]
+__all__ = ["MAX_LIMITED_WAIT", "MAX_WAIT", "WaitingRequests", "seconds_to_slot"]
 
-#: Seconds for which a request waits for a place at a backend server.  A place frees
-#: every tenth of a second at a full group, and callers that hear early come back.
-LONGEST_WAIT = 1.0
+#: Seconds for which a request waits for a free slot at a backend server. At a full
+#: group a slot becomes free every tenth of a second, and callers that are refused early
+#: retry.
+MAX_WAIT = 1.0
 
-#: The same where rate limits say when a place comes: a tick before it would be refused.
-LIMITED_WAIT = LONGEST_WAIT - 0.1
+#: Seconds for which a request waits if rate limits determine when a slot becomes free:
+#: one tick less than ``MAX_WAIT``, after which the request would be refused.
+MAX_LIMITED_WAIT = MAX_WAIT - 0.1
 
 
 class WaitingRequests:
-    """Order the requests that wait."""
+    """Queue of the requests that wait for a free slot."""
 
     __slots__ = ("_requests_by_number",)
 
@@ -31,30 +33,31 @@
         return len(self._requests_by_number)
 
     def add(self, request: RelayRequest, *, now: float) -> None:
-        """Let a request wait from now on."""
-        request.waits_until = now + LONGEST_WAIT
+        """Add a request that waits from now on."""
+        request.waits_until = now + MAX_WAIT
         self._requests_by_number[request.number] = request
 
     def discard(self, request: RelayRequest) -> None:
-        """Let a request wait no more."""
+        """Remove a request, if it waits."""
         self._requests_by_number.pop(request.number, None)
 
-    def n_for(self, service: str, model: str) -> int:
-        """Return how many wait for a server that runs such work."""
+    def n_waiting_for(self, service: str, model: str) -> int:
+        """Return how many requests wait for a service and model."""
         return sum(
             item.service == service and item.arrival.model == model
             for item in self._requests_by_number.values()
         )
 
-    def has_waited_enough(self, request: RelayRequest, *, now: float) -> bool:
-        """Tell whether a request waits and should hear that there is no place."""
+    def has_timed_out(self, request: RelayRequest, *, now: float) -> bool:
+        """Return whether a request has waited for a free slot as long as it may."""
         return request.number in self._requests_by_number and now >= request.waits_until
 
-    def in_order(self, *, now: float) -> list[RelayRequest]:
-        """Return them in the order in which places are given out.
+    def sorted_for_dispatch(self, *, now: float) -> list[RelayRequest]:
+        """Return the waiting requests in the order in which they get free slots.
 
-        Those that can still be in time come first: who can't be helped in time is
-        not to make others late too.  Among them it goes by priority, then arrival.
+        Requests that can still meet their latency objective come first, so that
+        requests which are already late don't make others late. Within both groups,
+        requests are ordered by priority, then by arrival.
         """
         return sorted(
             self._requests_by_number.values(),
@@ -62,19 +65,19 @@
         )
 
 
-def seconds_to_turn(allowance: Allowance, *, n_ahead: int) -> float:
-    """Return after how many seconds rate limits give a place to one more request.
+def seconds_to_slot(allowance: Allowance, *, n_ahead: int) -> float:
+    """Return the seconds until rate limits allow one more request.
 
     Parameters
     ----------
     allowance : Allowance
-        What may be sent within ``LIMITED_WAIT``, and after it.
+        The requests allowed within ``MAX_LIMITED_WAIT``, and the rate after that.
     n_ahead : int
-        Requests that wait already.
+        Number of requests that already wait.
     """
-    n_missing = n_ahead + 1 - allowance.n_soon
+    n_missing = n_ahead + 1 - allowance.n_available
     if n_missing <= 0:
-        return LIMITED_WAIT
+        return MAX_LIMITED_WAIT
     if not allowance.rate:
         return math.inf
-    return LIMITED_WAIT + n_missing / allowance.rate
+    return MAX_LIMITED_WAIT + n_missing / allowance.rate
--- a/tests/test_coordination/test_relaying/__init__.py
+++ b/tests/test_coordination/test_relaying/__init__.py
@@ -1,1 +1,1 @@
-"""Test the family of relaying decisions."""
+"""Tests of the handling of relayed requests."""
--- a/tests/test_coordination/test_relaying/relay_fakes.py
+++ b/tests/test_coordination/test_relaying/relay_fakes.py
@@ -1,4 +1,4 @@
-"""Play backend servers and callers to the decisions about relayed requests."""
+"""Simulate backend servers and callers for tests of relay decisions."""
 
 from __future__ import annotations
 
@@ -75,14 +75,14 @@
 
 
 class Relaying:
-    """Hold the decisions, and what they asked for.
+    """Relay decisions under test, with a fake outbox that records their effects.
 
     Attributes
     ----------
     sent : list of RelayAttempt
         Attempts in their order.
     out : list of tuple
-        What callers got: kind, and status or bytes.
+        What callers got: the kind of the output, and its status or bytes.
     """
 
     def __init__(
@@ -160,10 +160,10 @@
         key: str | None = "key",
         path: str = "1",
         last_event_id: str = "",
-        patience: float = 6.0,
+        time_limit: float = 6.0,
         content: str = "",
     ) -> None:
-        """Let a request come."""
+        """Let a request arrive."""
         arrival = RelayArrival(
             request_id=f"r{number}",
             host=HOST,
@@ -173,21 +173,21 @@
             model="large" if kind is RouteKind.STREAM else "",
             n_prompt=100,
             last_event_id=last_event_id,
-            deadline=now + patience,
+            deadline=now + time_limit,
             arrived_at=now,
         )
         self.requests.arrive(number, arrival)
 
     def events(self, attempt: RelayAttempt, *ids: int, now: float) -> None:
-        """Let a backend server write events."""
+        """Let a backend server send events."""
         events = [(str(item), f"id: {item}\n\n".encode()) for item in ids]
         self.requests.answer_events(attempt.id, events, now=now)
 
     def delivered(self) -> bytes:
-        """Return the bytes that callers got of streams."""
+        """Return the bytes of streams that callers got."""
         return b"".join(item[2] for item in self.out if item[0] == "data")
 
-    # What is decided
+    # The outbox
 
     def send(self, attempt: RelayAttempt) -> None:
         self.sent.append(attempt)
--- a/tests/test_coordination/test_relaying/test_balance.py
+++ b/tests/test_coordination/test_relaying/test_balance.py
@@ -1,4 +1,4 @@
-"""Test which backend server gets a relayed request."""
+"""Test the choice of the backend server for a relayed request."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from msgspec.structs import replace
 
 from ryelever.coordination.relaying.balance import (
-    DISOWNED_FOR,
     FIRST_AVOIDANCE,
     MAX_AVOIDANCE,
+    QUEUED_PER_SERVER,
+    STALE_ENTRY_AVOIDANCE,
     STALL_AVOIDANCE,
-    WAITING_AT_SERVER,
     Balancer,
 )
 from ryelever.coordination.relaying.repeat_budget import RepeatBudget
 from ryelever.coordination.relaying.stall_watch import (
-    FIRST_SILENCE,
-    SILENCE,
+    FIRST_EVENT_SILENCE,
     STALL_REPORTED_FOR,
+    STREAM_SILENCE,
     StallWatch,
 )
 from ryelever.coordination.removals import ENTRIES_BACK, OUTAGE, Removals
@@ -77,7 +77,7 @@
     assert _choose(balancer) is None
 
 
-def test_the_least_loaded_over_all_hosts(
+def test_least_loaded_server_is_chosen_by_requests_of_all_hosts(
     directory: Directory, balancer: Balancer
 ) -> None:
     directory.put(_head("a"), now=0.0)
@@ -90,7 +90,7 @@
     assert _choose(balancer, excluded={"a"}) == "b"
 
 
-def test_the_own_zone_unless_it_is_busier(
+def test_local_zone_is_preferred_unless_it_is_busier(
     directory: Directory, balancer: Balancer
 ) -> None:
     directory.put(_head("far", zone="y"), now=0.0)
@@ -101,15 +101,15 @@
     assert _choose(balancer) == "far"
 
 
-def test_a_full_server_gets_nothing(directory: Directory, balancer: Balancer) -> None:
+def test_full_server_gets_no_requests(directory: Directory, balancer: Balancer) -> None:
     directory.put(_head("a"), now=0.0)
-    for _ in range(13 + WAITING_AT_SERVER):
+    for _ in range(13 + QUEUED_PER_SERVER):
         assert _choose(balancer) == "a"
         balancer.sent("a")
     assert _choose(balancer) is None
 
 
-def test_a_server_that_fails_is_left_alone_longer_each_time(
+def test_failing_server_is_avoided_longer_each_time(
     directory: Directory, balancer: Balancer
 ) -> None:
     directory.put(_head("a"), now=0.0)
@@ -117,7 +117,7 @@
     pauses = []
     for _ in range(6):
         balancer.failed("a", now=now)
-        # What fails with it at once counts once.
+        # A second failure at the same time does not count.
         balancer.failed("a", now=now)
         pauses.append(balancer.record("a").avoided_until - now)
         now = balancer.record("a").avoided_until
@@ -129,7 +129,7 @@
     assert balancer.record("a").avoided_until == now + FIRST_AVOIDANCE
 
 
-def test_a_group_that_stands_still_is_left_alone_until_it_moves(
+def test_stalled_group_is_avoided_until_it_makes_progress(
     directory: Directory, balancer: Balancer
 ) -> None:
     directory.put(_head("a"), now=0.0)
@@ -139,7 +139,9 @@
     assert _choose(balancer, now=1.1) == "a"
 
 
-def test_new_groups_show_at_once(directory: Directory, balancer: Balancer) -> None:
+def test_new_and_removed_groups_take_effect_at_once(
+    directory: Directory, balancer: Balancer
+) -> None:
     assert _choose(balancer) is None
     directory.put(_head("a"), now=0.0)
     assert _choose(balancer) == "a"
@@ -147,7 +149,7 @@
     assert _choose(balancer) is None
 
 
-# Groups that stand still
+# Stalled groups
 
 
 @pytest.fixture
@@ -155,7 +157,7 @@
     return StallWatch()
 
 
-def _still_at(watch: StallWatch, start: float, end: float) -> float | None:
+def _stalled_at(watch: StallWatch, start: float, end: float) -> float | None:
     for index in range(int((end - start) / 0.05) + 1):
         now = start + index * 0.05
         if watch.newly_stalled(now=now):
@@ -163,18 +165,18 @@
     return None
 
 
-def test_silence_of_all_streams_shows(watch: StallWatch) -> None:
+def test_silence_of_all_streams_is_a_stall(watch: StallWatch) -> None:
     watch.newly_stalled(now=0.0)
     watch.began("a", "s1", now=0.0)
     watch.began("a", "s2", now=0.0)
     watch.progressed("a", now=0.05)
-    still_at = _still_at(watch, 0.05, 2.0)
-    assert SILENCE < still_at - 0.05 <= SILENCE + 0.1
-    assert watch.still(now=still_at) == ["a"]
-    assert watch.still(now=still_at + STALL_REPORTED_FOR + 0.1) == []
+    stalled_at = _stalled_at(watch, 0.05, 2.0)
+    assert STREAM_SILENCE < stalled_at - 0.05 <= STREAM_SILENCE + 0.1
+    assert watch.still(now=stalled_at) == ["a"]
+    assert watch.still(now=stalled_at + STALL_REPORTED_FOR + 0.1) == []
 
 
-def test_one_stream_that_moves_is_enough(watch: StallWatch) -> None:
+def test_progress_of_one_stream_prevents_a_stall(watch: StallWatch) -> None:
     watch.newly_stalled(now=0.0)
     watch.began("a", "s1", now=0.0)
     watch.began("a", "s2", now=0.0)
@@ -185,28 +187,28 @@
         assert watch.has_progressed("a", now=now)
 
 
-def test_a_first_event_may_take_longer(watch: StallWatch) -> None:
+def test_first_event_may_take_longer(watch: StallWatch) -> None:
     watch.newly_stalled(now=0.0)
     watch.began("a", "s1", now=0.0)
-    still_at = _still_at(watch, 0.0, 3.0)
-    assert FIRST_SILENCE < still_at <= FIRST_SILENCE + 0.1
+    stalled_at = _stalled_at(watch, 0.0, 3.0)
+    assert FIRST_EVENT_SILENCE < stalled_at <= FIRST_EVENT_SILENCE + 0.1
 
 
-def test_a_group_without_streams_is_not_still(watch: StallWatch) -> None:
+def test_group_without_streams_is_not_stalled(watch: StallWatch) -> None:
     watch.newly_stalled(now=0.0)
     watch.began("a", "s1", now=0.0)
     watch.ended("a", "s1")
-    assert _still_at(watch, 0.0, 3.0) is None
+    assert _stalled_at(watch, 0.0, 3.0) is None
 
 
-def test_a_server_that_was_started_anew_is_not_avoided(
+def test_restarted_server_is_not_avoided(
     directory: Directory, balancer: Balancer
 ) -> None:
-    """Show that what its former incarnation did isn't held against a server.
+    """Guard against avoiding a restarted server for failures of its former incarnation.
 
-    Symptom: a head that is back and serves gets no request for four seconds.
-    Sequence: a server crashes, its requests fail, and it starts again under its id.
-    Cause: failures were counted by the id alone.
+    A server crashes, its requests fail, and it starts again under the same id. With
+    failures counted by id alone, a head that serves again gets no request for four
+    seconds.
     """
     directory.put(_head("a", started_at=1), now=0.0)
     assert _choose(balancer) == "a"
@@ -216,16 +218,15 @@
     assert _choose(balancer, now=0.2) == "a"
 
 
-# Entries that lapse while the store is away
+# Entries that lapse during an outage of the store
 
 
-def test_entries_that_lapsed_in_an_outage_are_waited_for() -> None:
-    """Show that the fleet isn't emptied when the store comes back.
+def test_removals_wait_for_entries_that_lapsed_in_an_outage() -> None:
+    """Guard against removing all backend servers when the store returns.
 
-    Symptom: no backend server is known for two seconds after an outage.
-    Sequence: the store is down for five seconds, entries lapse meanwhile, and all are
-    back within two seconds of its return.
-    Cause: the removals are read first.
+    The store is down for five seconds and entries lapse meanwhile. All entries return
+    within two seconds, but the removals are read first: without a delay, no backend
+    server is known for two seconds after the outage.
     """
     removals = Removals(heartbeat_interval=1.2)
     removals.note_reads(answered_at=1.0, failed_at=float("-inf"))
@@ -238,9 +239,7 @@
     assert removals.due(now=back + ENTRIES_BACK) == ["b"]
 
 
-def test_an_entry_that_cannot_be_read_removes_its_server_unless_it_writes_again() -> (
-    None
-):
+def test_unreadable_entry_removes_its_server_unless_rewritten() -> None:
     removals = Removals(heartbeat_interval=1.0)
     removals.add_unreadable("a", now=0.0)
     removals.add_unreadable("b", now=0.0)
@@ -250,7 +249,7 @@
     assert removals.due(now=2.0) == ["b"]
 
 
-def test_removals_hold_at_once_while_reads_are_answered() -> None:
+def test_removals_take_effect_at_once_while_reads_are_answered() -> None:
     removals = Removals(heartbeat_interval=1.2)
     removals.note_reads(answered_at=1.0, failed_at=float("-inf"))
     removals.note_reads(answered_at=1.4, failed_at=1.2)
@@ -258,14 +257,14 @@
     assert removals.due(now=1.4) == ["a"]
 
 
-# Repeats
+# Retry budget
 
 
 def test_repeats_are_a_share_of_requests_and_of_the_slack() -> None:
     n_hosts = 1
     budget = RepeatBudget(ratio=0.2, slack=20.0, window=10.0, n_hosts=lambda: n_hosts)
     for _ in range(100):
-        budget.requested("s", now=0.0)
+        budget.record_request("s", now=0.0)
     allowed = sum(budget.allow("s", now=1.0) for _ in range(100))
     assert 0 < allowed <= 0.2 * 100 + 20
     assert budget.allow("other", now=1.0)
@@ -276,22 +275,22 @@
     assert sum(many.allow("s", now=1.0) for _ in range(100)) <= 1
 
 
-def test_a_server_that_its_entry_describes_wrongly_gets_nothing(
+def test_server_with_a_stale_entry_is_avoided(
     directory: Directory, balancer: Balancer
 ) -> None:
-    """Show that a stale entry costs one attempt, not one of each request.
+    """Guard against a stale entry that costs each request one attempt.
 
-    Symptom: a tenth of the requests are refused through an outage of the store.
-    Sequence: a head is started anew while the store is away; its old entry stays in
-    the list, and it answers that it is another incarnation.
-    Cause: after half a second it was chosen again, as the least loaded of all.
+    A head restarts during an outage of the store, its old entry stays in the list, and
+    it answers that it is another incarnation. If it is avoided for half a second only,
+    it is chosen again as the least loaded server of all, and a tenth of the requests
+    are refused throughout the outage.
     """
     directory.put(_head("a"), now=0.0)
-    balancer.disowned("a", now=1.0)
+    balancer.mark_entry_stale("a", now=1.0)
     assert _choose(balancer, now=1.0) is None
-    assert _choose(balancer, now=0.9 + DISOWNED_FOR) is None
-    assert _choose(balancer, now=1.1 + DISOWNED_FOR) == "a"
-    balancer.disowned("a", now=20.0)
+    assert _choose(balancer, now=0.9 + STALE_ENTRY_AVOIDANCE) is None
+    assert _choose(balancer, now=1.1 + STALE_ENTRY_AVOIDANCE) == "a"
+    balancer.mark_entry_stale("a", now=20.0)
     directory.put(_head("a", address="10.0.0.9:81"), now=0.0)
     assert _choose(balancer, now=20.1) == "a"
 
@@ -299,13 +298,12 @@
 def test_a_zone_that_is_not_heard_comes_last(
     directory: Directory, balancer: Balancer
 ) -> None:
-    """Show that a cut between zones doesn't cost each request one of its attempts.
+    """Guard against a partition between zones that costs each request one attempt.
 
-    Symptom: while a zone is cut off, a third of the requests elsewhere fail once, and
-    some use up their attempts.
-    Sequence: the zone's servers look idle, as nobody outside reaches them; each is
-    tried again every few seconds, and they are many.
-    Cause: each server was avoided by itself, though their zone was not heard.
+    Nobody outside the zone reaches its servers, so they look idle. If each server is
+    avoided by itself, although no heartbeats are received from their zone, each is
+    tried again every few seconds, and there are many of them: a third of the requests
+    in other zones fail once, and some use up their attempts.
     """
     directory.put(_head("near"), now=0.0)
     directory.put(_head("far", zone="y"), now=0.0)
@@ -316,12 +314,12 @@
     assert _choose(balancer) == "near"
     while _choose(balancer) == "near":
         balancer.sent("near")
-    # Its hosts may be away and its servers there: better than refusing.
+    # The zone's hosts may be down while its servers run: better than refusing.
     assert _choose(balancer) == "far"
 
 
 def _spread(n_hosts: int, *, interval: float) -> int:
-    """Let hosts that don't hear each other choose; return the most at one server."""
+    """Let hosts with outdated loads choose; return the most at one server."""
     chosen: Counter[str] = Counter()
     for seed in range(n_hosts):
         directory = Directory()
@@ -329,29 +327,29 @@
             directory.put(_head(f"h{index}"), now=0.0)
         balancer = Balancer(directory=directory, zone="z", seed=seed)
         balancer.hear(interval=interval, n_near=n_hosts - 1, n_hosts=n_hosts)
-        # One group looks a little less loaded than the others to all of them.
+        # One group looks a little less loaded than the others to all hosts.
         balancer.peers_in_flight_by_id.update({f"h{index}": 3 for index in range(12)})
         balancer.peers_in_flight_by_id["h7"] -= 1
         chosen[_choose(balancer)] += 1
     return max(chosen.values())
 
 
-def test_hosts_that_hear_late_of_each_other_spread_their_requests() -> None:
-    """Let thirty hosts choose before they hear of each other's requests.
+def test_hosts_with_late_heartbeats_spread_their_requests() -> None:
+    """Guard against many hosts that all send to the same group.
 
-    Symptom: one group is full and refuses while others idle, by turns.  Sequence:
-    in a large zone words come every 0.8 s, and meanwhile all hosts see the same group
-    as the least loaded.  Cause: each sent to that one.
+    In a large zone, heartbeats arrive every 0.8 s. Meanwhile thirty hosts see the same
+    group as the least loaded one; if all send to it, that group is full and refuses
+    requests while other groups are idle, and so on in turn.
     """
     assert _spread(30, interval=0.2) <= 10
     assert _spread(30, interval=0.8) <= 10
 
 
-def test_hosts_that_hear_at_once_send_to_the_least_loaded() -> None:
+def test_hosts_with_current_loads_choose_the_least_loaded_server() -> None:
     assert _spread(30, interval=0.0) == 30
 
 
-def test_what_is_full_is_left_out_of_the_draw(directory: Directory) -> None:
+def test_full_servers_are_never_drawn(directory: Directory) -> None:
     for index in range(12):
         directory.put(_head(f"h{index}"), now=0.0)
     balancer = Balancer(directory=directory, zone="z", seed=1)
@@ -361,7 +359,7 @@
     assert {_choose(balancer) for _ in range(20)} == {"h11"}
 
 
-def test_far_servers_are_drawn_where_there_are_many(directory: Directory) -> None:
+def test_servers_of_other_zones_are_sampled(directory: Directory) -> None:
     for index in range(300):
         zone = "z" if index < 10 else "y"
         directory.put(_head(f"h{index}", zone=zone), now=0.0)
@@ -373,12 +371,12 @@
     assert len(far) > 50
     balancer.peers_in_flight_by_id.update({f"h{index}": 1000 for index in range(300)})
     balancer.peers_in_flight_by_id["h250"] = 0
-    # All are looked at before a request is told that there is no place.
+    # All servers are examined before a request is refused for lack of a free slot.
     assert {_choose(balancer) for _ in range(20)} == {"h250"}
 
 
 def test_a_server_of_an_evacuated_zone_gets_nothing(directory: Directory) -> None:
-    """Guard against requests to a zone that the operator has asked to evacuate."""
+    """Guard against requests to a zone that the operator has evacuated."""
     evacuated = {"z"}
     balancer = Balancer(
         directory=directory, zone="z", is_evacuated=evacuated.__contains__, seed=1
--- a/tests/test_coordination/test_relaying/test_crashes.py
+++ b/tests/test_coordination/test_relaying/test_crashes.py
@@ -13,7 +13,7 @@
 
 
 def _crash_all(relaying: Relaying, content: str, *, now: float) -> int:
-    """Crash what runs a request as often as it is sent; return how often."""
+    """Send a request and crash each server that runs it; return the crashes."""
     n_before = len(relaying.sent)
     number = 1000 + n_before
     relaying.arrive(SAFE, number=number, content=content, now=now)
@@ -27,16 +27,16 @@
     return n_crashes
 
 
-def _tell(teller: Relaying, hearer: Relaying, *, now: float) -> None:
-    hearer.crashes.heard(teller.crashes.told(now=now), host="teller", now=now)
+def _announce(sender: Relaying, receiver: Relaying, *, now: float) -> None:
+    receiver.crashes.heard(sender.crashes.told(now=now), host="sender", now=now)
 
 
 def test_a_poisonous_request_is_not_sent_after_its_second_crash() -> None:
-    """Let a request crash whatever runs it, and come again and again.
+    """Guard against a request that crashes one backend server after the other.
 
-    Symptom: one backend server after the other dies.  Sequence: a request crashes a
-    server, is sent again and crashes the next, and its caller repeats it.  Cause:
-    each sending was decided on as if there had been none before.
+    A request crashes a server, is retried and crashes the next one, and its caller
+    repeats it. This goes on if each attempt is decided without regard to the previous
+    ones.
     """
     relaying = Relaying(n_servers=5)
     assert _crash_all(relaying, "poison", now=0.0) == 2
@@ -53,14 +53,14 @@
 
 
 def test_other_hosts_hear_of_a_poisonous_request() -> None:
-    """Send a poisonous request to one entry host after the other.
+    """Guard against a poison request that crashes as many servers as there are hosts.
 
-    Symptom: as many servers die as there are entry hosts.  Sequence: its caller comes
-    to another host each time.  Cause: each host knew its own crashes only.
+    The caller sends the request to another entry host each time. If each host knows
+    only its own crashes, every host sends the request again.
     """
     first, second = Relaying(n_servers=5), Relaying(n_servers=5)
     assert _crash_all(first, "poison", now=0.0) == 2
-    _tell(first, second, now=0.2)
+    _announce(first, second, now=0.2)
     assert _crash_all(second, "poison", now=0.3) == 0
 
 
@@ -68,19 +68,19 @@
     first, second = Relaying(), Relaying()
     for host in (first, second):
         host.arrive(ONCE, content="poison", now=0.0)
-        # The same incarnation would be the same crash.
+        # Two crashes of the same incarnation would count as one.
         second.balancer.sent(host.sent[0].server_id)
         host.requests.attempt_failed(
             host.sent[0].id, "connection_failed", sent=True, now=0.1
         )
         assert host.out[-1][:3] == ("refuse", 1, 502)
-    _tell(first, second, now=0.2)
+    _announce(first, second, now=0.2)
     second.arrive(ONCE, number=2, content="poison", now=0.3)
     assert second.out[-1][:3] == ("refuse", 2, 503)
 
 
 @pytest.mark.parametrize("reason", ["silent", "answer_not_signed"])
-def test_what_is_no_crash_does_not_count(reason: str) -> None:
+def test_failures_other_than_crashes_do_not_count(reason: str) -> None:
     relaying = Relaying(n_servers=5)
     for number in range(3):
         relaying.arrive(SAFE, number=number, content="slow", now=0.0)
@@ -89,7 +89,7 @@
     assert relaying.crashes.told(now=0.2) == ()
 
 
-def test_an_unsent_request_crashes_nothing() -> None:
+def test_unsent_request_is_not_suspected() -> None:
     relaying = Relaying(n_servers=5)
     relaying.arrive(SAFE, content="unsent", now=0.0)
     relaying.requests.attempt_failed(
@@ -98,12 +98,11 @@
     assert relaying.crashes.told(now=0.2) == ()
 
 
-def test_who_was_near_two_crashes_and_completes_is_cleared() -> None:
-    """Let a bystander of a crash complete, and another crash follow.
+def test_completion_clears_a_bystander_of_a_crash() -> None:
+    """Guard against refusing a sound request for a quarter of an hour.
 
-    Symptom: a sound request is refused for a quarter of an hour.  Sequence: many
-    callers send the same request; two servers that run it die minutes apart, and it
-    completes between.  Cause: crashes counted, and completions didn't.
+    Many callers send the same request. Two servers that run it die minutes apart, and
+    the request completes in between. The completion must clear the first crash.
     """
     relaying = Relaying(n_servers=5)
     relaying.arrive(SAFE, content="popular", now=0.0)
@@ -119,7 +118,7 @@
     assert _crash_all(relaying, "popular", now=80.0) == 0
 
 
-def test_suspicions_are_told_for_a_while_only() -> None:
+def test_suspicions_are_announced_for_a_limited_time() -> None:
     relaying = Relaying()
     _crash_all(relaying, "poison", now=0.0)
     assert len(relaying.crashes.told(now=ANNOUNCED_FOR)) == 1
--- a/tests/test_coordination/test_relaying/test_demand.py
+++ b/tests/test_coordination/test_relaying/test_demand.py
@@ -1,4 +1,4 @@
-"""Test how the work that arrives for each model is measured."""
+"""Test the measurement of the demand that arrives for each model."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 from ..test_groups.test_group_forming import ENGINE
 
-#: Answers of a mix of two kinds of requests, of 29 events and of 4 on average, three
-#: a second at one host, as where thirty a second come to all.
+#: Two kinds of requests, whose answers have 29 and 4 events on average, arrive three
+#: times a second at one host, as in a fleet that gets thirty requests a second.
 RATE = 3.0
 MEANS = (29.0, 4.0)
 SECONDS_AN_EVENT = 0.05
 
 
 def _measured(*, until: float, seed: int) -> float:
-    """Return the work that is measured of that mix, over what arrives."""
+    """Return the measured demand of that mix as a ratio of the true demand."""
     draws = random.Random(seed)
     meter = DemandMeter()
     ends: list[tuple[float, int]] = []
@@ -41,18 +41,18 @@
 
 
 @pytest.mark.parametrize("until", [2.0, 4.0, 8.0, 16.0])
-def test_demand_is_true_within_seconds(until: float) -> None:
-    """Show that planners see what comes before groups are missed.
+def test_demand_is_accurate_within_seconds(until: float) -> None:
+    """Guard against demand that planners see too late.
 
-    Symptom: a model gets its next groups twenty seconds after its callers have come.
-    Sequence: traffic starts, or a host starts anew, and short answers end first.
-    Cause: the average began at nothing, and the length of answers at the first one's.
+    Traffic starts, or a host restarts, and short answers end first. An average that
+    began at zero, with the length of the first answers, would be too low, and a model
+    would get its next groups twenty seconds after its callers arrived.
     """
     found = [_measured(until=until, seed=seed) for seed in range(200)]
     assert 0.8 < sum(found) / len(found) < 1.25
 
 
-def test_demand_fades_when_nobody_comes() -> None:
+def test_demand_decays_without_requests() -> None:
     meter = DemandMeter()
     for tick in range(100):
         meter.arrived("large", 0.1, now=tick * 0.1)
@@ -60,13 +60,13 @@
     assert meter.by_model(now=30.0)["large"] < 0.01
 
 
-def test_one_request_is_no_rush() -> None:
+def test_single_request_is_not_a_burst() -> None:
     meter = DemandMeter()
     meter.arrived("large", 0.2, now=5.0)
     assert meter.by_model(now=5.0)["large"] < 0.25
 
 
-def test_answers_as_long_as_usual_until_some_have_ended() -> None:
+def test_usual_answer_length_applies_until_some_answers_have_ended() -> None:
     meter = DemandMeter()
     assert meter.answer_length("large", ENGINE) == ENGINE.usual_answer
     meter.served("large", 1)
--- a/tests/test_coordination/test_relaying/test_levelling.py
+++ b/tests/test_coordination/test_relaying/test_levelling.py
@@ -1,4 +1,4 @@
-"""Test how requests are spread by loads that were told a while ago."""
+"""Test how requests are spread by loads that are no longer current."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from ryelever.coordination.relaying.levelling import (
     ServerLoad,
     UnreportedRequests,
-    spread,
+    spread_weights,
 )
 
 from ..test_groups.group_fakes import server
 
-#: Part of the requests that may meet a full group while others have places.
+#: Share of the requests that may meet a full group while other groups have free slots.
 FULL_GROUPS = 0.02
 
 
@@ -21,7 +21,7 @@
     return [
         ServerLoad(
             server=server(f"s{index}"),
-            is_near=index < len(loads),
+            is_local_zone=index < len(loads),
             in_flight=round(load),
             load=load,
         )
@@ -29,53 +29,56 @@
     ]
 
 
-def test_with_nothing_unheard_only_the_least_loaded_is_drawn() -> None:
-    weights = spread(_loads(3.0, 1.0, 2.0), near=0.0, far=0.0, distance=1.5)
+def test_only_the_least_loaded_server_is_drawn_if_all_requests_are_reported() -> None:
+    weights = spread_weights(_loads(3.0, 1.0, 2.0), near=0.0, far=0.0, distance=1.5)
     assert [weight > 0 for weight in weights] == [False, True, False]
 
 
-def test_what_was_sent_unheard_levels_out_the_loads() -> None:
-    weights = spread(_loads(3.0, 1.0, 9.0), near=4.0, far=0.0, distance=1.5)
+def test_unreported_requests_level_the_loads() -> None:
+    weights = spread_weights(_loads(3.0, 1.0, 9.0), near=4.0, far=0.0, distance=1.5)
     assert weights == pytest.approx([1.0, 3.0, 0.0])
 
 
-def test_far_servers_get_what_their_own_hosts_send_first() -> None:
-    """Show that zones that are alike keep their requests.
+def test_unreported_requests_of_other_zones_fill_their_own_servers() -> None:
+    """Guard against needless traffic between equally loaded zones.
 
-    Symptom: more than half of all requests cross zones though each has places.
-    Sequence: hosts hear late of each other and reckon with what is sent meanwhile;
-    all of it was taken to go to near servers, so that far ones looked idle.
-    Cause: hosts of other zones send there meanwhile as well.
+    Hosts estimate the requests that other hosts have not reported yet. If all of these
+    counted for the servers of the local zone, servers of other zones would look idle,
+    and more than half of all requests would cross zones although each zone has free
+    slots. Hosts of other zones send to their own servers meanwhile as well.
     """
-    weights = spread(_loads(5.0, 5.0, far=(5.0, 5.0)), near=4.0, far=4.0, distance=1.5)
+    weights = spread_weights(
+        _loads(5.0, 5.0, far=(5.0, 5.0)), near=4.0, far=4.0, distance=1.5
+    )
     assert weights == pytest.approx([2.0, 2.0, 0.0, 0.0])
 
 
-def test_a_zone_without_room_sends_to_others() -> None:
-    weights = spread(_loads(12.0, far=(2.0, 2.0)), near=4.0, far=1.0, distance=1.5)
+def test_full_zone_sends_to_other_zones() -> None:
+    weights = spread_weights(
+        _loads(12.0, far=(2.0, 2.0)), near=4.0, far=1.0, distance=1.5
+    )
     assert weights[0] == 0.0
     assert min(weights[1:]) > 0.0
 
 
-def test_as_many_come_unheard_as_are_under_way_for_that_long() -> None:
-    unheard = UnreportedRequests()
-    unheard.hear(interval=0.4, n_near=4, n_hosts=10)
+def test_unreported_requests_follow_from_the_mean_duration() -> None:
+    unreported = UnreportedRequests()
+    unreported.set_interval(interval=0.4, n_near=4, n_hosts=10)
     for _ in range(200):
-        unheard.took(("engines", "m"), 0.8)
-    near, far = unheard.expected(("engines", "m"), n_in_flight=100)
+        unreported.record_duration(("engines", "m"), 0.8)
+    near, far = unreported.expected(("engines", "m"), n_in_flight=100)
     assert (near, far) == pytest.approx((20.0, 25.0))
-    assert unheard.times_by_work() == pytest.approx({"engines m": 0.8})
+    assert unreported.mean_durations() == pytest.approx({"engines m": 0.8})
 
 
 @pytest.mark.parametrize("name", FLEETS)
 def test_no_group_is_full_while_others_have_places(name: str) -> None:
-    """Play many hosts that hear of each other's requests after some tenths.
+    """Guard against full groups while others have free slots, with late heartbeats.
 
-    Symptom: of groups that are half full on average, every fifth request meets one
-    without a place, and is late.  Sequence: words come every 0.4 s, within which the
-    hosts of a zone send a third as many requests as are under way; all go to the group
-    that looked least loaded in the last words.  Cause: no host reckons with what the
-    others send before they are heard again.
+    Heartbeats arrive every 0.4 s, in which time the hosts of a zone send a third as
+    many requests as are in flight. If no host estimates what the others send before
+    their next heartbeats, all send to the group that looked least loaded: with groups
+    that are half full on average, every fifth request meets a full group and is late.
     """
     size = FLEETS[name]
     found, n_refused, _ = play(size, seed=1)
--- a/tests/test_coordination/test_relaying/test_relay_requests.py
+++ b/tests/test_coordination/test_relaying/test_relay_requests.py
@@ -1,4 +1,4 @@
-"""Test what becomes of relayed requests when backend servers fail."""
+"""Test the outcomes of relayed requests when backend servers fail."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 import pytest
 
 from ryelever.coordination.relaying import NamedLimit
-from ryelever.coordination.relaying.stall_watch import SILENCE
-from ryelever.coordination.relaying.unrouted import FIRST_CONFIGURATION
-from ryelever.coordination.relaying.waiting import LONGEST_WAIT
+from ryelever.coordination.relaying.stall_watch import STREAM_SILENCE
+from ryelever.coordination.relaying.unrouted import FIRST_CONFIGURATION_WAIT
+from ryelever.coordination.relaying.waiting import MAX_WAIT
 from ryelever.state.routes import RouteKind
 
 from .relay_fakes import Relaying, head, table
 
 SAFE, ONCE, STREAM = RouteKind.IDEMPOTENT, RouteKind.AT_MOST_ONCE, RouteKind.STREAM
 
-#: Times of ticks a fiftieth of a second apart.
+#: Seconds between two ticks.
 TICK = 0.05
 
 
@@ -30,7 +30,7 @@
         relaying.requests.tick(now=start + index * TICK)
 
 
-def test_an_answer_is_passed_on_whole(relaying: Relaying) -> None:
+def test_answer_is_forwarded_once_complete(relaying: Relaying) -> None:
     relaying.arrive(ONCE)
     attempt = relaying.sent[0]
     assert (attempt.account, attempt.fresh) == ("pawroute", True)
@@ -51,7 +51,7 @@
         pytest.param("key", "../nowhere", 200, id="prefix-decides"),
     ],
 )
-def test_who_may_call(
+def test_request_needs_a_known_key(
     relaying: Relaying, key: str | None, path: str, status: int
 ) -> None:
     relaying.arrive(SAFE, key=key, path=path)
@@ -62,27 +62,26 @@
         assert relaying.sent == []
 
 
-def test_without_a_configuration_callers_come_back_later() -> None:
+def test_requests_are_refused_if_no_configuration_arrives() -> None:
     relaying = Relaying(configured=False)
     relaying.arrive(SAFE)
-    relaying.requests.tick(now=0.9 * FIRST_CONFIGURATION)
+    relaying.requests.tick(now=0.9 * FIRST_CONFIGURATION_WAIT)
     assert relaying.out == []
-    relaying.requests.tick(now=FIRST_CONFIGURATION + TICK)
+    relaying.requests.tick(now=FIRST_CONFIGURATION_WAIT + TICK)
     [(_, _, status, retry_after)] = relaying.out
     assert status == 503
     assert retry_after > 0
-    # Nothing shows when there will be one, so nobody waits any more.
-    relaying.arrive(SAFE, number=2, now=FIRST_CONFIGURATION + 2 * TICK)
+    # It is unknown when a configuration will arrive, so requests no longer wait.
+    relaying.arrive(SAFE, number=2, now=FIRST_CONFIGURATION_WAIT + 2 * TICK)
     assert relaying.out[1][:3] == ("refuse", 2, 503)
 
 
 def test_requests_wait_for_the_first_configuration() -> None:
-    """Show that a host which has just started refuses nobody that it can serve.
+    """Guard against refusing requests that a host can serve a moment after its start.
 
-    Symptom: forty requests are refused in the second after all hosts were restarted.
-    Sequence: a host listens, callers come at once, and its first read of the store is
-    answered a tenth of a second later.
-    Cause: without a configuration each request was refused as it came.
+    A host listens and callers send requests at once, but the first read of the store is
+    answered a tenth of a second later. If each request were refused until then, a
+    restart of all hosts would refuse forty requests within a second.
     """
     relaying = Relaying(configured=False)
     relaying.arrive(SAFE, number=1)
@@ -93,7 +92,7 @@
     relaying.requests.dispatch_waiting(now=0.1)
     assert [attempt.request_number for attempt in relaying.sent] == [1]
     assert relaying.out == [("refuse", 2, 401, None)]
-    relaying.requests.tick(now=FIRST_CONFIGURATION + TICK)
+    relaying.requests.tick(now=FIRST_CONFIGURATION_WAIT + TICK)
     assert len(relaying.out) == 1
 
 
@@ -109,11 +108,11 @@
     relaying.requests.answer_head(attempt_id, head(encoded=True), now=0.2)
 
 
-def _of_another(relaying: Relaying, attempt_id: str) -> None:
+def _answer_to_another(relaying: Relaying, attempt_id: str) -> None:
     relaying.requests.answer_head(attempt_id, head("r9"), now=0.2)
 
 
-def _without_promise(relaying: Relaying, attempt_id: str) -> None:
+def _without_not_run_promise(relaying: Relaying, attempt_id: str) -> None:
     relaying.requests.answer_head(attempt_id, head(status=503), now=0.2)
     relaying.requests.answer_end(attempt_id, cut=False, now=0.2)
 
@@ -122,8 +121,8 @@
     pytest.param(_reset, id="reset"),
     pytest.param(_unsigned, id="not-signed"),
     pytest.param(_encoded, id="encoded-on-the-way"),
-    pytest.param(_of_another, id="answer-to-another"),
-    pytest.param(_without_promise, id="503-without-promise"),
+    pytest.param(_answer_to_another, id="answer-to-another"),
+    pytest.param(_without_not_run_promise, id="503-without-promise"),
 ]
 
 
@@ -131,11 +130,11 @@
 def test_what_may_have_run_is_not_sent_again(
     relaying: Relaying, fail: Callable[[Relaying, str], None]
 ) -> None:
-    """Show that a booking runs once, and that nobody hears it has not run.
+    """Guard against running a booking twice, or reporting it as not run.
 
-    Symptom: a booking is charged twice.
-    Sequence: the backend server runs it, and its answer is lost or spoiled.
-    Cause: a failure after the request has left says nothing about whether it ran.
+    The backend server runs the booking, and its answer is lost or damaged. A failure
+    after the request was sent doesn't show whether it ran; retrying it would charge the
+    booking twice.
     """
     relaying.arrive(ONCE)
     fail(relaying, relaying.sent[0].id)
@@ -144,7 +143,7 @@
 
 
 @pytest.mark.parametrize("fail", AMBIGUOUS)
-def test_what_may_be_repeated_goes_to_another_server(
+def test_repeatable_request_is_retried_on_another_server(
     relaying: Relaying, fail: Callable[[Relaying, str], None]
 ) -> None:
     relaying.arrive(SAFE)
@@ -166,7 +165,7 @@
     assert retry_after > 0
 
 
-def test_what_never_left_is_sent_elsewhere_and_counts_as_no_attempt(
+def test_unsent_request_is_retried_without_counting_an_attempt(
     relaying: Relaying,
 ) -> None:
     relaying.arrive(ONCE)
@@ -177,7 +176,7 @@
     assert len({attempt.server_id for attempt in relaying.sent}) == 3
 
 
-def test_a_servers_own_failure_is_passed_on_when_nothing_else_is_left(
+def test_server_error_is_forwarded_when_attempts_are_exhausted(
     relaying: Relaying,
 ) -> None:
     relaying.arrive(SAFE)
@@ -190,11 +189,10 @@
 
 
 def test_repeats_stop_at_their_budget() -> None:
-    """Show that failing servers don't multiply the load that made them fail.
+    """Guard against retries that multiply the load on failing servers.
 
-    Symptom: arrivals beyond the first exceed a share of the requests.
-    Sequence: every backend server fails for a while.
-    Cause: each request is sent again without regard for the others.
+    Every backend server fails for a while. If each request were retried without regard
+    to the others, the retries would exceed the allowed share of the requests.
     """
     relaying = Relaying(n_servers=40, slots=50, slack=10.0)
     for number in range(1, 101):
@@ -209,11 +207,11 @@
 
 
 def test_a_stream_goes_on_elsewhere_after_the_last_event(relaying: Relaying) -> None:
-    """Show that no event is lost or comes twice when a stream changes servers.
+    """Guard against lost or repeated events when a stream changes servers.
 
-    Symptom: a piece of an answer is missing, or comes twice.
-    Sequence: a group's member dies in the middle of a stream, also of an event.
-    Cause: the second server must go on after the last event that was passed on.
+    A member of the group dies in the middle of a stream, or of an event. The second
+    server must resume after the last event that was forwarded; otherwise a piece of the
+    answer is missing or comes twice.
     """
     relaying.arrive(STREAM)
     first = relaying.sent[0]
@@ -231,7 +229,7 @@
     assert relaying.out[-1] == ("finish", 1)
 
 
-def test_a_stream_that_cannot_be_resumed_is_broken_off() -> None:
+def test_stream_that_cannot_be_resumed_is_aborted() -> None:
     relaying = Relaying(resumable=False)
     relaying.arrive(STREAM)
     first = relaying.sent[0]
@@ -242,7 +240,7 @@
     assert relaying.out[-1] == ("abort", 1)
 
 
-def test_a_stream_without_events_is_not_complete(relaying: Relaying) -> None:
+def test_stream_without_events_is_retried(relaying: Relaying) -> None:
     relaying.arrive(STREAM)
     first = relaying.sent[0]
     relaying.requests.answer_head(first.id, head(), now=0.1)
@@ -266,38 +264,38 @@
     assert relaying.delivered() == b"id: 1\n\n"
 
 
-def test_a_caller_resumes_where_it_says(relaying: Relaying) -> None:
+def test_caller_resumes_a_stream_after_its_last_event(relaying: Relaying) -> None:
     relaying.arrive(STREAM, last_event_id="7")
     assert relaying.sent[0].last_event_id == "7"
 
 
-def test_streams_leave_a_group_that_stands_still(relaying: Relaying) -> None:
-    """Show that streams go on elsewhere while their group stands still.
+def test_streams_move_away_from_a_stalled_group(relaying: Relaying) -> None:
+    """Guard against streams that stay at a stalled group.
 
-    Symptom: callers leave after two seconds without an event.
-    Sequence: a member is lost; the head goes on accepting, and nothing moves.
-    Cause: the connection to the head is sound, and fails only seconds later.
+    A member is lost, but the head goes on accepting requests without making progress.
+    The connection to the head is sound and fails only seconds later, while callers
+    leave after two seconds without an event.
     """
     relaying.arrive(STREAM)
     first = relaying.sent[0]
     relaying.requests.answer_head(first.id, head(), now=0.1)
     relaying.events(first, 1, now=0.2)
-    _tick_until(relaying, 0.2, 0.2 + SILENCE)
+    _tick_until(relaying, 0.2, 0.2 + STREAM_SILENCE)
     assert len(relaying.sent) == 1
-    _tick_until(relaying, 0.2 + SILENCE, 0.4 + SILENCE)
+    _tick_until(relaying, 0.2 + STREAM_SILENCE, 0.4 + STREAM_SILENCE)
     assert relaying.cancelled == [first.id]
     assert relaying.sent[1].last_event_id == "1"
-    # What comes next goes elsewhere too.
+    # New requests go to other groups too.
     relaying.arrive(STREAM, number=2, now=0.7)
     assert relaying.sent[2].server_id != first.server_id
 
 
-def test_a_host_that_was_frozen_takes_no_group_for_still(relaying: Relaying) -> None:
-    """Show that the events that wait unread are read first.
+def test_frozen_host_reports_no_stalled_groups(relaying: Relaying) -> None:
+    """Guard against taking a freeze of the host for stalled groups.
 
-    Symptom: all streams of a host move at once, and use the repeats of all up.
-    Sequence: the host freezes for two seconds and wakes.
-    Cause: the silence was its own.
+    The host freezes for two seconds and resumes with events still unread. If it took
+    its own silence for that of the groups, all its streams would move at once and use
+    up the retry budget of all hosts.
     """
     relaying.arrive(STREAM)
     first = relaying.sent[0]
@@ -308,37 +306,37 @@
     assert len(relaying.sent) == 1
 
 
-# Waiting, giving up, leaving
+# Waiting, timeouts and disconnecting callers
 
 
-def test_requests_wait_for_a_place_and_then_for_none(relaying: Relaying) -> None:
-    n_places = 3 * (relaying.slots + 2)
-    for number in range(1, n_places + 2):
+def test_waiting_request_is_sent_when_a_slot_becomes_free(relaying: Relaying) -> None:
+    n_slots = 3 * (relaying.slots + 2)
+    for number in range(1, n_slots + 2):
         relaying.arrive(STREAM, number=number)
-    assert len(relaying.sent) == n_places
+    assert len(relaying.sent) == n_slots
     first = relaying.sent[0]
     relaying.requests.answer_head(first.id, head(), now=0.1)
     relaying.events(first, 1, now=0.1)
     relaying.requests.answer_end(first.id, cut=False, now=0.1)
     relaying.requests.tick(now=0.15)
-    assert len(relaying.sent) == n_places + 1
+    assert len(relaying.sent) == n_slots + 1
 
 
 def test_who_waits_too_long_hears_that_it_was_not_run(relaying: Relaying) -> None:
-    n_places = 3 * (relaying.slots + 2)
-    for number in range(1, n_places + 2):
-        relaying.arrive(STREAM, number=number, patience=60.0)
-    relaying.requests.tick(now=LONGEST_WAIT - 0.01)
+    n_slots = 3 * (relaying.slots + 2)
+    for number in range(1, n_slots + 2):
+        relaying.arrive(STREAM, number=number, time_limit=60.0)
+    relaying.requests.tick(now=MAX_WAIT - 0.01)
     assert relaying.out == []
-    relaying.requests.tick(now=LONGEST_WAIT)
+    relaying.requests.tick(now=MAX_WAIT)
     [(kind, number, status, retry_after)] = relaying.out
-    assert (kind, number, status) == ("refuse", n_places + 1, 503)
+    assert (kind, number, status) == ("refuse", n_slots + 1, 503)
     assert retry_after > 0
 
 
-def test_requests_that_can_still_be_in_time_come_first(relaying: Relaying) -> None:
-    n_places = 3 * (relaying.slots + 2)
-    for number in range(1, n_places + 1):
+def test_requests_that_can_be_on_time_are_sent_first(relaying: Relaying) -> None:
+    n_slots = 3 * (relaying.slots + 2)
+    for number in range(1, n_slots + 1):
         relaying.arrive(STREAM, number=number)
     relaying.arrive(STREAM, number=100, now=0.0)
     relaying.arrive(STREAM, number=101, now=0.4)
@@ -355,17 +353,17 @@
         pytest.param(STREAM, 504, id="stream"),
     ],
 )
-def test_what_was_sent_and_not_answered_in_time_ends_without_a_promise(
+def test_unanswered_request_times_out_without_not_run_promise(
     relaying: Relaying, kind: RouteKind, status: int
 ) -> None:
-    relaying.arrive(kind, patience=1.0)
+    relaying.arrive(kind, time_limit=1.0)
     relaying.requests.tick(now=0.95)
     assert relaying.out == [("refuse", 1, status, None)]
     assert relaying.cancelled == [relaying.sent[0].id]
 
 
-def test_the_routes_timeout_ends_a_stream(relaying: Relaying) -> None:
-    relaying.arrive(STREAM, patience=60.0)
+def test_route_timeout_aborts_a_stream(relaying: Relaying) -> None:
+    relaying.arrive(STREAM, time_limit=60.0)
     first = relaying.sent[0]
     relaying.requests.answer_head(first.id, head(), now=0.1)
     relaying.events(first, 1, now=0.2)
@@ -379,23 +377,25 @@
     assert relaying.cancelled == [relaying.sent[0].id]
     assert relaying.requests.requests_by_number == {}
     assert relaying.balancer.record(relaying.sent[0].server_id).in_flight == 0
-    # What the server still sends reaches nobody.
+    # What the server still sends is dropped.
     relaying.requests.answer_head(relaying.sent[0].id, head(), now=0.1)
     relaying.events(relaying.sent[0], 1, now=0.1)
     assert relaying.out == []
 
 
-def test_a_caller_that_leaves_while_it_waits_is_never_sent(relaying: Relaying) -> None:
-    n_places = 3 * (relaying.slots + 2)
-    for number in range(1, n_places + 2):
+def test_waiting_request_is_dropped_when_its_caller_disconnects(
+    relaying: Relaying,
+) -> None:
+    n_slots = 3 * (relaying.slots + 2)
+    for number in range(1, n_slots + 2):
         relaying.arrive(STREAM, number=number)
-    relaying.requests.caller_disconnected(n_places + 1)
+    relaying.requests.caller_disconnected(n_slots + 1)
     relaying.requests.caller_disconnected(1)
     relaying.requests.tick(now=0.1)
-    assert len(relaying.sent) == n_places
+    assert len(relaying.sent) == n_slots
 
 
-def test_what_is_heard_of_a_rate_limit_is_told() -> None:
+def test_rate_limit_changes_are_logged() -> None:
     relaying = Relaying(n_servers=1)
     named = [None, NamedLimit(text="1.5", rate=1.5), NamedLimit(text="1.5", rate=1.5)]
     named += [NamedLimit(text="?", rate=None), None]
@@ -408,12 +408,12 @@
         attempt_id = relaying.sent[-1].id
         relaying.requests.answer_head(attempt_id, answer, now=number + 0.1)
         relaying.requests.answer_end(attempt_id, cut=False, now=number + 0.1)
-    told = [
+    logged = [
         (event, fields.get("rate"), fields["request"])
         for event, fields in relaying.lines
         if "limit" in event
     ]
-    assert told == [
+    assert logged == [
         ("server_limited", 1.5, "r2"),
         ("limit_unreadable", None, "r4"),
         ("server_limited", -1, "r5"),
--- a/tests/test_coordination/test_relaying/test_server_rate_limits.py
+++ b/tests/test_coordination/test_relaying/test_server_rate_limits.py
@@ -1,4 +1,4 @@
-"""Test what a host knows of backend servers' rate limits, and its part of them."""
+"""Test the known rate limits of backend servers and a host's share of them."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from ryelever.coordination.host_heartbeats import HostHeartbeat
 from ryelever.coordination.relaying import NamedLimit
 from ryelever.coordination.relaying.limit_shares import (
+    RequestingHosts,
     TokenBucket,
-    WantedBy,
     share_of,
 )
 from ryelever.coordination.relaying.rate_limits import (
     COLD_SLACK,
-    ENDED_TOLD_FOR,
-    KEPT_WITHOUT_ENTRY,
+    ENDED_ANNOUNCED_FOR,
+    RETENTION_WITHOUT_ENTRY,
     ServerRateLimits,
 )
 from ryelever.state.directory import Directory
@@ -44,7 +44,7 @@
     limits: ServerRateLimits, rate: float | None, *, now: float, sent_at: float = -1.0
 ) -> bool:
     sent_at = now - 0.1 if sent_at < 0 else sent_at
-    return limits.answered("i1", rate, sent_at=sent_at, now=now)
+    return limits.record_answer("i1", rate, sent_at=sent_at, now=now)
 
 
 def _share_out(limits: ServerRateLimits, *, now: float) -> None:
@@ -61,27 +61,33 @@
     )
 
 
-def _shares(rate: float, *, wanting: set[str]) -> dict[str, float]:
-    """Return the part of each host, as it divides by what it hears."""
+def _shares(rate: float, *, requesting: set[str]) -> dict[str, float]:
+    """Return each host's share, computed from the heartbeats that it receives."""
     shares = {}
     for zone, hosts in HOSTS_BY_ZONE.items():
         for host in hosts:
-            wanted_by = WantedBy(host=host, zone=zone)
-            wanted_by.add_own(is_wanted=host in wanting)
+            requesting_hosts = RequestingHosts(host=host, zone=zone)
+            requesting_hosts.add_local(has_demand=host in requesting)
             for other in hosts:
                 if other != host:
-                    wanted_by.add(_heartbeat(other, zone), is_wanted=other in wanting)
+                    requesting_hosts.add(
+                        _heartbeat(other, zone), has_demand=other in requesting
+                    )
             for far, far_hosts in HOSTS_BY_ZONE.items():
                 if far != zone:
-                    is_wanted = bool(wanting & set(far_hosts))
-                    wanted_by.add(_heartbeat(far_hosts[0], far), is_wanted=is_wanted)
-            shares[host] = share_of("i1", rate, home_zone="y", wanted_by=wanted_by)
+                    has_demand = bool(requesting & set(far_hosts))
+                    requesting_hosts.add(
+                        _heartbeat(far_hosts[0], far), has_demand=has_demand
+                    )
+            shares[host] = share_of(
+                "i1", rate, home_zone="y", requesting_hosts=requesting_hosts
+            )
     return shares
 
 
 @pytest.mark.parametrize("rate", [0.25, 1.0, 1.4, 2.0, 3.5, 7.0, 50.0])
 @pytest.mark.parametrize(
-    "wanting",
+    "requesting",
     [
         pytest.param(set(), id="nobody"),
         pytest.param({"z2"}, id="one"),
@@ -91,21 +97,21 @@
         ),
     ],
 )
-def test_parts_sum_up_to_the_limit(rate: float, wanting: set[str]) -> None:
-    shares = _shares(rate, wanting=wanting)
+def test_shares_add_up_to_the_limit(rate: float, requesting: set[str]) -> None:
+    shares = _shares(rate, requesting=requesting)
     assert sum(shares.values()) == pytest.approx(rate)
-    holders = {host for host, share in shares.items() if share}
-    assert len(holders) <= max(1.0, rate / 2)
-    assert holders <= (wanting or set(shares))
+    sharing_hosts = {host for host, share in shares.items() if share}
+    assert len(sharing_hosts) <= max(1.0, rate / 2)
+    assert sharing_hosts <= (requesting or set(shares))
 
 
-def test_hosts_of_a_servers_own_zone_come_first() -> None:
-    everybody = {host for hosts in HOSTS_BY_ZONE.values() for host in hosts}
-    shares = _shares(1.0, wanting=everybody)
+def test_hosts_of_the_servers_zone_are_preferred() -> None:
+    all_hosts = {host for hosts in HOSTS_BY_ZONE.values() for host in hosts}
+    shares = _shares(1.0, requesting=all_hosts)
     assert {host[0] for host, share in shares.items() if share} == {"y"}
 
 
-def test_a_bucket_starts_empty_and_never_allows_more_than_its_rate() -> None:
+def test_bucket_starts_empty_and_never_exceeds_its_rate() -> None:
     bucket = TokenBucket()
     bucket.set_rate(2.0, now=10.0)
     assert not bucket.has_token(now=10.4)
@@ -121,8 +127,10 @@
     assert not bucket.has_token(now=21.0)
 
 
-def test_an_answer_that_was_overtaken_ends_no_limit(limits: ServerRateLimits) -> None:
-    """Guard against a limit that is lost to the answer of an older request."""
+def test_answer_to_an_older_request_does_not_end_a_limit(
+    limits: ServerRateLimits,
+) -> None:
+    """Guard against an answer to an older request that ends a limit."""
     assert _answered(limits, 1.0, now=5.0)
     assert not _answered(limits, None, sent_at=4.9, now=5.1)
     assert limits.rate("i1", now=10.0) == 1.0
@@ -130,10 +138,13 @@
     assert limits.rate("i1", now=10.0) is None
 
 
-def test_a_server_that_starts_again_under_its_id_has_no_limit(
+def test_restarted_server_has_no_limit(
     directory: Directory, limits: ServerRateLimits
 ) -> None:
-    """Guard against a limit of a former incarnation, own or told by another host."""
+    """Guard against keeping a limit of a server's former incarnation.
+
+    The limit was named in an answer to this host, or announced by another host.
+    """
     _answered(limits, 1.0, now=5.0)
     directory.put(replace(server("i1", zone="y"), started_at=2), now=6.0)
     assert limits.rate("i1", now=10.0) is None
@@ -144,8 +155,10 @@
     assert not limits.allows("i1", now=6.1)
 
 
-def test_only_what_own_answers_said_is_told(limits: ServerRateLimits) -> None:
-    """Guard against limits that seem newer each time a host passes them on."""
+def test_only_limits_from_received_answers_are_announced(
+    limits: ServerRateLimits,
+) -> None:
+    """Guard against limits whose age is reset when a host passes them on."""
     limits.heard([RateLimitRow(server_id="i1", rate=2.0, age=1.0)], now=5.0)
     assert limits.rate("i1", now=10.0) == 2.0
     assert limits.told(now=5.0) == ()
@@ -155,31 +168,33 @@
     assert (row.rate, row.age, row.started_at) == (3.0, 0.5, 1)
 
 
-def test_the_end_of_a_limit_is_told_for_a_while(limits: ServerRateLimits) -> None:
+def test_end_of_a_limit_is_announced_for_a_limited_time(
+    limits: ServerRateLimits,
+) -> None:
     _answered(limits, 3.0, now=6.0)
     _answered(limits, None, now=7.0)
     _share_out(limits, now=7.1)
     assert [row.rate for row in limits.told(now=7.1)] == [None]
     assert limits.allows("i1", now=7.1)
-    later = 7.1 + ENDED_TOLD_FOR
+    later = 7.1 + ENDED_ANNOUNCED_FOR
     _share_out(limits, now=later)
     assert limits.told(now=later) == ()
 
 
-def test_a_limit_outlives_an_entry_that_lapses(
+def test_limit_outlives_a_lapsed_entry(
     directory: Directory, limits: ServerRateLimits
 ) -> None:
-    """Guard against an outage of the store after which no limit is known."""
+    """Guard against losing all limits in an outage of the store."""
     _answered(limits, 1.0, now=6.0)
     directory.remove("i1", heard_at=6.0)
-    _share_out(limits, now=6.0 + KEPT_WITHOUT_ENTRY - 1.0)
+    _share_out(limits, now=6.0 + RETENTION_WITHOUT_ENTRY - 1.0)
     assert limits.rate("i1", now=10.0) == 1.0
-    _share_out(limits, now=6.0 + KEPT_WITHOUT_ENTRY + 1.0)
+    _share_out(limits, now=6.0 + RETENTION_WITHOUT_ENTRY + 1.0)
     assert limits.rate("i1", now=10.0) is None
 
 
-def test_a_limit_that_makes_no_sense_changes_nothing() -> None:
-    """Guard against an unreadable limit that is taken for none."""
+def test_unreadable_limit_changes_nothing() -> None:
+    """Guard against taking an unreadable limit for the end of a limit."""
     relaying = Relaying(n_servers=1)
     for number, named in enumerate([NamedLimit(text="0", rate=0.0), None], start=1):
         named = named or NamedLimit(text="few", rate=None)
@@ -189,8 +204,8 @@
     assert relaying.balancer.limits.rate("p0", now=10.0) == 0.0
 
 
-def test_a_wrong_servers_answer_says_nothing_of_a_limit() -> None:
-    """Guard against a limit of the server that has the address now."""
+def test_limit_of_a_wrong_server_is_ignored() -> None:
+    """Guard against recording the limit of the server that now has the address."""
     relaying = Relaying(n_servers=1)
     relaying.arrive(RouteKind.IDEMPOTENT)
     named = NamedLimit(text="0", rate=0.0)
@@ -199,10 +214,10 @@
     assert relaying.balancer.limits.rate("p0", now=10.0) is None
 
 
-def test_sendings_again_keep_to_the_limit() -> None:
-    """Guard against repeats that go to a limited server beside its allowance."""
+def test_retries_keep_to_the_limit() -> None:
+    """Guard against retries that exceed the allowance of a limited server."""
     relaying = Relaying(n_servers=2)
-    relaying.balancer.limits.answered("p1", 2.0, sent_at=0.0, now=0.0)
+    relaying.balancer.limits.record_answer("p1", 2.0, sent_at=0.0, now=0.0)
     relaying.arrive(RouteKind.IDEMPOTENT, now=0.1)
     assert [attempt.server_id for attempt in relaying.sent] == ["p0"]
     relaying.requests.attempt_failed(relaying.sent[0].id, "reset", sent=True, now=0.2)
@@ -213,15 +228,15 @@
 
 
 def _limited_relaying(rate: float) -> Relaying:
-    """Return a host whose only server for plain requests takes so many a second."""
+    """Return a host whose only plain server has the given rate limit."""
     relaying = Relaying(n_servers=1)
-    relaying.balancer.limits.answered("p0", rate, sent_at=0.0, now=0.0)
+    relaying.balancer.limits.record_answer("p0", rate, sent_at=0.0, now=0.0)
     relaying.balancer.limits.share_out(host="a", zone="z", heartbeats=[], now=0.0)
     return relaying
 
 
-def test_who_finds_no_place_within_a_limit_hears_at_once() -> None:
-    """Guard against callers that wait for a place that a rate limit can't give them."""
+def test_requests_beyond_the_limit_are_refused_at_once() -> None:
+    """Guard against waiting for a slot that a rate limit can't provide in time."""
     relaying = _limited_relaying(3.0)
     for number in range(1, 6):
         relaying.arrive(RouteKind.IDEMPOTENT, number=number, now=0.0)
@@ -236,40 +251,40 @@
     assert [attempt.request_number for attempt in relaying.sent] == [1, 2]
 
 
-def _has_part(relaying: Relaying, host: str, others: list[HostHeartbeat]) -> bool:
-    """Divide the limit as a host of that name, and tell whether it has a part."""
+def _has_share(relaying: Relaying, host: str, others: list[HostHeartbeat]) -> bool:
+    """Divide the limit as a host of that name; return whether it has a share."""
     limits = relaying.balancer.limits
     limits.share_out(host=host, zone="z", heartbeats=others, now=0.0)
     return limits.allowance("p0", seconds=1.0, now=0.0).rate > 0
 
 
-def test_who_may_send_nothing_to_a_limited_server_refuses_at_once() -> None:
-    """Guard against waiting at a host that has no part of the only limit."""
+def test_host_without_a_share_of_the_limit_refuses_at_once() -> None:
+    """Guard against waiting at a host that has no share of the only limit."""
     relaying = Relaying(n_servers=1)
-    relaying.balancer.limits.answered("p0", 2.0, sent_at=0.0, now=0.0)
+    relaying.balancer.limits.record_answer("p0", 2.0, sent_at=0.0, now=0.0)
     others = [replace(_heartbeat(name, "z"), wanted_servers=("p0",)) for name in "bcd"]
-    # As the first that has none among these.
-    assert next(name for name in "efghi" if not _has_part(relaying, name, others))
+    # Take the role of the first of these hosts that has no share.
+    assert next(name for name in "efghi" if not _has_share(relaying, name, others))
     relaying.arrive(RouteKind.AT_MOST_ONCE, now=0.0)
     [(kind, _, status, retry_after)] = relaying.out
     assert (kind, status) == ("refuse", 503)
     assert 0 < retry_after < 1
 
 
-def test_one_server_without_a_limit_is_waited_for() -> None:
-    """Guard against refusals while another server may have a place in a moment."""
+def test_requests_wait_if_one_server_has_no_limit() -> None:
+    """Guard against refusals while another server may soon have a free slot."""
     relaying = Relaying(n_servers=2, slots=1)
-    relaying.balancer.limits.answered("p0", 0.0, sent_at=0.0, now=0.0)
+    relaying.balancer.limits.record_answer("p0", 0.0, sent_at=0.0, now=0.0)
     for number in range(1, 6):
         relaying.arrive(RouteKind.IDEMPOTENT, number=number, now=0.0)
     assert {attempt.server_id for attempt in relaying.sent} == {"p1"}
     assert relaying.out == []
 
 
-def test_a_cold_server_is_limited_from_the_first_moment(
+def test_cold_server_is_limited_at_once(
     directory: Directory, limits: ServerRateLimits
 ) -> None:
-    """Guard against requests to a server that has come back cold a moment ago."""
+    """Guard against requests to a server that has just returned cold."""
     directory.put(replace(server("i1", zone="y"), cold_for=3.0), now=5.0)
     assert not limits.allows("i1", now=5.0)
     _share_out(limits, now=5.1)
@@ -279,7 +294,7 @@
     assert limits.rate("i1", now=6.0) is None
 
 
-def test_the_lower_of_two_limits_holds(
+def test_lower_of_two_limits_applies(
     directory: Directory, limits: ServerRateLimits
 ) -> None:
     _answered(limits, 2.0, now=5.0)
@@ -287,5 +302,5 @@
     assert limits.rate("i1", now=5.0) == 2.0
     _answered(limits, 40.0, now=6.0)
     assert limits.rate("i1", now=6.0) == 17.0
-    # Its entry may be late.
+    # The server's entry may be read late.
     assert limits.rate("i1", now=8.0 + 2 * COLD_SLACK) == 40.0
