--- a/ryelever/coordination/limits/__init__.py
+++ b/ryelever/coordination/limits/__init__.py
@@ -1,6 +1,6 @@
-"""Bound what each client account asks for, over all entry hosts.
+"""Enforce each client account's limits over all entry hosts.
 
-Each host grants its own part and borrows from what others don't use.
+Each host grants its own share and borrows from shares that other hosts don't use.
 """
 
 from .limits import AccountLimits
--- a/ryelever/coordination/limits/limits.py
+++ b/ryelever/coordination/limits/limits.py
@@ -1,16 +1,13 @@
 """Split each client account's limits over entry hosts by observed demand.
 
-Every entry host tells its own demand and computes its own part; nobody assigns
-parts.  Two rules bound the sum of all parts:
-
-* a host's own demand counts only after ``SETTLE`` seconds, when its peers have had
-  time to hear of it;
-* a demand that is told falls by no more than ``exp(-t / FALL)``.
-
-Hence a peer's value that is at most ``SETTLE`` old is at least
-``exp(-SETTLE / FALL)`` of what that peer counts for itself, and the parts sum to
-at most ``exp(SETTLE / FALL)`` times the limit, whatever the demand does.
-docs/ADMISSION.md has the proof and what lost rows and partitions add.
+Every entry host announces its demand and computes its own share of each limit; no host
+assigns shares. Two rules bound the sum of all shares: a host counts its own demand only
+after ``SETTLE`` seconds, when its peers have had time to learn of it, and an announced
+demand falls by no more than ``exp(-t / FALL)``. A peer's value that is at most
+``SETTLE`` old is therefore at least ``exp(-SETTLE / FALL)`` of what that peer counts
+for itself, and the shares add up to at most ``exp(SETTLE / FALL)`` times the limit,
+however demand changes. docs/ADMISSION.md has the proof, and the effect of lost rows and
+partitions.
 """
 
 from __future__ import annotations
@@ -20,7 +17,7 @@
 from typing import TYPE_CHECKING
 
 from ...state.observations import DemandRow
-from .demand import SAMPLE, Demand, OwnDemand
+from .demand import SAMPLE, Demand, LocalDemand
 from .peers import HEARTBEAT, PeerDemands
 
 if TYPE_CHECKING:
@@ -30,102 +27,113 @@
 
 __all__ = ["AccountLimits"]
 
-#: Part of each limit that is spread evenly, so that new demand finds something.
-EVEN = 0.05
+#: Part of each limit that is divided evenly, so that new demand at a host finds a
+#: share.
+EVEN_SHARE = 0.05
 
-#: Seconds without a row after which a majority takes over a peer's part.
+#: Seconds without a row after which a majority takes over a peer's share.
 FORGET_AFTER = 10.0
 
-#: Demand below this is told no more.
+#: Demand below this value is no longer announced.
 NEGLIGIBLE = 0.01
 
 
 @dataclass(slots=True, kw_only=True)
-class _View:
-    """Hold one account's demand here and at peers, for a short time."""
+class _AccountView:
+    """Cached demand of one account at this host, at live peers and at silent ones."""
 
     at: float
-    own: Demand
+    local: Demand
     live: Demand
     silent: Demand
 
     def demands(self) -> tuple[Demand, Demand, Demand]:
-        """Return the demand here, at peers that are heard, and at the others."""
-        return (self.own, self.live, self.silent)
+        """Return the demand at this host, at live peers and at silent peers."""
+        return (self.local, self.live, self.silent)
 
 
 @dataclass(slots=True, kw_only=True)
-class _Cut:
-    """Hold what was known when this host lost touch with most of its peers."""
+class _PartitionState:
+    """Demand as it was known when this host lost contact with most of its peers."""
 
     n_live: int
-    views_by_account: dict[str, _View]
+    views_by_account: dict[str, _AccountView]
 
 
 class AccountLimits:
-    """Compute this host's part of every limit; a source and sink of rows.
+    """Compute this host's share of every limit; a source and sink of rows.
 
     Parameters
     ----------
     n_hosts : callable
-        Return how many entry hosts the settings name, this one included.
+        Return how many entry hosts the settings name, including this one.
     refresh : float
-        Seconds for which sums over peers are kept.
+        Seconds for which sums over peers are cached.
+
+    Attributes
+    ----------
+    n_live : int
+        Hosts whose rows arrive, including this one.
+    cut_off : bool
+        True unless this host and its live peers are a majority of the known hosts.
     """
 
     def __init__(self, *, n_hosts: Callable[[], int], refresh: float = SAMPLE) -> None:
         self._n_hosts = n_hosts
         self._refresh = refresh
-        self._own_by_account: dict[str, OwnDemand] = {}
+        self._local_by_account: dict[str, LocalDemand] = {}
         self._peers = PeerDemands()
-        self._views_by_account: dict[str, _View] = {}
-        self._cut: _Cut | None = None
-        self._judged_at = float("-inf")
+        self._views_by_account: dict[str, _AccountView] = {}
+        self._partition: _PartitionState | None = None
+        self._liveness_checked_at = float("-inf")
         self.n_live = 1
-        # A host that starts knows nobody: until it hears most of its peers, it
-        # takes an even part and nothing more.
+        # A host that starts has received no rows: until it receives rows from most of
+        # its peers, it takes an even share only.
         self.cut_off = True
 
-    # Own demand
+    # Local demand
 
     def arrived(self, client_account: str, *, now: float) -> None:
         """Count one arrival, admitted or not."""
-        self._own(client_account, now).arrive(now)
+        self._local_demand(client_account, now).arrive(now)
 
     def occupied(
         self, client_account: str, *, n_in_flight: int, n_waiting: int, now: float
     ) -> None:
-        """Take note of the account's requests here."""
-        own = self._own(client_account, now)
-        own.n_in_flight = n_in_flight
-        own.n_waiting = n_waiting
-        own.sample(now)
+        """Record the account's requests at this host."""
+        local = self._local_demand(client_account, now)
+        local.n_in_flight = n_in_flight
+        local.n_waiting = n_waiting
+        local.sample(now)
 
     def observations(self, *, now: float) -> list[Observation]:
-        """Return the own demand by account, and a row that changes each second.
+        """Return the local demand by account, and a row that changes each second.
 
-        ``n_waiting`` makes the row's two counts sum to the held demand, so that a
-        peer which misses the row of a peak still learns of it.
+        In the rows of accounts, ``n_waiting`` is raised so that the row's two counts
+        add up to the slowly falling demand: a peer that misses the row of a peak still
+        learns of the peak.
         """
         rows: list[Observation] = [
             DemandRow(
                 client_account=HEARTBEAT,
                 rate=float(int(now) % 3600),
                 n_in_flight=0,
-                n_waiting=sum(own.n_waiting for own in self._own_by_account.values()),
+                n_waiting=sum(
+                    local.n_waiting for local in self._local_by_account.values()
+                ),
             )
         ]
-        for name, own in list(self._own_by_account.items()):
-            own.sample(now)
-            if own.rate < NEGLIGIBLE and own.n_requests < NEGLIGIBLE:
-                del self._own_by_account[name]
-            held = math.ceil(own.n_requests - NEGLIGIBLE)
+        for name, local in list(self._local_by_account.items()):
+            local.sample(now)
+            if local.rate < NEGLIGIBLE and local.n_requests < NEGLIGIBLE:
+                del self._local_by_account[name]
+            n_announced = math.ceil(local.n_requests - NEGLIGIBLE)
             rows.append(
                 DemandRow(
                     client_account=name,
-                    rate=own.rate,
-                    n_in_flight=own.n_in_flight,
-                    n_waiting=max(own.n_waiting, held - own.n_in_flight),
+                    rate=local.rate,
+                    n_in_flight=local.n_in_flight,
+                    n_waiting=max(local.n_waiting, n_announced - local.n_in_flight),
                 )
             )
         return rows
@@ -135,125 +143,133 @@
     def observed(
         self, observation: Observation, *, peer: str, observed_at: float, now: float
     ) -> None:
-        """Take one row of a peer."""
+        """Record one row of a peer."""
         if isinstance(observation, DemandRow):
             self._peers.observe(
                 observation, peer=peer, observed_at=observed_at, now=now
             )
 
     def n_hosts_waiting(self, *, now: float) -> int:
-        """Return how many hosts, this one included, have requests that wait."""
-        self._judge(now)
+        """Return how many hosts, including this one, have requests that wait."""
+        self._update_liveness(now)
         return 1 + self._peers.n_live_waiting
 
-    # Parts
+    # Shares
 
     def rate(self, client_account: str, limit: float, *, now: float) -> float:
-        """Return the requests a second that this host may let in."""
-        self._look(client_account, now)
-        return self._part(limit, client_account, kind="rate")
+        """Return the requests a second that this host may admit."""
+        self._update_view(client_account, now)
+        return self._share(limit, client_account, kind="rate")
 
     def concurrency(self, client_account: str, limit: int, *, now: float) -> int:
         """Return the requests that this host may have in flight.
 
-        A part below one is rounded up while the peers together are seen below the
-        limit; otherwise an account with a limit smaller than the number of hosts
-        could enter at none of them.
+        A share below one is rounded up while the peers together are below the limit, as
+        far as this host knows. Otherwise an account whose limit is smaller than the
+        number of hosts would be admitted by none of them.
         """
-        self._look(client_account, now)
-        part = self._part(float(limit), client_account, kind="n_requests")
+        self._update_view(client_account, now)
+        part = self._share(float(limit), client_account, kind="n_requests")
         view = self._views_by_account[client_account]
-        others = view.live.n_requests + view.silent.n_requests
-        if part >= 1.0 or others >= limit:
+        peer_requests = view.live.n_requests + view.silent.n_requests
+        if part >= 1.0 or peer_requests >= limit:
             return int(part + 1e-9)
         return min(1, limit)
 
-    def _part(self, limit: float, client_account: str, *, kind: str) -> float:
+    def _share(self, limit: float, client_account: str, *, kind: str) -> float:
         view = self._views_by_account[client_account]
-        own, live, silent = (getattr(demand, kind) for demand in view.demands())
+        local, live, silent = (getattr(demand, kind) for demand in view.demands())
         if not self.cut_off:
-            total = own + live + silent
-            return _split(limit, own=own, total=total, n_hosts=self._n_known())
-        held = limit * self._side(limit, client_account, kind=kind)
-        return _split(held, own=own, total=own + live, n_hosts=self.n_live)
+            total = local + live + silent
+            return _allot(
+                limit, local=local, total=total, n_hosts=self._n_known_hosts()
+            )
+        held = limit * self._reachable_share(limit, client_account, kind=kind)
+        return _allot(held, local=local, total=local + live, n_hosts=self.n_live)
 
-    def _side(self, limit: float, client_account: str, *, kind: str) -> float:
-        """Return the part of a limit that the hosts in reach hold together.
+    def _reachable_share(
+        self, limit: float, client_account: str, *, kind: str
+    ) -> float:
+        """Return the ratio of a limit that the reachable hosts hold together.
 
-        Peers that are not heard may be serving.  What this side held when it was
-        cut off is all that it may share out, however its demand grows since.
+        Peers whose rows no longer arrive may still be serving. The hosts on this side
+        of a partition may therefore share out only what they held when they were cut
+        off, however much their demand grows afterwards.
         """
-        even = self.n_live / self._n_known()
-        cut = self._cut
-        if cut is None or not limit:
+        even = self.n_live / self._n_known_hosts()
+        partition = self._partition
+        if partition is None or not limit:
             return even
-        view = cut.views_by_account.get(client_account)
+        view = partition.views_by_account.get(client_account)
         if view is None:
             return even
-        own, live, silent = (getattr(demand, kind) for demand in view.demands())
-        held = _split(
+        local, live, silent = (getattr(demand, kind) for demand in view.demands())
+        held = _allot(
             limit,
-            own=own + live,
-            total=own + live + silent,
-            n_hosts=self._n_known() / cut.n_live,
+            local=local + live,
+            total=local + live + silent,
+            n_hosts=self._n_known_hosts() / partition.n_live,
         )
-        # Should this side fall apart further, each piece keeps its part of hosts.
-        return held / limit * min(1.0, self.n_live / cut.n_live)
+        # If this side splits further, each piece keeps a share in proportion to its
+        # hosts.
+        return held / limit * min(1.0, self.n_live / partition.n_live)
 
-    def _n_known(self) -> int:
+    def _n_known_hosts(self) -> int:
         return max(self._n_hosts(), 1 + len(self._peers))
 
-    def _judge(self, now: float) -> None:
-        """Judge which peers are heard, and whether this side is the smaller one."""
-        if now - self._judged_at < self._refresh:
+    def _update_liveness(self, now: float) -> None:
+        """Update which peers are live, and whether this host is cut off."""
+        if now - self._liveness_checked_at < self._refresh:
             return
-        self._judged_at = now
-        self._peers.judge(now=now)
+        self._liveness_checked_at = now
+        self._peers.update_liveness(now=now)
         self.n_live = 1 + self._peers.n_live
         was_cut_off = self.cut_off
-        self.cut_off = self._n_known() > 1 and 2 * self.n_live <= self._n_known()
+        self.cut_off = (
+            self._n_known_hosts() > 1 and 2 * self.n_live <= self._n_known_hosts()
+        )
         if self.cut_off:
             if not was_cut_off:
-                self._cut = self._remember(now)
+                self._partition = self._partition_state(now)
             return
-        self._cut = None
-        self._peers.forget(heard_before=now - FORGET_AFTER)
+        self._partition = None
+        self._peers.forget(seen_before=now - FORGET_AFTER)
 
-    def _remember(self, now: float) -> _Cut:
-        names = self._peers.accounts() | set(self._own_by_account)
-        views = {name: self._sums(name, now) for name in names}
-        return _Cut(n_live=self.n_live, views_by_account=views)
+    def _partition_state(self, now: float) -> _PartitionState:
+        names = self._peers.accounts() | set(self._local_by_account)
+        views = {name: self._new_view(name, now) for name in names}
+        return _PartitionState(n_live=self.n_live, views_by_account=views)
 
-    def _look(self, client_account: str, now: float) -> None:
+    def _update_view(self, client_account: str, now: float) -> None:
         known = self._views_by_account.get(client_account)
         if known is not None and 0 <= now - known.at < self._refresh:
             return
-        self._judge(now)
-        self._views_by_account[client_account] = self._sums(client_account, now)
+        self._update_liveness(now)
+        self._views_by_account[client_account] = self._new_view(client_account, now)
 
-    def _sums(self, client_account: str, now: float) -> _View:
-        own = self._own(client_account, now)
-        own.sample(now)
-        return _View(
+    def _new_view(self, client_account: str, now: float) -> _AccountView:
+        local = self._local_demand(client_account, now)
+        local.sample(now)
+        return _AccountView(
             at=now,
-            own=own.settled(now),
+            local=local.settled(now),
             live=self._peers.live(client_account),
             silent=self._peers.silent(client_account),
         )
 
-    def _own(self, client_account: str, now: float) -> OwnDemand:
-        own = self._own_by_account.get(client_account)
-        if own is None:
-            own = self._own_by_account[client_account] = OwnDemand(at=now)
-        return own
+    def _local_demand(self, client_account: str, now: float) -> LocalDemand:
+        local = self._local_by_account.get(client_account)
+        if local is None:
+            local = self._local_by_account[client_account] = LocalDemand(at=now)
+        return local
 
 
-def _scale(limit: float, total: float) -> float:
-    """Return the part of each demand that the limit can meet."""
-    return min(1.0, (1.0 - EVEN) * limit / total) if total > 0 else 1.0
+def _satisfiable_ratio(limit: float, total: float) -> float:
+    """Return the ratio of the demand that the limit can meet."""
+    return min(1.0, (1.0 - EVEN_SHARE) * limit / total) if total > 0 else 1.0
 
 
-def _split(limit: float, *, own: float, total: float, n_hosts: float) -> float:
-    """Return the own demand as far as it can be met, and an even part of the rest."""
-    rest = limit - min(total, (1.0 - EVEN) * limit)
-    return own * _scale(limit, total) + rest / n_hosts
+def _allot(limit: float, *, local: float, total: float, n_hosts: float) -> float:
+    """Return the local demand as far as it can be met, and an even part of the rest."""
+    rest = limit - min(total, (1.0 - EVEN_SHARE) * limit)
+    return local * _satisfiable_ratio(limit, total) + rest / n_hosts
--- a/ryelever/coordination/limits/peers.py
+++ b/ryelever/coordination/limits/peers.py
@@ -1,4 +1,4 @@
-"""Sum what the other entry hosts tell of each client account's demand."""
+"""Sum the demand of each client account that other entry hosts announce."""
 
 from __future__ import annotations
 
@@ -13,19 +13,20 @@
 
 __all__ = ["HEARTBEAT", "SILENT_AFTER", "PeerDemands"]
 
-#: Client account of the row that is sent when there is no demand at all.
+#: Client account of the row that is sent even if there is no demand.
 HEARTBEAT = ""
 
-#: Seconds without a row after which a peer counts as not heard.
+#: Seconds without a row after which a peer counts as silent.
 SILENT_AFTER = 3.0
 
-#: Steps to a request a second in which rates are summed.
-STEPS = 1_000_000
+#: Resolution of summed rates: rates are summed in integer steps of one millionth of a
+#: request a second.
+STEPS_PER_REQUEST = 1_000_000
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class _Row:
-    """Hold one told demand; ``rate`` counts steps."""
+    """One announced demand; ``rate`` counts steps of ``1 / STEPS_PER_REQUEST``."""
 
     rate: int
     n_requests: int
@@ -33,10 +34,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Sum:
-    """Hold the sum of the rows of one account over some peers.
+    """Sum of the rows of one account over some peers.
 
-    The counts are integers.  Floats that are added and taken away for days leave a
-    remainder, which would be seen as demand that no host tells and nobody can end.
+    The counts are integers: floats that are added and subtracted for days leave a
+    remainder, which would count as demand that no host announces and that never ends.
     """
 
     rate: int = 0
@@ -44,7 +45,7 @@
     n_rows: int = 0
 
     def add(self, row: _Row, sign: int) -> None:
-        """Add a row, or take it away."""
+        """Add a row, or subtract it if ``sign`` is -1."""
         self.rate += sign * row.rate
         self.n_requests += sign * row.n_requests
         self.n_rows += sign
@@ -52,16 +53,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Peer:
-    """Hold what one peer told."""
+    """The rows that one peer has announced."""
 
-    heard_at: float
+    last_seen_at: float
     is_live: bool
     n_waiting: int = 0
     rows_by_account: dict[str, _Row] = field(default_factory=dict)
 
 
 class PeerDemands:
-    """Keep the sums over peers up to date as rows come, so that asking is cheap."""
+    """Maintain sums over peers as rows arrive, so that queries are cheap."""
 
     def __init__(self) -> None:
         self._peers_by_name: dict[str, _Peer] = {}
@@ -71,95 +72,97 @@
         self.n_live_waiting = 0
 
     def __len__(self) -> int:
-        """Return the peers that are known, heard or not."""
+        """Return the number of known peers, live and silent."""
         return len(self._peers_by_name)
 
     def observe(
         self, row: DemandRow, *, peer: str, observed_at: float, now: float
     ) -> None:
-        """Take one row of a peer; one that is no number counts as none."""
+        """Record one row of a peer; ignore a row whose rate is not finite."""
         if not math.isfinite(row.rate):
             return
         known = self._peers_by_name.get(peer)
         if known is None:
             known = self._peers_by_name[peer] = _Peer(
-                heard_at=observed_at, is_live=False
+                last_seen_at=observed_at, is_live=False
             )
-        known.heard_at = max(known.heard_at, observed_at)
-        if not known.is_live and now - known.heard_at <= SILENT_AFTER:
-            self._move(known, is_live=True)
+        known.last_seen_at = max(known.last_seen_at, observed_at)
+        if not known.is_live and now - known.last_seen_at <= SILENT_AFTER:
+            self._set_live(known, is_live=True)
         if row.client_account == HEARTBEAT:
-            self._count(known, -1)
+            self._count_waiting(known, -1)
             known.n_waiting = row.n_waiting
-            self._count(known, 1)
+            self._count_waiting(known, 1)
             return
-        self._replace(known, row)
+        self._replace_row(known, row)
 
-    def judge(self, *, now: float) -> None:
-        """Find the peers that are no longer heard."""
+    def update_liveness(self, *, now: float) -> None:
+        """Mark the peers from which no rows arrive any more as silent."""
         for peer in self._peers_by_name.values():
-            if peer.is_live and now - peer.heard_at > SILENT_AFTER:
-                self._move(peer, is_live=False)
+            if peer.is_live and now - peer.last_seen_at > SILENT_AFTER:
+                self._set_live(peer, is_live=False)
 
-    def forget(self, *, heard_before: float) -> None:
-        """Drop the peers that were last heard before a time."""
+    def forget(self, *, seen_before: float) -> None:
+        """Drop the peers whose last row is older than a time."""
         for name, peer in list(self._peers_by_name.items()):
-            if peer.heard_at < heard_before:
-                self._add_all(peer, -1)
+            if peer.last_seen_at < seen_before:
+                self._add_rows(peer, -1)
                 del self._peers_by_name[name]
 
     def live(self, client_account: str) -> Demand:
-        """Return the demand at peers that are heard."""
+        """Return the demand at live peers."""
         return _demand(self._live_by_account.get(client_account))
 
     def silent(self, client_account: str) -> Demand:
-        """Return the demand that peers told which are no longer heard."""
+        """Return the last announced demand of silent peers."""
         return _demand(self._silent_by_account.get(client_account))
 
     def accounts(self) -> set[str]:
-        """Return the accounts of which some peer tells a demand."""
+        """Return the accounts for which any peer announces a demand."""
         return set(self._live_by_account) | set(self._silent_by_account)
 
-    def _replace(self, peer: _Peer, told: DemandRow) -> None:
-        name = told.client_account
+    def _replace_row(self, peer: _Peer, announced: DemandRow) -> None:
+        name = announced.client_account
         known = peer.rows_by_account.pop(name, None)
         if known is not None:
-            self._add(peer, name, known, -1)
+            self._add_row(peer, name, known, -1)
         row = _Row(
-            rate=round(told.rate * STEPS),
-            n_requests=told.n_in_flight + told.n_waiting,
+            rate=round(announced.rate * STEPS_PER_REQUEST),
+            n_requests=announced.n_in_flight + announced.n_waiting,
         )
         if row.rate or row.n_requests:
             peer.rows_by_account[name] = row
-            self._add(peer, name, row, 1)
+            self._add_row(peer, name, row, 1)
 
-    def _move(self, peer: _Peer, *, is_live: bool) -> None:
-        self._add_all(peer, -1)
+    def _set_live(self, peer: _Peer, *, is_live: bool) -> None:
+        self._add_rows(peer, -1)
         peer.is_live = is_live
-        self._add_all(peer, 1)
+        self._add_rows(peer, 1)
 
-    def _add_all(self, peer: _Peer, sign: int) -> None:
-        self._count(peer, sign)
+    def _add_rows(self, peer: _Peer, sign: int) -> None:
+        self._count_waiting(peer, sign)
         if peer.is_live:
             self.n_live += sign
         for name, row in peer.rows_by_account.items():
-            self._add(peer, name, row, sign)
+            self._add_row(peer, name, row, sign)
 
-    def _count(self, peer: _Peer, sign: int) -> None:
+    def _count_waiting(self, peer: _Peer, sign: int) -> None:
         if peer.is_live and peer.n_waiting > 0:
             self.n_live_waiting += sign
 
-    def _add(self, peer: _Peer, name: str, row: _Row, sign: int) -> None:
-        side = self._live_by_account if peer.is_live else self._silent_by_account
-        known = side.get(name)
+    def _add_row(self, peer: _Peer, name: str, row: _Row, sign: int) -> None:
+        sums = self._live_by_account if peer.is_live else self._silent_by_account
+        known = sums.get(name)
         if known is None:
-            known = side[name] = _Sum()
+            known = sums[name] = _Sum()
         known.add(row, sign)
         if not known.n_rows:
-            del side[name]
+            del sums[name]
 
 
 def _demand(known: _Sum | None) -> Demand:
     if known is None:
         return Demand()
-    return Demand(rate=known.rate / STEPS, n_requests=float(known.n_requests))
+    return Demand(
+        rate=known.rate / STEPS_PER_REQUEST, n_requests=float(known.n_requests)
+    )
--- a/ryelever/coordination/limits/view.py
+++ b/ryelever/coordination/limits/view.py
@@ -1,4 +1,4 @@
-"""Define what admission asks about an account's limits."""
+"""Define the interface through which admission uses an account's limits."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LimitsView(Protocol):
-    """Give this host's part of an account's limits."""
+    """Return this host's share of an account's limits."""
 
     def arrived(self, client_account: str, *, now: float) -> None:
         """Count one arrival, admitted or not."""
@@ -16,30 +16,30 @@
     def occupied(
         self, client_account: str, *, n_in_flight: int, n_waiting: int, now: float
     ) -> None:
-        """Take note of the account's requests here."""
+        """Record the account's requests at this host."""
 
     def rate(self, client_account: str, limit: float, *, now: float) -> float:
-        """Return the requests a second that this host may let in."""
+        """Return the requests a second that this host may admit."""
 
     def concurrency(self, client_account: str, limit: int, *, now: float) -> int:
         """Return the requests that this host may have in flight."""
 
 
 class FullLimits:
-    """Give the whole of each limit: the plain policy for a single entry host."""
+    """Grant each limit in full, as for a single entry host."""
 
     def arrived(self, client_account: str, *, now: float) -> None:
-        """Count nothing."""
+        """Do nothing: a full limit doesn't depend on arrivals."""
 
     def occupied(
         self, client_account: str, *, n_in_flight: int, n_waiting: int, now: float
     ) -> None:
-        """Note nothing."""
+        """Do nothing: a full limit doesn't depend on the account's requests."""
 
     def rate(self, client_account: str, limit: float, *, now: float) -> float:
-        """Return the whole limit."""
+        """Return the full limit."""
         return limit
 
     def concurrency(self, client_account: str, limit: int, *, now: float) -> int:
-        """Return the whole limit."""
+        """Return the full limit."""
         return limit
--- a/tests/test_coordination/test_limits/__init__.py
+++ b/tests/test_coordination/test_limits/__init__.py
@@ -1,1 +1,1 @@
-"""Test the family of limits decisions."""
+"""Tests of the split of client accounts' limits."""
--- a/tests/test_coordination/test_limits/test_limits.py
+++ b/tests/test_coordination/test_limits/test_limits.py
@@ -1,4 +1,4 @@
-"""Test the split of limits over entry hosts, with rows lost, late and cut off."""
+"""Test the split of limits over entry hosts, with lost and late rows and partitions."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from ryelever.coordination.limits.limits import AccountLimits
 from ryelever.state.observations import DemandRow, LeavingRow
 
-#: What all parts sum to at most, over the limit, while rows arrive in time.
+#: Maximum sum of all shares, as a ratio of the limit, while rows arrive in time.
 BOUND = math.exp(SETTLE / FALL)
 
 
 def run(exchange: Exchange, seconds: float) -> float:
-    """Run on, and return the largest sum of parts seen."""
+    """Advance the exchange and return the largest sum of shares."""
     largest = 0.0
     until = exchange.now + seconds
     while exchange.now < until:
@@ -27,40 +27,39 @@
     return largest
 
 
-def at_first(index: int, now: float) -> float:
-    """Offer everything at the first host."""
+def at_first_host(index: int, now: float) -> float:
+    """Return a demand at the first host only."""
     return 200.0 if index == 0 else 0.0
 
 
 def everywhere(index: int, now: float) -> float:
-    """Offer twice the limit, evenly."""
+    """Return a demand of twice the limit, evenly over the hosts."""
     return 25.0
 
 
 def nowhere(index: int, now: float) -> float:
-    """Offer nothing."""
+    """Return no demand."""
     return 0.0
 
 
 def moving(index: int, now: float) -> float:
-    """Offer twice the limit at one host, and at the next one after 10 s."""
+    """Return twice the limit at one host, and at the next one after 10 s."""
     return 200.0 if int(now / 10.0) % 8 == index else 0.0
 
 
 def sudden(index: int, now: float) -> float:
-    """Offer eight times the limit, all of a sudden and then in turns."""
+    """Return eight times the limit in every other period of 6 s."""
     return 100.0 if int(now / 6.0) % 2 == 1 else 0.0
 
 
-@pytest.mark.parametrize("demand", [at_first, everywhere, nowhere, moving, sudden])
+@pytest.mark.parametrize("demand", [at_first_host, everywhere, nowhere, moving, sudden])
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_parts_sum_to_no_more_than_the_bound(demand, loss: float) -> None:
-    """However demand moves, all hosts together stay within the stated bound.
+def test_shares_add_up_to_no_more_than_the_bound(demand, loss: float) -> None:
+    """Guard against accounts that use several times their limit when demand moves.
 
-    Symptom: an account uses several times its limit whenever its callers move.
-    Sequence: demand at one host, everywhere, moving, or appearing everywhere at
-    once; rows 1 s late; some lost.
-    Cause: hosts that count demand of which their peers have not heard yet.
+    The demand is at one host, at all hosts, moving, or appears at all hosts at once;
+    rows arrive 1 s late, and some are lost. The bound is exceeded if hosts count demand
+    that their peers have not learned of yet.
     """
     exchange = Exchange(n_hosts=8, limit=100.0, demand=demand, loss=loss)
     largest = run(exchange, 60.0)
@@ -68,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    ("demand", "least"), [(at_first, 0.9), (everywhere, 0.75), (moving, 0.4)]
+    ("demand", "least"), [(at_first_host, 0.9), (everywhere, 0.75), (moving, 0.4)]
 )
 def test_limit_can_be_used_where_the_demand_is(demand, least: float) -> None:
     exchange = Exchange(n_hosts=8, limit=100.0, demand=demand)
@@ -79,54 +78,54 @@
 
 
 def test_small_concurrency_limit_is_usable_and_bounded() -> None:
-    exchange = Exchange(n_hosts=8, limit=3.0, demand=at_first)
+    exchange = Exchange(n_hosts=8, limit=3.0, demand=at_first_host)
     run(exchange, 5.0)
     assert exchange.hosts[0].limits.concurrency(ACCOUNT, 3, now=exchange.now) >= 2
     assert exchange.hosts[1].limits.concurrency(ACCOUNT, 3, now=exchange.now) <= 1
 
 
 @pytest.mark.parametrize(("n_cut", "factor"), [(1, 1.0), (2, 1.0), (4, 1.0), (6, 1.0)])
-def test_cut_off_hosts_keep_their_last_part(n_cut: int, factor: float) -> None:
-    """A cut-off zone serves on within its last share, though its demand grows.
+def test_cut_off_hosts_keep_their_last_share(n_cut: int, factor: float) -> None:
+    """Guard against both sides of a partition using the full limit.
 
-    Symptom: during a partition both sides use the whole limit.
-    Sequence: even demand; some hosts are cut off for two minutes; on the smaller
-    side the demand grows tenfold; the partition heals.
-    Cause: peers that are not heard were taken to have no demand on both sides.
+    With even demand, some hosts are cut off for two minutes, the demand on the smaller
+    side grows tenfold, and the partition heals. The full limit would be used twice if
+    both sides took unreachable peers to have no demand; instead, cut-off hosts keep to
+    their last share.
     """
-    small = set(range(n_cut)) if n_cut <= 4 else set(range(n_cut, 8))
+    smaller_side = set(range(n_cut)) if n_cut <= 4 else set(range(n_cut, 8))
     cut = (20.0, 140.0)
 
     def reaches(sender: int, receiver: int, now: float) -> bool:
         is_cut = cut[0] <= now < cut[1]
-        return not is_cut or (sender in small) == (receiver in small)
+        return not is_cut or (sender in smaller_side) == (receiver in smaller_side)
 
     def demand(index: int, now: float) -> float:
-        return 250.0 if index in small and now > 22.0 else 25.0
+        return 250.0 if index in smaller_side and now > 22.0 else 25.0
 
     exchange = Exchange(n_hosts=8, limit=100.0, demand=demand, reaches=reaches)
     run(exchange, 20.0)
-    last = exchange.parts(among=sorted(small))
+    last = exchange.parts(among=sorted(smaller_side))
     run(exchange, 10.0)
     largest_side = 0.0
     while exchange.now < 140.0:
         exchange.step()
-        largest_side = max(largest_side, exchange.parts(among=sorted(small)))
-    assert 0.5 * last <= exchange.parts(among=sorted(small))
+        largest_side = max(largest_side, exchange.parts(among=sorted(smaller_side)))
+    assert 0.5 * last <= exchange.parts(among=sorted(smaller_side))
     assert largest_side <= last * 1.2 * factor
     assert exchange.parts() <= (1.0 + last) * BOUND
     if n_cut == 4:
-        # Neither side is the larger one: both keep to what they had.
+        # Neither side is a majority: both keep the shares that they had.
         assert exchange.parts() <= 1.15
     else:
-        # The larger side takes the part of peers that may be dead.
-        others = sorted(set(range(8)) - small)
+        # The majority takes over the shares of peers that may be dead.
+        others = sorted(set(range(8)) - smaller_side)
         assert exchange.parts(among=others) >= 0.9
     run(exchange, 15.0)
     assert exchange.parts() <= BOUND
 
 
-def test_part_of_a_dead_host_comes_back() -> None:
+def test_share_of_a_dead_host_is_redistributed() -> None:
     exchange = Exchange(n_hosts=8, limit=100.0, demand=everywhere)
     run(exchange, 20.0)
     exchange.hosts[0].alive = False
@@ -134,14 +133,13 @@
     assert exchange.parts() >= 0.9
 
 
-def test_restarted_host_claims_nothing_that_others_hold() -> None:
-    """A host that starts anew takes an even part until it hears its peers.
+def test_restarted_host_takes_an_even_share_only() -> None:
+    """Guard against a restart that doubles an account's limit for a while.
 
-    Symptom: each restart of an entry host doubles an account's limit for a while.
-    Sequence: all demand at one host; another one restarts and gets demand at once.
-    Cause: a host that has heard nobody took the whole limit.
+    All demand is at one host; another host restarts and gets demand at once. Until it
+    receives rows from its peers, it must take an even share, not the full limit.
     """
-    exchange = Exchange(n_hosts=8, limit=100.0, demand=at_first)
+    exchange = Exchange(n_hosts=8, limit=100.0, demand=at_first_host)
     run(exchange, 20.0)
     exchange.restart(3)
     exchange.demand = everywhere
@@ -150,13 +148,12 @@
     assert run(exchange, 20.0) <= BOUND
 
 
-def test_stopped_host_does_not_come_back_with_its_old_part() -> None:
-    """A host that was stopped for 30 s claims by what it still tells.
+def test_paused_host_does_not_resume_with_its_old_share() -> None:
+    """Guard against exceeding a limit when a host resumes after a pause of 30 s.
 
-    Symptom: an account's limit is exceeded when a paused host goes on.
-    Sequence: all demand at one host; it is stopped; the others share its part; it
-    goes on.
-    Cause: samples of the own demand that were taken as current though they were old.
+    All demand is at one host; the host is paused, the others divide its share, and it
+    resumes. Its samples of the local demand are old by then and must not count as
+    current.
     """
     limits = AccountLimits(n_hosts=lambda: 1)
     for step in range(40):
@@ -170,16 +167,16 @@
     assert limits.concurrency(ACCOUNT, 100, now=40.0) <= 10
 
 
-@pytest.mark.parametrize(("n_elsewhere", "places"), [(0, 1), (2, 1), (3, 0)])
-def test_part_below_one_is_rounded_up_while_there_is_room(
-    n_elsewhere: int, places: int
+@pytest.mark.parametrize(("n_elsewhere", "expected"), [(0, 1), (2, 1), (3, 0)])
+def test_share_below_one_is_rounded_up_while_peers_are_below_the_limit(
+    n_elsewhere: int, expected: int
 ) -> None:
     limits = AccountLimits(n_hosts=lambda: 8)
     row = DemandRow(
         client_account=ACCOUNT, rate=0.0, n_in_flight=n_elsewhere, n_waiting=0
     )
     limits.observed(row, peer="b", observed_at=0.0, now=0.0)
-    assert limits.concurrency(ACCOUNT, 3, now=0.0) == places
+    assert limits.concurrency(ACCOUNT, 3, now=0.0) == expected
 
 
 def test_single_host_has_the_whole_limit() -> None:
@@ -189,13 +186,13 @@
 
 
 @pytest.mark.parametrize("limit", [0.0, 0.5, 1e6])
-def test_odd_limits(limit: float) -> None:
+def test_extreme_limits(limit: float) -> None:
     limits = AccountLimits(n_hosts=lambda: 4)
     assert limits.rate(ACCOUNT, limit, now=0.0) == limit / 4
     assert limits.concurrency(ACCOUNT, 0, now=0.0) == 0
 
 
-def test_rows_of_other_kinds_are_passed_over() -> None:
+def test_rows_of_other_kinds_are_ignored() -> None:
     limits = AccountLimits(n_hosts=lambda: 2)
     limits.observed(LeavingRow(host="x"), peer="b", observed_at=0.0, now=0.0)
     assert limits.rate(ACCOUNT, 10.0, now=0.0) == 5.0
@@ -211,7 +208,7 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(demands=DEMANDS, hold=st.sampled_from([0.5, 2.0, 5.0]))
 def test_bound_holds_for_any_demand(demands: list, hold: float) -> None:
-    """The stated bound holds for any course of demand while no row is lost."""
+    """Check the bound for arbitrary courses of demand while no row is lost."""
 
     def demand(index: int, now: float) -> float:
         return demands[int(now / hold) % len(demands)][index]
--- a/tests/test_coordination/test_limits/test_limits_peers.py
+++ b/tests/test_coordination/test_limits/test_limits_peers.py
@@ -1,4 +1,4 @@
-"""Test that the running sums over peers equal a recount."""
+"""Test that the running sums over peers equal newly computed sums."""
 
 from __future__ import annotations
 
@@ -19,8 +19,10 @@
     )
 
 
-def told(peers: PeerDemands) -> dict[str, tuple[float, float, float, float]]:
-    """Return the rates and requests of both sides by account."""
+def demands_by_account(
+    peers: PeerDemands,
+) -> dict[str, tuple[float, float, float, float]]:
+    """Return the rates and requests of live and silent peers by account."""
     sides = {name: (peers.live(name), peers.silent(name)) for name in ACCOUNTS}
     return {
         name: (live.rate, live.n_requests, silent.rate, silent.n_requests)
@@ -42,21 +44,21 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(steps=STEPS)
-def test_sums_equal_a_recount(steps: list) -> None:
+def test_running_sums_equal_newly_computed_sums(steps: list) -> None:
     peers = PeerDemands()
     rows: dict[tuple[str, str], tuple[float, int]] = {}
-    heard_at: dict[str, float] = {}
+    last_seen_at: dict[str, float] = {}
     now = 0.0
     for peer, name, rate, n_waiting, passed in steps:
         now += passed
         peers.observe(row(name, rate, n_waiting), peer=peer, observed_at=now, now=now)
         rows[peer, name] = (rate, n_waiting)
-        heard_at[peer] = now
-        peers.judge(now=now)
-        peers.forget(heard_before=now - 10.0)
-        heard_at = {key: at for key, at in heard_at.items() if at >= now - 10.0}
-        rows = {key: kept for key, kept in rows.items() if key[0] in heard_at}
-        live = {key for key, at in heard_at.items() if now - at <= SILENT_AFTER}
+        last_seen_at[peer] = now
+        peers.update_liveness(now=now)
+        peers.forget(seen_before=now - 10.0)
+        last_seen_at = {key: at for key, at in last_seen_at.items() if at >= now - 10.0}
+        rows = {key: kept for key, kept in rows.items() if key[0] in last_seen_at}
+        live = {key for key, at in last_seen_at.items() if now - at <= SILENT_AFTER}
         expected = {}
         for account in ACCOUNTS:
             sides = [[0.0, 0.0], [0.0, 0.0]]
@@ -66,20 +68,19 @@
                     side[0] += counted
                     side[1] += n_requests
             expected[account] = (*sides[0], *sides[1])
-        assert told(peers) == expected
+        assert demands_by_account(peers) == expected
         assert peers.n_live == len(live)
         waiting = [rows.get((key, HEARTBEAT), (0.0, 0))[1] for key in live]
         assert peers.n_live_waiting == sum(n > 0 for n in waiting)
-        assert len(peers) == len(heard_at)
+        assert len(peers) == len(last_seen_at)
 
 
 def test_changing_rows_leave_no_remainder() -> None:
-    """Demand that has ended at a peer counts for nothing.
+    """Guard against demand that remains after it has ended at all peers.
 
-    Symptom: after days an account's parts no longer sum to its limit.
-    Sequence: two peers tell many rates, one after the other, and then none; a third
-    tells the same all the time.
-    Cause: floats that are added and taken away leave a remainder.
+    Two peers announce many rates, one after the other, and then none; a third announces
+    the same rate all the time. Sums of floats would keep a remainder, and after days an
+    account's shares would no longer add up to its limit.
     """
     peers = PeerDemands()
     peers.observe(row("a", 1.0), peer="z", observed_at=0.0, now=0.0)
@@ -94,12 +95,11 @@
 
 
 @pytest.mark.parametrize("rate", [float("nan"), float("inf")])
-def test_row_that_is_no_number_spoils_no_sum(rate: float) -> None:
-    """A row without a number is passed over.
+def test_row_without_a_number_is_ignored(rate: float) -> None:
+    """Guard against a rate that is not a number.
 
-    Symptom: an account is refused everywhere, for good.
-    Sequence: a peer tells a rate that is no number.
-    Cause: a sum that took it in never becomes a number again.
+    Added to a sum, it would make the sum not a number for good, and the account would
+    be refused at all hosts.
     """
     peers = PeerDemands()
     peers.observe(row("a", 2.0), peer="x", observed_at=0.0, now=0.0)
