--- a/tests/test_coordination/test_relaying/test_balance.py
+++ b/tests/test_coordination/test_relaying/test_balance.py
@@ -280,10 +280,10 @@
 ) -> None:
     """Guard against a stale entry that costs each request one attempt.
 
-    A head restarts during an outage of the store, its old entry stays in the list, and
-    it answers that it is another incarnation. If it is avoided for half a second only,
-    it is chosen again as the least loaded server of all, and a tenth of the requests
-    are refused throughout the outage.
+    A head restarts during an outage of the store. Its old entry stays in the list, and
+    the head answers that it is another incarnation. If the head is avoided for half a
+    second only, it is chosen again as the least loaded server of all, and a tenth of
+    the requests are refused throughout the outage.
     """
     directory.put(_head("a"), now=0.0)
     balancer.mark_entry_stale("a", now=1.0)
@@ -300,10 +300,10 @@
 ) -> None:
     """Guard against a partition between zones that costs each request one attempt.
 
-    Nobody outside the zone reaches its servers, so they look idle. If each server is
-    avoided by itself, although no heartbeats are received from their zone, each is
-    tried again every few seconds, and there are many of them: a third of the requests
-    in other zones fail once, and some use up their attempts.
+    No host outside the zone reaches its servers, so the servers look idle. If each
+    server is avoided individually, although no heartbeats are received from the zone,
+    each is tried again every few seconds, and there are many of them: a third of the
+    requests in other zones fail once, and some use up their attempts.
     """
     directory.put(_head("near"), now=0.0)
     directory.put(_head("far", zone="y"), now=0.0)
@@ -338,8 +338,8 @@
     """Guard against many hosts that all send to the same group.
 
     In a large zone, heartbeats arrive every 0.8 s. Meanwhile thirty hosts see the same
-    group as the least loaded one; if all send to it, that group is full and refuses
-    requests while other groups are idle, and so on in turn.
+    group as the least loaded one. If all of them send to that group, one group after
+    the other is full and refuses requests while others are idle.
     """
     assert _spread(30, interval=0.2) <= 10
     assert _spread(30, interval=0.8) <= 10
--- a/tests/test_coordination/test_relaying/test_crashes.py
+++ b/tests/test_coordination/test_relaying/test_crashes.py
@@ -13,7 +13,7 @@
 
 
 def _crash_all(relaying: Relaying, content: str, *, now: float) -> int:
-    """Send a request and crash each server that runs it; return the crashes."""
+    """Send a request, crash each server that runs it, and return their number."""
     n_before = len(relaying.sent)
     number = 1000 + n_before
     relaying.arrive(SAFE, number=number, content=content, now=now)
@@ -68,7 +68,8 @@
     first, second = Relaying(), Relaying()
     for host in (first, second):
         host.arrive(ONCE, content="poison", now=0.0)
-        # Two crashes of the same incarnation would count as one.
+        # Load this server, so that the second host chooses another one: two crashes of
+        # the same incarnation would count as one.
         second.balancer.sent(host.sent[0].server_id)
         host.requests.attempt_failed(
             host.sent[0].id, "connection_failed", sent=True, now=0.1
--- a/tests/test_coordination/test_relaying/test_relay_requests.py
+++ b/tests/test_coordination/test_relaying/test_relay_requests.py
@@ -293,9 +293,9 @@
 def test_frozen_host_reports_no_stalled_groups(relaying: Relaying) -> None:
     """Guard against taking a freeze of the host for stalled groups.
 
-    The host freezes for two seconds and resumes with events still unread. If it took
-    its own silence for that of the groups, all its streams would move at once and use
-    up the retry budget of all hosts.
+    The host freezes for two seconds and resumes with events still unread. If the host
+    took its own silence for that of the groups, all its streams would move at once and
+    use up the retry budget of all hosts.
     """
     relaying.arrive(STREAM)
     first = relaying.sent[0]
