--- a/ryelever/coordination/requests/__init__.py
+++ b/ryelever/coordination/requests/__init__.py
@@ -1,6 +1,6 @@
-"""Take requests of the product's own interface to their final answer.
+"""Manage requests of the entry host with the OpenAI interface until they end.
 
-Only here is it said that a request was not run.
+No other package may tell a caller that its request was not run.
 """
 
 from .claims import OUTCOME_KEPT
--- a/ryelever/coordination/requests/answers.py
+++ b/ryelever/coordination/requests/answers.py
@@ -1,4 +1,4 @@
-"""Compose the errors, outcomes and replayed answers of the request table."""
+"""Build the errors, outcomes and replayed answers of the request table."""
 
 from __future__ import annotations
 
@@ -47,10 +47,10 @@
     "complete_answer",
 ]
 
-#: Longest answer that is stored with its outcome, in bytes.
+#: Maximum size of an answer that is stored with its outcome, in bytes.
 MAX_STORED_ANSWER = 4096
 
-#: Content type under which the answer of a model is stored.
+#: Content type of a stored chat answer.
 CHAT_ANSWER_TYPE = "application/vnd.ryelever.chat+json"
 
 
@@ -61,7 +61,7 @@
 
 
 def claim_key(arrival: Arrival) -> str:
-    """Return the key under which a request is claimed."""
+    """Return the claim key of a request: client account and idempotency key."""
     return f"{arrival.client_account}/{arrival.idempotency_key}"
 
 
@@ -69,22 +69,22 @@
 
 
 def service_outcome(request: Request, answer: AnswerService, *, owner: str) -> Outcome:
-    """Return the outcome of a plain service's answer.
+    """Return the outcome record of a plain service's answer.
 
-    An answer that is too long, or that is not text, is left out whole: a part of
-    it would be replayed as if it were the answer.
+    The record leaves out the whole body if the body is too long or is not UTF-8
+    text: a truncated body would be replayed as if it were the complete answer.
     """
     ran = answer.status < 500
     run_state = RunState.RUN if ran else RunState.OUTCOME_UNKNOWN
-    body = _storable(answer.body)
-    kept = body is not None
+    body = _storable_text(answer.body)
+    is_stored = body is not None
     return Outcome(
         key=claim_key(request.arrival),
         owner=owner,
         request_id=request.arrival.request_id,
         run_state=run_state.value,
-        status=answer.status if kept else 0,
-        content_type=answer.content_type if kept else "",
+        status=answer.status if is_stored else 0,
+        content_type=answer.content_type if is_stored else "",
         body=body or "",
     )
 
@@ -92,11 +92,11 @@
 def chat_outcome(
     request: Request, *, finish_reason: str, usage: Usage, owner: str
 ) -> Outcome:
-    """Return the outcome of a model's whole answer."""
+    """Return the outcome record of a complete chat answer."""
     stored = _StoredChat(
         tokens=tuple(request.delivered), finish_reason=finish_reason, usage=usage
     )
-    body = _storable(msgspec.json.encode(stored))
+    body = _storable_text(msgspec.json.encode(stored))
     return Outcome(
         key=claim_key(request.arrival),
         owner=owner,
@@ -109,7 +109,7 @@
 
 
 def stored_answer(arrival: Arrival, outcome: Outcome) -> list[Action]:
-    """Answer a resend from the outcome of the first request with its key."""
+    """Return the actions that replay the first request's outcome to a resend."""
     if not outcome.status:
         return [_no_stored_answer(arrival, outcome)]
     if outcome.content_type == CHAT_ANSWER_TYPE:
@@ -128,13 +128,13 @@
     stored = msgspec.json.decode(outcome.body, type=_StoredChat)
     request_id = arrival.request_id
     if not (isinstance(arrival.work, ChatWork) and arrival.work.streamed):
-        whole = AnswerComplete(
+        complete = AnswerComplete(
             request_id=request_id,
             tokens=stored.tokens,
             finish_reason=stored.finish_reason,
             usage=stored.usage,
         )
-        return [whole]
+        return [complete]
     return [
         StreamTokens(request_id=request_id, tokens=stored.tokens),
         StreamFinished(
@@ -160,7 +160,7 @@
     return AnswerError(request_id=arrival.request_id, error=error)
 
 
-def _storable(body: bytes) -> str | None:
+def _storable_text(body: bytes) -> str | None:
     if len(body) > MAX_STORED_ANSWER:
         return None
     try:
@@ -170,7 +170,7 @@
 
 
 def complete_answer(request: Request, *, finish_reason: str, usage: Usage) -> Action:
-    """Return the end of a stream, or the answer of a caller that waits for all."""
+    """Return the end of a stream, or the complete answer if it is not streamed."""
     request_id = request.arrival.request_id
     if request.streamed:
         return StreamFinished(
@@ -188,7 +188,7 @@
 
 
 def unknown_account() -> RyeleverError:
-    """Refuse an account that was withdrawn after its key was checked."""
+    """Return the error for an account removed after its API key was checked."""
     return RyeleverError(
         "client account is no longer declared",
         category=Category.UNAUTHORIZED,
@@ -197,7 +197,7 @@
 
 
 def limited(refused: Refused) -> RyeleverError:
-    """Refuse a request that admission turns away."""
+    """Return the error for a request that admission control refused."""
     return RyeleverError(
         refused.reason,
         category=Category.LIMITED,
@@ -207,7 +207,7 @@
 
 
 def no_target(*, retry_after: float) -> RyeleverError:
-    """Refuse a request that nothing can serve right now."""
+    """Return the error for a request that no backend server can serve now."""
     return RyeleverError(
         "nothing that serves this request is whole right now",
         category=Category.UNAVAILABLE,
@@ -219,7 +219,7 @@
 def service_failed(
     request: Request, answer: AnswerService, *, not_run: bool, retry_after: float
 ) -> RyeleverError:
-    """Take a plain service's answer for a failure of the attempt."""
+    """Return the error for an attempt that failed by a plain service's answer."""
     address = request.target.address
     verb = "did not run the call" if not_run else "failed"
     return RyeleverError(
@@ -232,7 +232,7 @@
 
 
 def tokens_missing(request: Request, *, index: int) -> RyeleverError:
-    """Break an attempt whose tokens leave a gap."""
+    """Return the error for an attempt that skipped tokens."""
     return RyeleverError(
         f"token {index} arrived where {len(request.delivered)} was due",
         category=Category.BROKEN,
@@ -242,7 +242,7 @@
 
 
 def group_lost(request: Request) -> RyeleverError:
-    """Say why an attempt without a token was given up."""
+    """Return the error for an attempt whose group was lost before a token."""
     return RyeleverError(
         "its group stopped counting as whole before the first token",
         category=Category.TIMEOUT,
@@ -252,7 +252,7 @@
 
 
 def log_unavailable(*, retry_after: float) -> RyeleverError:
-    """Refuse a request that cannot be claimed."""
+    """Return the error for a request that cannot be claimed without the log."""
     return RyeleverError(
         "the log cannot be reached, so a request that must run at most once cannot "
         "be claimed",
@@ -264,7 +264,7 @@
 
 
 def claim_not_confirmed(*, retry_after: float) -> RyeleverError:
-    """End a request whose claim was not read back in time."""
+    """Return the error for a request whose claim was not read back in time."""
     return RyeleverError(
         "the log did not confirm the claim of this request in time",
         category=Category.UNAVAILABLE,
@@ -275,10 +275,10 @@
 
 
 def claim_lost(*, retry_after: float) -> RyeleverError:
-    """End a request whose claim was ignored, with no other claim to answer from.
+    """Return the error for an ignored claim when no other claim of the key exists.
 
-    The first claim was freed since, or the key was too old by the log's clock and an
-    earlier request with it may have been run.
+    Either the first claim was freed in the meantime, or the key was too old by the
+    log's clock; in the latter case an earlier request with the key may have run.
     """
     return RyeleverError(
         "this request was not run: another with its key came first, or the key was "
@@ -292,7 +292,7 @@
 
 
 def in_progress(claim: ClaimState, *, retry_after: float) -> RyeleverError:
-    """Answer a resend while the first request has no outcome."""
+    """Return the error for a resend while the first request has no outcome."""
     return RyeleverError(
         "the first request with this key has no outcome yet",
         category=Category.CONFLICT,
@@ -305,7 +305,7 @@
 
 
 def key_reused() -> RyeleverError:
-    """Refuse a key that belongs to another request."""
+    """Return the error for an idempotency key used with a different request."""
     return RyeleverError(
         "the idempotency key was used for a different request",
         category=Category.CONFLICT,
@@ -315,7 +315,7 @@
 
 
 def deadline_passed(request: Request, *, retry_after: float) -> RyeleverError:
-    """End a request whose deadline has passed."""
+    """Return the error for a request whose deadline has passed."""
     return RyeleverError(
         f"the deadline passed while the request was {request.state.value}",
         category=Category.TIMEOUT,
@@ -326,7 +326,7 @@
 
 
 def shutting_down(request: Request, *, retry_after: float) -> RyeleverError:
-    """End a request that outlasts the graceful shutdown."""
+    """Return the error for a request still open when graceful shutdown ends."""
     return RyeleverError(
         "this entry host had to stop before the request was answered",
         category=Category.UNAVAILABLE,
--- a/ryelever/coordination/requests/attempts.py
+++ b/ryelever/coordination/requests/attempts.py
@@ -1,4 +1,4 @@
-"""Match attempts with the requests that they serve."""
+"""Start and end attempts to run requests on backend servers."""
 
 from __future__ import annotations
 
@@ -19,26 +19,28 @@
 
 __all__ = ["RequestAttempts"]
 
-#: Attempts of one stream that has begun.
+#: Maximum attempts of a stream that has already delivered tokens.
 MAX_STREAM_ATTEMPTS = 5
 
-#: Seconds between two looks at the group of an attempt without a first token.
-LOST_INTERVAL = 0.5
+#: Seconds between two checks of the group that runs an attempt without a first token.
+GROUP_CHECK_INTERVAL = 0.5
 
-#: Tokens of an attempt that prove it past the place of a crash.  An engine may have
-#: been a few tokens further when it died than what had arrived of it.
-PROVED_TOKENS = 4
+#: Tokens after which an attempt has passed the position of the previous crash.  An
+#: engine may have generated a few more tokens before it died than were received.
+N_PROOF_TOKENS = 4
 
 
 class RequestAttempts:
-    """Start and end attempts; each request has one at most.
+    """Start, track and end attempts; each request has at most one at a time.
 
     Parameters
     ----------
-    router, retry_policy : Protocol types
-        Who takes an attempt, and whether there is another one.
+    router : Router
+        Chooses the target of each attempt.
+    retry_policy : RetryPolicy
+        Decides whether a failed attempt is retried.
     feedback : AttemptFeedback or None
-        Learns from attempts and names requests that must not run.
+        Receives the results of attempts and reports quarantined requests.
     """
 
     def __init__(
@@ -61,15 +63,15 @@
     def start(
         self, request: Request, *, tried: tuple[str, ...], now: float
     ) -> Action | None:
-        """Return the sending of the next attempt, or None without a target."""
+        """Start the next attempt and return its send action, or None if no target."""
         target = self._router.choose(request.arrival, tried=tried, now=now)
         if target is None:
             return None
         request.attempt_id = self._new_id()
         request.target = target
         request.tried += (target.name,)
-        request.looked_at = now
-        request.proved_from = len(request.delivered) + PROVED_TOKENS
+        request.group_checked_at = now
+        request.n_tokens_for_proof = len(request.delivered) + N_PROOF_TOKENS
         self.request_by_attempt[request.attempt_id] = request.arrival.request_id
         fingerprint = request.arrival.fingerprint
         self._router.started(target, fingerprint=fingerprint, now=now)
@@ -83,25 +85,28 @@
         )
 
     def must_wait_for_suspects(self, request: Request, *, now: float) -> bool:
-        """Tell whether only other suspects keep a request from running."""
+        """Return whether a request waits only for other suspects of a crash."""
         return self._router.must_wait_for_suspects(request.arrival, now=now)
 
     def is_lost(self, request: Request, *, now: float) -> bool:
-        """Tell whether an attempt waits for a group that is no longer whole."""
-        if now < request.looked_at + LOST_INTERVAL:
+        """Return whether an attempt waits for a group that is no longer complete.
+
+        False within ``GROUP_CHECK_INTERVAL`` of the previous check.
+        """
+        if now < request.group_checked_at + GROUP_CHECK_INTERVAL:
             return False
-        request.looked_at = now
+        request.group_checked_at = now
         return self._router.is_lost(request.target, request.arrival, now=now)
 
     def request_id(self, attempt_id: str) -> str | None:
-        """Return the request of a current attempt; count what comes late."""
+        """Return the request id of an open attempt, or count a late answer."""
         request_id = self.request_by_attempt.get(attempt_id)
         if request_id is None:
             self.n_late_answers += 1
         return request_id
 
     def answered(self, request: Request, *, now: float) -> None:
-        """End an attempt whose answer is whole."""
+        """End an attempt whose answer is complete."""
         n_tokens = len(request.delivered)
         streaming = request.state is RequestState.STREAMING and n_tokens > 1
         self._feedback.completed(
@@ -114,18 +119,21 @@
         self._retry_policy.succeeded(now=now)
 
     def verdict(self, fingerprint: str, *, now: float) -> Quarantined | None:
-        """Return why a request must not run, or None if it may."""
+        """Return why a request is quarantined, or None if it may run."""
         return self._feedback.verdict(fingerprint, now=now)
 
     def first_token(self, request: Request, *, now: float) -> None:
-        """Take note of an attempt's first token."""
+        """Record the time to an attempt's first token."""
         seconds = now - request.since
         self._feedback.first_token(request.target, seconds=seconds, now=now)
 
     def progressed(self, request: Request, *, now: float) -> None:
-        """Take note of tokens; once in each attempt that is of interest."""
-        if request.proved_from and len(request.delivered) >= request.proved_from:
-            request.proved_from = 0
+        """Report once per attempt that it passed the position of a crash."""
+        if (
+            request.n_tokens_for_proof
+            and len(request.delivered) >= request.n_tokens_for_proof
+        ):
+            request.n_tokens_for_proof = 0
             self._feedback.proved(request.arrival.fingerprint, now=now)
 
     def failed(
@@ -143,7 +151,7 @@
         self.end(request, failed=True, now=now)
 
     def end(self, request: Request, *, failed: bool, now: float) -> None:
-        """End an attempt; whatever it still sends comes late."""
+        """End an attempt; answers received for it later are counted as late."""
         del self.request_by_attempt[request.attempt_id]
         running = self._fingerprints_by_target[request.target.name]
         del running[request.attempt_id]
@@ -156,20 +164,20 @@
         )
 
     def may_retry(self, request: Request, *, now: float) -> bool:
-        """Tell whether another attempt may follow, and count it if so."""
-        # A non-repeatable request is never sent again after its first byte.
+        """Return whether another attempt may follow, and count it if so."""
+        # A non-repeatable request is never sent again once its first byte was sent.
         safe = request.arrival.repeatable or not request.may_have_run
         wanted = not request.caller_disconnected and now < request.arrival.deadline
-        allowed = safe and wanted and self._affordable(request, now=now)
+        allowed = safe and wanted and self._is_within_budget(request, now=now)
         self.n_retries += allowed
         return allowed
 
-    def _affordable(self, request: Request, *, now: float) -> bool:
+    def _is_within_budget(self, request: Request, *, now: float) -> bool:
         n_attempts = len(request.tried)
         if request.delivered:
             # The death of one group breaks all of its streams at once, far more
-            # than the budget for retries holds.  Going on with a stream asks only
-            # for tokens that were not generated yet, so it adds no load that a
-            # budget would have to bound.
+            # than the retry budget allows.  A resumed stream requests only tokens
+            # that were not generated yet, so it adds no load that the budget would
+            # have to limit.
             return n_attempts < MAX_STREAM_ATTEMPTS
         return self._retry_policy.allow(n_attempts=n_attempts, now=now)
--- a/ryelever/coordination/requests/claims.py
+++ b/ryelever/coordination/requests/claims.py
@@ -1,4 +1,4 @@
-"""Claim non-repeatable requests and answer their resends."""
+"""Append claims of non-repeatable requests and answer their resends."""
 
 from __future__ import annotations
 
@@ -20,37 +20,37 @@
 
 __all__ = ["ClaimsView", "RequestClaims"]
 
-#: Seconds for which the append of an outcome is repeated.  A claim without its
-#: outcome answers every resend with "in progress", so an outcome is kept much
-#: longer than other records.
+#: Seconds for which the append of an outcome is retried.  A claim without an outcome
+#: answers every resend with "in progress", so the append of an outcome is retried
+#: much longer than that of other records.
 OUTCOME_KEPT = 300.0
 
 
 class ClaimsView(Protocol):
-    """Look up claims of non-repeatable requests."""
+    """Look up claims of non-repeatable requests in what was read of the log."""
 
     stream: str
     owner: str
 
     def available(self, *, now: float) -> bool:
-        """Tell whether the claims stream is read up to its end."""
+        """Return whether the claims stream is read up to its end."""
 
     def knows(self, key: str, *, since: float) -> bool:
-        """Tell whether every claim of a key made before a time was read."""
+        """Return whether every claim of a key made before ``since`` was read."""
 
     def lookup(self, key: str) -> ClaimState | None:
-        """Return the first claim of a key."""
+        """Return the first claim of a key, or None if the key is not claimed."""
 
 
 class RequestClaims:
-    """Match own claims with the requests that wait for them.
+    """Match this entry host's claims with the requests that wait for them.
 
     Parameters
     ----------
     claims : ClaimsView
-        What was read of the log.
+        Claims read from the log, those of all entry hosts.
     timeout : float
-        Seconds until an own claim must be read back.
+        Seconds within which an appended claim must be read back.
     """
 
     def __init__(
@@ -69,17 +69,17 @@
         self.request_by_claim: dict[str, str] = {}
 
     def available(self, *, now: float) -> bool:
-        """Tell whether a request can be claimed."""
+        """Return whether a request can be claimed now."""
         return self._claims.available(now=now)
 
     def refuse(self, arrival: Arrival, error: RyeleverError) -> list[Action]:
-        """Refuse a sending that was not run, saying what is known of its key.
+        """Refuse a request that was not run, or answer it from an earlier claim.
 
-        An earlier sending with the key may have been claimed, and run, by another
-        entry host.  Only a read of the log that was asked after this one arrived
-        can tell; without it the refusal must not say ``not_run``.
+        Another entry host may have claimed and run an earlier request with the same
+        key.  Only a read of the log that started after this request arrived shows
+        whether it did; without such a read the refusal must not say ``not_run``.
         """
-        known = self.answer_known(arrival)
+        known = self.answer_from_claim(arrival)
         if known:
             return known
         key = answers.claim_key(arrival)
@@ -89,10 +89,10 @@
             doubt(error, retry_after=self._retry_after())
         return [AnswerError(request_id=arrival.request_id, error=error)]
 
-    def answer_known(self, arrival: Arrival) -> list[Action]:
-        """Answer a resend from its claim; nothing when the key is not claimed.
+    def answer_from_claim(self, arrival: Arrival) -> list[Action]:
+        """Answer a resend from the claim of its key; empty if the key is unclaimed.
 
-        What was read of the log holds also while the log is down.
+        Claims already read stay valid while the log is down.
         """
         if arrival.repeatable:
             return []
@@ -107,8 +107,8 @@
             error = answers.in_progress(claim, retry_after=self._retry_after())
         return [AnswerError(request_id=arrival.request_id, error=error)]
 
-    def begin(self, request: Request, *, now: float) -> Action:
-        """Append the claim of a request."""
+    def append_claim(self, request: Request, *, now: float) -> Action:
+        """Return the append of a request's claim, and wait for it to be read back."""
         claim_id = self._new_id()
         request.claim_id = claim_id
         request.claim_deadline = now + self._timeout
@@ -126,31 +126,31 @@
             kept_for=self._timeout,
         )
 
-    def read_back(self, claim_id: str) -> str | None:
-        """Return the request that waits for an own claim, once only."""
+    def pop_waiting_request(self, claim_id: str) -> str | None:
+        """Return the request id that waits for a claim, and forget the claim."""
         return self.request_by_claim.pop(claim_id, None)
 
     def forget(self, request: Request) -> None:
-        """Let nobody wait for the claim of a request any more."""
+        """Stop waiting for the claim of a request."""
         self.request_by_claim.pop(request.claim_id, None)
 
-    def free(self, claim: Claim) -> Action:
-        """Free a claimed key of which nothing was run."""
+    def free_key(self, claim: Claim) -> Action:
+        """Return the append of an outcome that frees a key whose request never ran."""
         outcome = self._outcome(
             claim.key, RunState.NOT_RUN, request_id=claim.request_id
         )
-        return self.append(outcome)
+        return self.append_outcome(outcome)
 
-    def end_unanswered(self, request: Request) -> Action:
-        """Append how a request ended that got no answer."""
+    def append_unanswered_outcome(self, request: Request) -> Action:
+        """Return the append of the outcome of a request that ended without answer."""
         key = answers.claim_key(request.arrival)
         outcome = self._outcome(
             key, request.run_state, request_id=request.arrival.request_id
         )
-        return self.append(outcome)
+        return self.append_outcome(outcome)
 
-    def append(self, outcome: Outcome) -> Action:
-        """Append an outcome."""
+    def append_outcome(self, outcome: Outcome) -> Action:
+        """Return the append of an outcome."""
         return AppendRecord(
             stream=self._claims.stream,
             record=outcome,
--- a/ryelever/coordination/requests/idempotency.py
+++ b/ryelever/coordination/requests/idempotency.py
@@ -1,15 +1,15 @@
-"""Judge an idempotency key by its time of issue, and a claim by its age.
+"""Check idempotency keys by their time of issue, and claims by their age.
 
-Whether a key is safe is decided by the fold alone (state/claims.py), on the log's
-own times: it refuses a claim of a key that is older than the window, so no entry
-host's clock can cause a second run.  What stands here answers a caller early and
-clearly.
+These checks only refuse early and with a clear error.  Safety rests on the claims
+fold (state/claims.py): by the log's times it refuses claims of keys older than the
+window, so no entry host's clock can cause a second run.
 
 Clock assumption: an entry host's wall clock differs from the log's by less than
-``MAX_CLOCK_ERROR``, or it has read the log lately: arrivals.py goes by the later of
-the two.  One that runs ahead by more refuses keys that could still be
-claimed; one that runs behind lets claims be appended which the fold then refuses.
-Neither runs a request twice.  Streams reports the difference it sees.
+``MAX_CLOCK_ERROR``, or the host has read the log recently; arrivals.py uses the
+later of the two times.  A host whose clock is further ahead refuses keys that could
+still be claimed; a host whose clock is further behind appends claims that the fold
+then refuses.  Neither runs a request twice.  The ``streams`` module logs a warning
+when the clocks differ.
 """
 
 from __future__ import annotations
@@ -33,17 +33,18 @@
     "OWNER_TIMEOUT",
     "check_key",
     "doubt",
-    "judge_owner",
+    "apply_owner_timeout",
 ]
 
-#: Code of the refusal of a key that is issued in the future.
+#: Error code for a key whose time of issue is in the future.
 KEY_IN_FUTURE = "idempotency_key_in_future"
 
-#: Seconds by which an entry host's wall clock may differ from the log's.
+#: Maximum difference between an entry host's wall clock and the log's, in seconds.
 MAX_CLOCK_ERROR = 30.0
 
-#: Seconds after a claim for which its owner is believed to be at work.  By any entry
-#: host's clock it is over only when no outcome can free the key any more.
+#: Seconds after a claim for which its owner is assumed to be working on the request.
+#: By every entry host's clock, the period ends only when no outcome can free the key
+#: any more.
 OWNER_TIMEOUT = FREED_WITHIN + MAX_CLOCK_ERROR
 
 
@@ -54,18 +55,22 @@
     window: float = CLAIM_WINDOW,
     max_ahead: float = MAX_AHEAD,
 ) -> Result[float, RyeleverError]:
-    """Return the time of issue of a key that can still be claimed.
+    """Return the time of issue of a key that can still be claimed, or an error.
 
-    Of a key that is too old nobody knows any more whether it was run: the refusal
-    says ``outcome_unknown``.  To call it ``not_run`` would have the caller send the
-    request again under a new key, and a booking that ran an hour ago would run
-    twice.  A key from the future was never claimed if the log's clock, too, is sure
-    to have it in the future; otherwise another entry host may have taken it.
+    The claim of a key that is too old has been forgotten, so the error says
+    ``outcome_unknown``.  On ``not_run`` the caller would send the request again under
+    a new key, and a booking that ran an hour ago would run twice.  The error for a
+    key from the future says ``not_run`` only if the key is certain to be in the future
+    by the log's clock too; otherwise another entry host may have accepted the key.
 
     Parameters
     ----------
     wall : float
         Wall-clock time, in seconds since the epoch.
+    window : float
+        Seconds after its issue for which a key can be claimed.
+    max_ahead : float
+        Seconds by which the time of issue may be ahead of ``wall``.
     """
     issued = issued_at(key)
     if issued is None:
@@ -99,22 +104,24 @@
     return Ok(issued)
 
 
-def judge_owner(
+def apply_owner_timeout(
     claim: ClaimState, *, read_until: float, timeout: float = OWNER_TIMEOUT
 ) -> ClaimState:
-    """Return the claim as a resend is to see it.
+    """Return the claim, with outcome unknown once its owner has timed out.
 
-    The owner of a claim may be gone for good, and the outcome then never comes.
-    A resend must not be told "in progress" for ever, nor may it be run: what the
-    owner had sent may have taken effect.  After a time it is told
-    ``outcome_unknown``, for good: the fold lets no later outcome free the key.  One
-    that says how the request was run still counts.
+    If the owner of a claim never returns, no outcome is ever appended.  A resend
+    must not be answered "in progress" for ever, nor may it run, since the request
+    that the owner sent may have taken effect.  After the timeout a resend is answered
+    ``outcome_unknown``, and that answer is final: the fold lets no later outcome free
+    the key.  A later outcome that says how the request was run still counts.
 
     Parameters
     ----------
     read_until : float
-        Wall-clock time up to which the log was read.  Behind it the record that
-        frees the key may wait to be read.
+        Wall-clock time up to which the log was read.  A record that frees the key
+        may be in the part of the log after this time.
+    timeout : float
+        Seconds after the claim after which its owner has timed out.
     """
     if claim.outcome is not None or read_until - claim.time <= timeout:
         return claim
@@ -129,16 +136,17 @@
 
 
 def doubt(error: RyeleverError, *, retry_after: float | None = None) -> RyeleverError:
-    """Let a refusal speak of all sendings with its key, and not of this one alone.
+    """Change a refusal from ``not_run`` to ``outcome_unknown``.
 
-    A caller that is told ``not_run`` may send its request again under a new key.  If
-    an earlier sending with the old one has run meanwhile, by an entry host whose
-    claim is not read here, the booking is doubled.
+    ``not_run`` would be true of this request only, while the caller takes the answer
+    to cover every request with the same key, and may then send its request again
+    under a new key.  If another entry host has run an earlier request with the old
+    key, and its claim is not read here yet, the booking would be made twice.
 
     Parameters
     ----------
     retry_after : float or None
-        Seconds after which to come back, where the error names none.
+        Seconds after which the caller should retry, if the error names none.
     """
     if error.run_state is RunState.NOT_RUN:
         error.run_state = RunState.OUTCOME_UNKNOWN
--- a/ryelever/coordination/requests/keyed_claims.py
+++ b/ryelever/coordination/requests/keyed_claims.py
@@ -1,4 +1,4 @@
-"""Look up who may run a non-repeatable request."""
+"""Look up claims of non-repeatable requests in the partitions of the log."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ...state.idempotency_key import issued_at
-from .idempotency import judge_owner
+from .idempotency import apply_owner_timeout
 
 if TYPE_CHECKING:
     from ...state.claims import ClaimsFold, ClaimState
@@ -15,24 +15,24 @@
 
 
 class Claims:
-    """Answer the request table's questions about claims.
+    """Look up claims that are partitioned over several streams by a hash of their key.
 
-    The claims are spread over several streams by a hash of their key.  Today each
-    entry host follows all of them.  With hundreds, a host would follow a few and
-    hand a non-repeatable request on to a peer that follows its key's stream.
+    Each entry host follows all partitions.  With hundreds of partitions, a host would
+    follow a few and forward a non-repeatable request to a peer that follows the
+    partition of its key.
 
     Parameters
     ----------
     owner : str
         Name of this entry host together with its boot id.
     stream : str
-        Name under which the request table appends; the key picks the partition.
+        Stream name in the request table's appends; the key selects the partition.
     folds_by_stream : dict of str to ClaimsFold
-        The partitions that this host follows.
+        Claims of each partition that this host follows.
     stream_of : callable
-        Return the partition of a claim's key.
+        Return the name of the partition that a claim's key belongs to.
     max_lag : float
-        Seconds without having reached a stream's end after which the log counts
+        Seconds since a read last reached a stream's end after which the log counts
         as down.
     """
 
@@ -54,22 +54,22 @@
         self._caught_up_at = dict.fromkeys(folds_by_stream, float("-inf"))
 
     def caught_up(self, stream: str, *, at: float) -> None:
-        """Take note that a read asked at a time reached a stream's end."""
+        """Record that a read sent at monotonic time ``at`` reached a stream's end."""
         self._caught_up_at[stream] = max(self._caught_up_at[stream], at)
 
     def observe_wall(self, wall: float, *, now: float) -> None:
-        """Take the wall-clock time, in seconds since the epoch."""
+        """Set the wall-clock time, in seconds since the epoch, at ``now``."""
         self._wall_offset = wall - now
 
     def log_time(self) -> float:
-        """Return the newest time of append read in any partition."""
+        """Return the latest append time read from any partition."""
         return max(fold.log_time for fold in self.folds_by_stream.values())
 
     def available(self, *, now: float) -> bool:
-        """Tell whether all partitions are known whole and up to their end.
+        """Return whether all partitions are read completely and up to their end.
 
-        A partition with records missing counts as down: a key that looks free in
-        it may have been claimed, and would run a second time.
+        A partition with missing records counts as down: a key that looks unclaimed
+        there may have been claimed, and its request would run a second time.
         """
         return all(
             now - self._caught_up_at[stream] <= self._max_lag and fold.complete
@@ -77,11 +77,11 @@
         )
 
     def knows(self, key: str, *, since: float) -> bool:
-        """Tell whether every claim of a key made before a time was read.
+        """Return whether every claim of a key made before ``since`` was read.
 
-        The read must have been asked after that time: what another entry host has
-        claimed in between is in the log and not here.  A claim that was forgotten
-        with its window must not pass for none.
+        The read must have been sent after ``since``: an earlier read may have missed
+        a claim of another entry host.  If the key is older than the claim window, a
+        claim of it may have been forgotten, and the result is False.
         """
         stream = self.stream_of(key)
         fold = self.folds_by_stream[stream]
@@ -94,11 +94,14 @@
         )
 
     def lookup(self, key: str) -> ClaimState | None:
-        """Return the first claim of a key as a resend is to see it."""
+        """Return the first claim of a key, with outcome unknown if its owner is gone.
+
+        None if the key is not claimed.
+        """
         stream = self.stream_of(key)
         fold = self.folds_by_stream[stream]
         claim = fold.claims_by_key.get(key)
         if claim is None:
             return None
         caught_up_at = self._caught_up_at[stream] + self._wall_offset
-        return judge_owner(claim, read_until=max(fold.log_time, caught_up_at))
+        return apply_owner_timeout(claim, read_until=max(fold.log_time, caught_up_at))
--- a/ryelever/coordination/requests/requests.py
+++ b/ryelever/coordination/requests/requests.py
@@ -1,14 +1,15 @@
-"""Follow each request from its arrival to its one final answer.
-
-The table takes events and a time and returns actions.  Three rules hold here:
-
-* an answer ``not_run`` is given only while no byte of the request has left for a
-  backend server, or when the backend server itself refused it; with an idempotency
-  key, only if the log shows that this holds for every sending with the key;
-* a non-repeatable request is sent only after its own claim was read back as the
-  first, and never again after its first byte;
-* answers are matched by attempt: what arrives for an attempt that was given up
-  is dropped and counted.
+"""Manage each request from its arrival to its single final answer.
+
+The request table receives events with their time and returns actions.  It keeps
+three rules:
+
+* A caller is answered ``not_run`` only if no byte of the request was sent to a backend
+  server, or the backend server itself refused the request; with an idempotency key,
+  only if the log shows that this is true of every request with the key.
+* A non-repeatable request is sent only after its claim was read back as the first
+  claim of the key, and is never sent again once its first byte was sent.
+* Answers are matched by attempt: an answer to an attempt that has ended is dropped
+  and counted.
 """
 
 from __future__ import annotations
@@ -43,28 +44,28 @@
 
 __all__ = ["ClaimsView", "Request", "RequestState", "RequestTable", "Timeouts"]
 
-#: Statuses of a plain service after which a repeatable call is tried elsewhere.
+#: HTTP statuses of a plain service after which a repeatable call is retried.
 RETRIED_STATUSES = frozenset({502, 503, 504})
 
 
 class RequestTable:
-    """Decide what happens to every request of one entry host.
+    """Hold all open requests of one entry host and decide their next actions.
 
     Parameters
     ----------
     admission, router, retry_policy, claims : Protocol types
-        The policies that the table asks.
+        Policies for queueing, targets, retries and claims.
     account : callable
         Return a client account by name, or None when it is no longer declared.
     new_id : callable
-        Return a fresh unique id.
+        Return a new unique id.
     retry_after : callable
-        Return the seconds after which a caller should come back when nothing
-        serves its request.
+        Return the seconds after which a caller should retry when no backend server
+        can serve its request.
     timeouts : Timeouts
-        Bounds of the steps.
+        Time limits of the steps.
     feedback : AttemptFeedback or None
-        Learns from attempts and names requests that must not run.
+        Receives the results of attempts and reports quarantined requests.
     """
 
     def __init__(
@@ -107,16 +108,16 @@
 
     @property
     def n_late_answers(self) -> int:
-        """Return how many answers came for attempts that were given up."""
+        """Return the number of answers received for attempts that had ended."""
         return self._attempts.n_late_answers
 
     @property
     def n_retries(self) -> int:
-        """Return how many attempts followed a failed one."""
+        """Return the number of attempts that followed a failed attempt."""
         return self._attempts.n_retries
 
     def n_left(self) -> int:
-        """Return the entries of all tables, 0 when nothing is in flight."""
+        """Return the number of entries in all tables; 0 when nothing is in flight."""
         return (
             len(self.requests_by_id)
             + len(self._attempts.request_by_attempt)
@@ -124,23 +125,23 @@
         )
 
     def late_answer(self) -> None:
-        """Count what came for an attempt that was given up."""
+        """Count an answer received for an attempt that has ended."""
         self._attempts.n_late_answers += 1
 
     def of_attempt(self, attempt_id: str) -> Request | None:
-        """Return the request of a current attempt."""
+        """Return the request of an open attempt, or count a late answer."""
         request_id = self._attempts.request_id(attempt_id)
         return None if request_id is None else self.requests_by_id[request_id]
 
     # Events from the caller
 
     def arrive(self, arrival: Arrival, *, now: float) -> list[Action]:
-        """Take a new request."""
+        """Claim, send, queue or refuse a new request, or replay its answer."""
         account = self._account(arrival.client_account)
         if account is None:
             return self.refuse(arrival, answers.unknown_account())
         if not arrival.repeatable:
-            known = self.answer_known(arrival)
+            known = self.answer_from_claim(arrival)
             if known:
                 return known
             if not self._claims.available(now=now):
@@ -159,10 +160,10 @@
         return self._steps.begin(request, now=now)
 
     def caller_disconnected(self, request_id: str, *, now: float) -> list[Action]:
-        """Stop the work of a caller that has closed its connection.
+        """Cancel the request of a caller that closed its connection.
 
-        A non-repeatable request that was sent goes on: its outcome must be known
-        when the caller asks again.
+        A non-repeatable request that was sent continues, since its outcome must be
+        known when the caller sends it again.
         """
         request = self.requests_by_id.get(request_id)
         if request is None:
@@ -177,15 +178,15 @@
     def claim_read_back(
         self, claim_id: str, *, claim: Claim, is_first: bool, now: float
     ) -> list[Action]:
-        """Take note that an own claim was read back from the log."""
-        request_id = self._claims.read_back(claim_id)
+        """Handle a claim of this entry host that was read back from the log."""
+        request_id = self._claims.pop_waiting_request(claim_id)
         if request_id is None:
-            # The request was given up before its claim came back.  Nobody will run
-            # it, so the key is freed; a resend would wait for an outcome for ever.
-            return [self._claims.free(claim)] if is_first else []
+            # The request ended before its claim was read back and will not run, so
+            # its key is freed; otherwise a resend would wait for an outcome for ever.
+            return [self._claims.free_key(claim)] if is_first else []
         request = self.requests_by_id[request_id]
         if not is_first:
-            known = self.answer_known(request.arrival)
+            known = self.answer_from_claim(request.arrival)
             self._steps.forget(request, now=now)
             error = answers.claim_lost(retry_after=self._retry_after())
             return known or [_error(request.arrival, error)]
@@ -197,13 +198,16 @@
     def tokens(
         self, attempt_id: str, *, index: int, tokens: tuple[str, ...], now: float
     ) -> list[Action]:
-        """Take tokens whose first one has ``index`` in the answer."""
+        """Deliver tokens, the first of which has position ``index`` in the answer.
+
+        Tokens that were delivered already are dropped.
+        """
         request = self.of_attempt(attempt_id)
         if request is None:
             return []
         n_delivered = len(request.delivered)
         if index > n_delivered:
-            return self._gap(request, index=index, now=now)
+            return self._break_at_gap(request, index=index, now=now)
         fresh = tokens[n_delivered - index :]
         if not fresh:
             return []
@@ -211,7 +215,7 @@
         request.may_have_run = True
         if request.state is not RequestState.STREAMING:
             self._attempts.first_token(request, now=now)
-            self._steps.enter(request, RequestState.STREAMING, now=now)
+            self._steps.enter_state(request, RequestState.STREAMING, now=now)
         self._attempts.progressed(request, now=now)
         if not request.streamed or request.caller_disconnected:
             return []
@@ -220,7 +224,7 @@
     def finished(
         self, attempt_id: str, *, finish_reason: str, usage: Usage, now: float
     ) -> list[Action]:
-        """Take the terminal event of a generation."""
+        """End a request whose generation has finished."""
         request = self.of_attempt(attempt_id)
         if request is None:
             return []
@@ -248,12 +252,12 @@
         not_run: bool = False,
         now: float,
     ) -> list[Action]:
-        """Take the whole answer of a plain service.
+        """Handle the complete answer of a plain service.
 
         Parameters
         ----------
         not_run : bool
-            True when the service itself says that it did not run the call.
+            True when the service's answer states that it did not run the call.
         """
         request = self.of_attempt(attempt_id)
         if request is None:
@@ -275,13 +279,13 @@
     def failed(
         self, attempt_id: str, *, error: RyeleverError, refused: bool, now: float
     ) -> list[Action]:
-        """Take the failure of an attempt.
+        """Handle the failure of an attempt.
 
         Parameters
         ----------
         refused : bool
-            True when no byte of the request left, or the backend server itself
-            said that it did not run it.
+            True when no byte of the request was sent, or the backend server itself
+            answered that it did not run the request.
         """
         request = self.of_attempt(attempt_id)
         if request is None:
@@ -294,35 +298,35 @@
     # Time
 
     def tick(self, *, now: float) -> list[Action]:
-        """Let waiting requests in and end those whose time is over."""
+        """Start queued requests, end expired ones and retry failed attempts."""
         actions: list[Action] = []
         for request_id, refused in self._admission.expired(now=now):
-            request = self._queued(request_id)
+            request = self._queued_request(request_id)
             if request is not None:
                 error = answers.limited(refused)
                 actions += self._steps.fail(request, error=error, now=now)
-        actions += self._let_in(now=now)
+        actions += self._admit_ready(now=now)
         for request in list(self.requests_by_id.values()):
             if now >= request.arrival.deadline or now >= request.claim_deadline:
-                actions += self._steps.time_over(request, now=now)
+                actions += self._steps.expire(request, now=now)
             elif request.state is RequestState.RECOVERING:
                 actions += self._steps.recover(request, now=now)
             elif request.state is RequestState.SENT:
-                actions += self._steps.leave_lost(request, now=now)
+                actions += self._steps.abandon_lost_attempt(request, now=now)
         return actions
 
     def after_release(self, *, now: float) -> list[Action]:
-        """Let waiting requests in if any request has ended since the last look.
+        """Start queued requests if any request has ended since the last check.
 
-        Left to the next tick, a slot would be idle for half a tick on average while
-        callers wait.
+        If this waited for the next tick, a free slot would be idle for half a tick on
+        average while callers wait.
         """
-        if not self._steps.released:
+        if not self._steps.slot_released:
             return []
-        return self._let_in(now=now)
+        return self._admit_ready(now=now)
 
     def end_all(self, *, now: float) -> list[Action]:
-        """End every request, since the process has to stop."""
+        """End every request with an error because the process is shutting down."""
         actions: list[Action] = []
         for request in list(self.requests_by_id.values()):
             error = answers.shutting_down(request, retry_after=self._retry_after())
@@ -330,20 +334,20 @@
         return actions
 
     def refuse(self, arrival: Arrival, error: RyeleverError) -> list[Action]:
-        """Refuse a request that was never taken in."""
+        """Refuse a request that never entered the table."""
         return self._claims.refuse(arrival, error)
 
-    def answer_known(self, arrival: Arrival) -> list[Action]:
-        """Answer a resend from its claim; nothing when the key is not claimed."""
-        return self._claims.answer_known(arrival)
+    def answer_from_claim(self, arrival: Arrival) -> list[Action]:
+        """Answer a resend from the claim of its key; empty if the key is unclaimed."""
+        return self._claims.answer_from_claim(arrival)
 
     # Helpers
 
-    def _let_in(self, *, now: float) -> list[Action]:
-        self._steps.released = False
+    def _admit_ready(self, *, now: float) -> list[Action]:
+        self._steps.slot_released = False
         actions: list[Action] = []
         for request_id in self._admission.ready(now=now):
-            request = self._queued(request_id)
+            request = self._queued_request(request_id)
             if request is not None:
                 actions += self._steps.begin(request, now=now)
         return actions
@@ -351,8 +355,8 @@
     def _service_failed(
         self, request: Request, answer: AnswerService, *, not_run: bool, now: float
     ) -> list[Action]:
-        # When no other attempt does better, the caller gets the service's own
-        # answer, unless it must hear that nothing was run.
+        # If no later attempt succeeds, the caller receives the service's own answer,
+        # unless the caller must be told that the call was not run.
         request.service_answer = None if not_run else answer
         error = answers.service_failed(
             request, answer, not_run=not_run, retry_after=self._retry_after()
@@ -361,9 +365,11 @@
             request, error=error, refused=not_run, now=now
         )
 
-    def _gap(self, request: Request, *, index: int, now: float) -> list[Action]:
-        # A gap would hand the caller an answer with a hole that nobody notices.
-        # The attempt is broken; another one resumes.
+    def _break_at_gap(
+        self, request: Request, *, index: int, now: float
+    ) -> list[Action]:
+        # Delivering past a gap would give the caller an answer with tokens missing
+        # unnoticed.  The attempt fails, and another attempt resumes the answer.
         error = answers.tokens_missing(request, index=index)
         cancel = CancelAttempt(attempt_id=request.attempt_id)
         return [
@@ -371,10 +377,10 @@
             *self._steps.attempt_failed(request, error=error, refused=False, now=now),
         ]
 
-    def _queued(self, request_id: str) -> Request | None:
+    def _queued_request(self, request_id: str) -> Request | None:
         request = self.requests_by_id.get(request_id)
-        waits = request is not None and request.state is RequestState.QUEUED
-        return request if waits else None
+        is_queued = request is not None and request.state is RequestState.QUEUED
+        return request if is_queued else None
 
 
 def _error(arrival: Arrival, error: RyeleverError) -> AnswerError:
--- a/ryelever/coordination/requests/state.py
+++ b/ryelever/coordination/requests/state.py
@@ -1,4 +1,4 @@
-"""Hold what the request table knows of one request."""
+"""Define the state of one request in the request table."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RequestState(enum.Enum):
-    """Name the steps of a request; docs/REQUESTS.md draws the transitions."""
+    """Step that a request is in; docs/REQUESTS.md shows the transitions."""
 
     QUEUED = "queued"
     CLAIMING = "claiming"
@@ -28,21 +28,21 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Timeouts:
-    """Bound the steps of a request, in seconds.
+    """Time limits of the steps of a request, in seconds.
 
     Attributes
     ----------
     claim : float
-        Until the own claim is read back.
+        Maximum time until the request's claim is read back.
     recovery : float
-        Wait for another backend server after an attempt has failed.
+        Maximum wait for another backend server after an attempt has failed.
     same_target : float
-        Pause before an attempt goes to the backend server whose connection
-        broke.  It is longer than a report counts: the group must have confirmed
-        itself since, so a group that lost a member is not asked again.
+        Pause before a retry on the backend server whose connection broke.  The pause
+        is longer than a report of a host stays valid, so the group must have confirmed
+        itself since the failure: a group that lost a member gets no retry.
     same_target_silent : float
-        The same pause where nothing speaks against the backend server itself: a
-        silent connection, a refusal, or an answer of a plain service.
+        The same pause after a failure that does not suggest a fault of the backend
+        server itself: a silent connection, a refusal, or an answer of a plain service.
     """
 
     claim: float = 5.0
@@ -53,31 +53,33 @@
 
 @dataclass(slots=True, kw_only=True)
 class Request:
-    """Hold one request that has no final answer yet.
+    """Request that has no final answer yet.
 
     Attributes
     ----------
     since : float
         Monotonic time at which ``state`` was entered.
+    claim_deadline : float
+        Monotonic time by which the claim must be read back.
     claimed : bool
-        True once the own claim was read back as the first of its key.
+        True once the request's claim was read back as the first of its key.
     may_have_run : bool
-        True once any attempt may have reached a backend server.  It is never
-        taken back: a later attempt that was refused proves nothing about an
-        earlier one.
+        True once any attempt may have reached a backend server.  Never reset to
+        False: a later attempt that was refused proves nothing about an earlier one.
     caller_disconnected : bool
-        True when only the outcome is still wanted.
+        True when the caller closed its connection, so that only the outcome of the
+        request is still needed.
     tried : tuple of str
         Names of the targets tried, oldest first.
     delivered : list of str
         Tokens received so far, over all attempts.
-    proved_from : int
-        Tokens from which the attempt is past the place where a crash broke off
-        the one before.
-    looked_at : float
-        Time of the last look at the attempt's group while no token came.
+    n_tokens_for_proof : int
+        Number of delivered tokens at which the attempt has passed the position where
+        a crash ended the previous attempt; 0 once that is reported.
+    group_checked_at : float
+        Monotonic time of the last check of the attempt's group before a first token.
     error, service_answer : RyeleverError or AnswerService or None
-        What the newest failed attempt ended with.
+        Error or plain service's answer that ended the latest failed attempt.
     """
 
     arrival: Arrival
@@ -90,8 +92,8 @@
     target: Target | None = None
     tried: tuple[str, ...] = ()
     delivered: list[str] = field(default_factory=list)
-    proved_from: int = 0
-    looked_at: float = float("-inf")
+    n_tokens_for_proof: int = 0
+    group_checked_at: float = float("-inf")
     may_have_run: bool = False
     caller_disconnected: bool = False
     error: RyeleverError | None = None
@@ -99,11 +101,11 @@
 
     @property
     def streamed(self) -> bool:
-        """Tell whether the caller asked for a stream."""
+        """Return whether the caller requested a streamed answer."""
         work = self.arrival.work
         return isinstance(work, ChatWork) and work.streamed
 
     @property
     def run_state(self) -> RunState:
-        """Tell what is certain about an unanswered request."""
+        """Return ``NOT_RUN`` only if no attempt can have reached a backend server."""
         return RunState.OUTCOME_UNKNOWN if self.may_have_run else RunState.NOT_RUN
--- a/ryelever/coordination/requests/steps.py
+++ b/ryelever/coordination/requests/steps.py
@@ -1,4 +1,4 @@
-"""Take a request from one step to the next, down to its final answer."""
+"""Move requests from step to step until their final answer."""
 
 from __future__ import annotations
 
@@ -30,10 +30,11 @@
 
 
 class RequestSteps:
-    """Own the requests that have no final answer yet.
+    """Hold the open requests and move each to its next step.
 
-    Every way out of the table goes through ``end``, so that each request gets one
-    final answer and leaves nothing behind.
+    A request leaves the table through ``end``, or through ``forget`` if another claim
+    of its key came first, so that it gets exactly one final answer and leaves no entry
+    in any table.
     """
 
     def __init__(
@@ -51,26 +52,26 @@
         self._retry_after = retry_after
         self._timeouts = timeouts
         self.requests_by_id: dict[str, Request] = {}
-        self.released = False
+        self.slot_released = False
 
-    # Towards an attempt
+    # Steps up to an attempt
 
     def begin(self, request: Request, *, now: float) -> list[Action]:
-        """Claim a non-repeatable request; send any other."""
+        """Claim a non-repeatable request, or send a repeatable one."""
         if request.arrival.repeatable:
             return self.dispatch(request, now=now)
-        self.enter(request, RequestState.CLAIMING, now=now)
-        return [self._claims.begin(request, now=now)]
+        self.enter_state(request, RequestState.CLAIMING, now=now)
+        return [self._claims.append_claim(request, now=now)]
 
     def dispatch(
         self, request: Request, *, now: float, tried: tuple[str, ...] | None = None
     ) -> list[Action]:
-        """Send the next attempt, or wait for a target, or give up."""
+        """Send the next attempt, wait for a target, or end the request."""
         request.claim_deadline = float("inf")
         if now >= request.arrival.deadline:
-            # A process that was paused reads its claim back long after the caller
-            # gave up: what is past its deadline is never sent.
-            return self.time_over(request, now=now)
+            # A process that was paused may read its claim back long after the caller
+            # stopped waiting.  A request past its deadline is never sent.
+            return self.expire(request, now=now)
         quarantined = self._attempts.verdict(request.arrival.fingerprint, now=now)
         if quarantined is not None:
             return self.fail(request, error=quarantine_error(quarantined), now=now)
@@ -79,7 +80,7 @@
         send = self._attempts.start(request, tried=tried, now=now)
         if send is None:
             return self._no_target(request, now=now)
-        self.enter(request, RequestState.SENT, now=now)
+        self.enter_state(request, RequestState.SENT, now=now)
         return [send]
 
     def _no_target(self, request: Request, *, now: float) -> list[Action]:
@@ -89,21 +90,21 @@
                 return self.fail(request, error=error, now=now)
             request.error = error
         if request.state is not RequestState.RECOVERING:
-            self.enter(request, RequestState.RECOVERING, now=now)
+            self.enter_state(request, RequestState.RECOVERING, now=now)
         return []
 
     def recover(self, request: Request, *, now: float) -> list[Action]:
-        """Try again to find a target after an attempt has failed."""
+        """Retry a request whose attempt failed, or end it after the timeout."""
         waited = now - request.since
-        over = waited >= self._timeouts.recovery
-        if over and not self._attempts.must_wait_for_suspects(request, now=now):
+        timed_out = waited >= self._timeouts.recovery
+        if timed_out and not self._attempts.must_wait_for_suspects(request, now=now):
             return self.fail(request, error=request.error, now=now)
-        harmless = not isinstance(request.arrival.work, ChatWork) or (
+        server_may_be_healthy = not isinstance(request.arrival.work, ChatWork) or (
             request.error.category in (Category.TIMEOUT, Category.UNAVAILABLE)
         )
         pause = (
             self._timeouts.same_target_silent
-            if harmless
+            if server_may_be_healthy
             else self._timeouts.same_target
         )
         tried = () if waited >= pause else request.tried
@@ -112,7 +113,7 @@
     def attempt_failed(
         self, request: Request, *, error: RyeleverError, refused: bool, now: float
     ) -> list[Action]:
-        """Retry after a failed attempt where that is safe; else end the request."""
+        """Retry a failed attempt if that is safe and allowed, or end the request."""
         self._attempts.failed(request, error=error, refused=refused, now=now)
         request.error = error
         if not refused:
@@ -121,12 +122,12 @@
             return self.fail(request, error=error, now=now)
         return self.dispatch(request, now=now)
 
-    def leave_lost(self, request: Request, *, now: float) -> list[Action]:
-        """Give an attempt without a token up when its group is no longer whole.
+    def abandon_lost_attempt(self, request: Request, *, now: float) -> list[Action]:
+        """Cancel an attempt without a token if its group is no longer complete.
 
-        A frozen leader says nothing, so the attempt would wait until the timeout for
-        first tokens, far longer than its group takes to stop counting as whole.
-        Without a retry to spend the attempt is better left where it is.
+        A frozen group leader sends nothing, so the attempt would wait for the
+        first-token timeout, much longer than the group takes to count as incomplete.
+        The attempt continues if no retry is allowed.
         """
         if not request.arrival.repeatable or not self._attempts.is_lost(
             request, now=now
@@ -141,15 +142,15 @@
         request.may_have_run = True
         return [cancel, *self.dispatch(request, now=now)]
 
-    # Towards the answer
+    # Steps to the final answer
 
-    def time_over(self, request: Request, *, now: float) -> list[Action]:
-        """End a request whose deadline, or whose claim's, has passed."""
+    def expire(self, request: Request, *, now: float) -> list[Action]:
+        """End a request whose deadline or claim deadline has passed."""
         retry_after = self._retry_after()
         if request.state is RequestState.CLAIMING and not request.claimed:
-            # Nothing was sent, and ``request_by_claim`` will not know the claim any
-            # more, so nothing will be: should the append turn out to have taken
-            # effect, the claim is released when it is read back.
+            # The request was not sent, and will not be, because ``request_by_claim``
+            # forgets its claim.  If the append did take effect, the key is freed when
+            # the claim is read back.
             error = answers.claim_not_confirmed(retry_after=retry_after)
         else:
             error = answers.deadline_passed(request, retry_after=retry_after)
@@ -158,15 +159,15 @@
     def fail(
         self, request: Request, *, error: RyeleverError, now: float
     ) -> list[Action]:
-        """End a request without its answer."""
+        """End a request with an error or with the service's last answer."""
         if request.attempt_id:
             request.may_have_run = True
         error.run_state = request.run_state
         if error.category is Category.UNAVAILABLE and error.retry_after is None:
             error.retry_after = self._retry_after()
         if not request.arrival.repeatable and not request.claimed:
-            # Nothing was sent; but only an own claim, read back as the first,
-            # shows that no other entry host has sent it either.
+            # This host has not sent the request, but only a claim of this host that
+            # was read back as the first shows that no other entry host has sent it.
             refusal = self._claims.refuse(request.arrival, error)
             ended = self.end(request, answer=None, now=now)
             return ended if request.caller_disconnected else ended + refusal
@@ -186,16 +187,16 @@
         outcome: Outcome | None = None,
         now: float,
     ) -> list[Action]:
-        """Take a request out of the tables with its one final answer."""
+        """Remove a request from the tables and return its single final answer."""
         actions: list[Action] = []
         if request.attempt_id:
             request.may_have_run = True
             actions.append(CancelAttempt(attempt_id=request.attempt_id))
             self._attempts.end(request, failed=not request.caller_disconnected, now=now)
         if outcome is not None:
-            actions.append(self._claims.append(outcome))
+            actions.append(self._claims.append_outcome(outcome))
         elif request.claimed:
-            actions.append(self._claims.end_unanswered(request))
+            actions.append(self._claims.append_unanswered_outcome(request))
         self.forget(request, now=now)
         if answer is not None and not request.caller_disconnected:
             actions.append(answer)
@@ -204,13 +205,13 @@
     # Helpers
 
     def forget(self, request: Request, *, now: float) -> None:
-        """Take a request out of the tables."""
+        """Remove a request from the tables and release its admission slot."""
         self._claims.forget(request)
         del self.requests_by_id[request.arrival.request_id]
         self._admission.release(request.arrival.request_id, now=now)
-        self.released = True
+        self.slot_released = True
 
-    def enter(self, request: Request, state: RequestState, *, now: float) -> None:
-        """Take note of the step that a request enters."""
+    def enter_state(self, request: Request, state: RequestState, *, now: float) -> None:
+        """Set the step of a request and the time at which it was entered."""
         request.state = state
         request.since = now
--- a/tests/test_coordination/test_requests/__init__.py
+++ b/tests/test_coordination/test_requests/__init__.py
@@ -1,1 +1,1 @@
-"""Test the family of requests decisions."""
+"""Test the package ``ryelever.coordination.requests``."""
--- a/tests/test_coordination/test_requests/request_fakes.py
+++ b/tests/test_coordination/test_requests/request_fakes.py
@@ -1,4 +1,4 @@
-"""Stand in for the policies and the log around a request table."""
+"""Fake the policies and the log around a request table."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 TIMEOUTS = Timeouts(claim=5, recovery=8, same_target=2.5, same_target_silent=0.25)
 DEADLINE = 60.0
 
-#: An idempotency key, and its time of issue in seconds since the epoch.
+#: Time of issue of ``KEY``, in seconds since the epoch.
 ISSUED = 1_800_000_000.0
 KEY = f"{int(ISSUED * 1000)}-k"
 
 
 class OpenAdmission:
-    """Admit everything by default, and remember who was not released."""
+    """Admit all requests unless ``decision`` is set; hold those not yet released."""
 
     def __init__(self) -> None:
         self.admitted: set[str] = set()
@@ -50,14 +50,14 @@
 
     def expired(self, *, now):
         late, self.late = self.late, []
-        return [(request_id, FULL) for request_id in late]
+        return [(request_id, QUEUE_FULL) for request_id in late]
 
 
-FULL = Refused(reason="the queue is full", retry_after=2.0)
+QUEUE_FULL = Refused(reason="the queue is full", retry_after=2.0)
 
 
-class ListRouter:
-    """Offer the targets that were not tried, in their order."""
+class FakeRouter:
+    """Choose the first target in ``names`` that was not tried."""
 
     def __init__(self) -> None:
         self.names = ["a", "b", "c"]
@@ -82,17 +82,17 @@
 
 @dataclass(kw_only=True)
 class FakeLog:
-    """Hold what was appended, and fold what is read back."""
+    """Hold appended records until a test reads them back into the fold."""
 
     owner: str = "e1/boot"
     stream: str = "claims"
-    up: bool = True
+    reachable: bool = True
     fold: ClaimsFold = field(default_factory=ClaimsFold)
     unread: list[AppendRecord] = field(default_factory=list)
     caught_up_at: float = 0.0
 
     def available(self, *, now):
-        return self.up
+        return self.reachable
 
     def knows(self, key, *, since):
         return self.caught_up_at > since
@@ -101,7 +101,7 @@
         return self.fold.claims_by_key.get(key)
 
     def read(self, append: AppendRecord) -> bool:
-        """Fold one record; tell whether it took effect."""
+        """Fold an appended record and return whether it was applied."""
         return self.apply(append.record, record_id=append.record_id)
 
     def apply(self, record, *, record_id="other") -> bool:
@@ -110,14 +110,14 @@
         return self.fold.apply(entry) is None
 
 
-class Bench:
-    """Drive a request table as the process does."""
+class RequestTableDriver:
+    """Send events to a request table and collect its actions, as the process does."""
 
     def __init__(self, *, max_attempts: int = 4) -> None:
         ids = itertools.count()
         self.now = 0.0
         self.log = FakeLog()
-        self.router = ListRouter()
+        self.router = FakeRouter()
         self.admission = OpenAdmission()
         self.table = RequestTable(
             admission=self.admission,
@@ -134,7 +134,7 @@
         self.cancelled: list[str] = []
 
     def take(self, actions) -> None:
-        """Sort out what the table asks for."""
+        """Record the table's actions, its attempts and its appends."""
         for action in actions:
             match action:
                 case SendAttempt():
@@ -143,18 +143,18 @@
                     self.log.unread.append(action)
             self.actions.append(action)
 
-    def step(self, word: str) -> None:
-        """Do what one word of a fault case says."""
-        name, _, argument = word.partition(":")
+    def step(self, step: str) -> None:
+        """Run one step of a fault case: ``name`` or ``name:argument``."""
+        name, _, argument = step.partition(":")
         getattr(self, f"do_{name}")(*([argument] if argument else []))
 
-    # Words of the fault cases
+    # Steps of the fault cases
 
     def do_arrive(self, request_id: str = "r") -> None:
         self.take(self.table.arrive(self.arrival_of(request_id), now=self.now))
 
     def do_read(self) -> None:
-        """Read everything back that was appended."""
+        """Read back all appended records."""
         unread, self.log.unread = self.log.unread, []
         for append in unread:
             self._read(append)
@@ -167,8 +167,8 @@
     def _read(self, append: AppendRecord) -> None:
         repeated = self.log.fold.offset_of(append.record_id) is not None
         is_first = self.log.read(append)
-        own = append.record.owner == self.log.owner
-        if isinstance(append.record, Claim) and own and not repeated:
+        is_local = append.record.owner == self.log.owner
+        if isinstance(append.record, Claim) and is_local and not repeated:
             self.take(
                 self.table.claim_read_back(
                     append.record_id,
@@ -178,8 +178,8 @@
                 )
             )
 
-    def rival_claims(self, key: str) -> bool:
-        """Let another host claim a key, unread here; tell whether it came first."""
+    def append_rival_claim(self, key: str) -> bool:
+        """Append another host's claim; return whether it is the first of its key."""
         key = f"acc/{key}"
         unread = [append.record for append in self.log.unread]
         if key in self.log.fold.claims_by_key or any(
@@ -197,34 +197,35 @@
         return True
 
     def do_rival(self) -> None:
-        """Let another entry host claim the same key first."""
+        """Read another entry host's claim of the same key, which comes first."""
         claim = Claim(key=f"acc/{KEY}", fingerprint="f", owner="e2", request_id="other")
         self.log.apply(claim)
 
     def do_log_down(self) -> None:
-        self.log.up = False
+        self.log.reachable = False
 
     def do_full(self) -> None:
-        """Let admission refuse what comes."""
-        self.admission.decision = FULL
+        """Make admission refuse new requests."""
+        self.admission.decision = QUEUE_FULL
 
     def do_queue(self) -> None:
-        """Let admission keep what comes waiting."""
+        """Make admission queue new requests."""
         self.admission.decision = Queued()
 
     def do_queued_too_long(self) -> None:
-        """Let the time of the waiting request be over."""
+        """Let admission expire the queued request."""
         self.admission.late = ["r"]
         self.take(self.table.tick(now=self.now))
 
     def do_draining(self) -> None:
-        """Refuse a request as a host does that takes no new ones."""
+        """Refuse a request as a draining host does."""
         error = RyeleverError(
             "shutting down", category=Category.UNAVAILABLE, step="admit"
         )
         self.take(self.table.refuse(self.arrival_of("r"), error))
 
     def do_tokens(self, first: str, last: str = "") -> None:
+        """Receive the token ``N``, or the tokens ``N-M``, from the latest attempt."""
         start, _, end = first.partition("-")
         tokens = tuple(f"t{i}" for i in range(int(start), int(end or start) + 1))
         self.take(
@@ -234,7 +235,7 @@
         )
 
     def do_late_tokens(self) -> None:
-        """Let tokens come for the first attempt."""
+        """Receive a token from the first attempt."""
         self.take(
             self.table.tokens(self.attempts[0], index=0, tokens=("x",), now=self.now)
         )
@@ -248,7 +249,11 @@
         )
 
     def do_answer(self, status: str) -> None:
-        """Let the service answer; ``503!`` is its documented refusal."""
+        """Receive the service's answer.
+
+        ``503!`` is its documented refusal; ``201+`` has a body of 5000 bytes, too long
+        to be stored.
+        """
         body = bytes(5000) if status == "201+" else b"body"
         self.take(
             self.table.service_answered(
@@ -278,23 +283,25 @@
             )
         )
 
-    def do_gone(self) -> None:
+    def do_disconnect(self) -> None:
         self.take(self.table.caller_disconnected("r", now=self.now))
 
     def do_targets(self, names: str = "") -> None:
+        """Set the available targets, separated by commas; none by default."""
         self.router.names = names.split(",") if names else []
 
     def do_wait(self, seconds: str) -> None:
         self.now += float(seconds)
-        if self.log.up and float(seconds):
+        if self.log.reachable and float(seconds):
             self.log.caught_up_at = self.now
         self.take(self.table.tick(now=self.now))
 
     def do_pause(self, seconds: str) -> None:
-        """Stop the process: time passes and nothing is looked at."""
+        """Pause the process: time passes without a tick."""
         self.now += float(seconds)
 
     def do_end_all(self) -> None:
+        """Shut down the process."""
         self.take(self.table.end_all(now=self.now))
 
     def arrival_of(self, request_id: str) -> Arrival:
@@ -302,13 +309,13 @@
 
 
 def chat(request_id: str, now: float, *, streamed: bool = True, key: str = ""):
-    """Return a chat request."""
+    """Return the arrival of a chat request."""
     work = ChatWork(model="m", messages=[], max_tokens=9, streamed=streamed)
     return _arrival(request_id, now, work, key=key)
 
 
 def call(request_id: str, now: float, *, key: str = ""):
-    """Return a call to a plain service."""
+    """Return the arrival of a call to a plain service."""
     work = ServiceWork(
         service="s", method="POST", path="/", content_type="", body=b"{}"
     )
--- a/tests/test_coordination/test_requests/test_claims.py
+++ b/tests/test_coordination/test_requests/test_claims.py
@@ -1,4 +1,4 @@
-"""Test when claims are available, over several partitions."""
+"""Test the lookup of claims in several partitions."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
 
 
 @pytest.mark.parametrize(("caught_up", "missing", "now", "available"), CASES)
-def test_no_claim_without_the_whole_log(
+def test_no_claim_without_the_complete_log(
     caught_up: list[str], missing: str, now: float, available: bool
 ) -> None:
-    """Ask for a claim while the log is down or records are missing.
+    """Claims are unavailable while the log is down or records are missing.
 
-    Symptom: a booking runs twice.  Sequence: its claim is in a part of the log that
-    this host has not read.  Cause: a key that is not known is taken for free.
+    Guards against a booking that runs twice: its first claim is in a part of the log
+    that this host has not read, and the host treats the key as unclaimed.
     """
     claims = _claims()
     for name in caught_up:
@@ -57,42 +57,42 @@
     assert claims.available(now=now) is available
 
 
-#: The key's own partition, and another one.
+#: A key, its partition and another partition.
 KEY = f"acme/{int(EPOCH * 1000)}-k"
-OWN = claims_stream(KEY, n_partitions=4)
-OTHER = next(name for name in STREAMS if name != OWN)
+KEY_PARTITION = claims_stream(KEY, n_partitions=4)
+OTHER_PARTITION = next(name for name in STREAMS if name != KEY_PARTITION)
 
-KNOWN = [
-    # partition read to its end, partition with records missing, newest record's
-    # seconds after the key's issue, whether the key's history is known at time 5
-    ("read since", OWN, "", 0, True),
+HISTORIES = [
+    # case, partition read to its end, partition with records missing, seconds from the
+    # key's issue to the newest record, whether all claims up to time 5 are known
+    ("read since", KEY_PARTITION, "", 0, True),
     ("read before", "", "", 0, False),
-    ("another partition read", OTHER, "", 0, False),
-    ("records missing", OWN, OWN, 0, False),
-    ("records of another partition missing", OWN, OTHER, 0, True),
-    ("idle stream", OWN, "", -3600, True),
-    ("claims forgotten by the log's clock", OWN, "", CLAIM_WINDOW + 1, False),
+    ("another partition read", OTHER_PARTITION, "", 0, False),
+    ("records missing", KEY_PARTITION, KEY_PARTITION, 0, False),
+    ("records of another partition missing", KEY_PARTITION, OTHER_PARTITION, 0, True),
+    ("idle stream", KEY_PARTITION, "", -3600, True),
+    ("claims forgotten by the log's clock", KEY_PARTITION, "", CLAIM_WINDOW + 1, False),
 ]
 
 
 @pytest.mark.parametrize(
     ("caught_up", "missing", "age", "known"),
-    [row[1:] for row in KNOWN],
-    ids=[row[0] for row in KNOWN],
+    [row[1:] for row in HISTORIES],
+    ids=[row[0] for row in HISTORIES],
 )
 def test_history_of_a_key_is_known(
     caught_up: str, missing: str, age: float, known: bool
 ) -> None:
-    """Ask whether a key that has no claim here was never claimed.
+    """A key without a claim here counts as unclaimed only if its history is known.
 
-    Symptom: a caller is told "not run" of a booking that ran, and books again under
-    a new key.  Sequence: another entry host claims and runs it; this one has not
-    read that far, or has forgotten it.  Cause: not known was taken for not run.
+    Guards against "not run" for a booking that ran, after which the caller books again
+    under a new key: another entry host claimed and ran it, and this host has not read
+    that claim yet or has forgotten it.
     """
     claims = _claims()
     record = Claim(key=KEY[:-1] + "x", fingerprint="f", owner="e2", request_id="r")
     entry = Entry(offset=0, time=EPOCH + age, id="x", record=record)
-    claims.folds_by_stream[OWN].apply(entry)
+    claims.folds_by_stream[KEY_PARTITION].apply(entry)
     if caught_up:
         claims.caught_up(caught_up, at=6.0)
     if missing:
@@ -100,9 +100,10 @@
     assert claims.knows(KEY, since=5.0) is known
 
 
-OWNER_GONE = [
-    # seconds after the claim, read to the end then, newest record's seconds after
-    # the claim, run state of the outcome appended then, what a resend is told
+OWNER_TIMEOUTS = [
+    # case, seconds after the claim, whether the log is read to its end then, seconds
+    # from the claim to the newest record, run state of the outcome in that record
+    # (None: the record is of another key), state that a resend is answered with
     ("owner at work", 119, True, 0, None, "in progress"),
     ("owner gone", 121, True, 0, None, "outcome_unknown"),
     ("owner gone, other claims read", 121, False, 121, None, "outcome_unknown"),
@@ -115,22 +116,26 @@
 
 
 @pytest.mark.parametrize(
-    ("age", "caught_up", "record_age", "outcome", "told"),
-    [row[1:] for row in OWNER_GONE],
-    ids=[row[0] for row in OWNER_GONE],
+    ("age", "caught_up", "record_age", "outcome", "expected_state"),
+    [row[1:] for row in OWNER_TIMEOUTS],
+    ids=[row[0] for row in OWNER_TIMEOUTS],
 )
 def test_resend_of_a_claim_whose_owner_is_gone(
-    age: float, caught_up: bool, record_age: float, outcome: str | None, told: str
+    age: float,
+    caught_up: bool,
+    record_age: float,
+    outcome: str | None,
+    expected_state: str,
 ) -> None:
-    """Ask for a claimed request again, before and after its owner's time is over.
+    """A resend is answered "unknown", finally, once the claim's owner has timed out.
 
-    Symptom: "in progress" for ever; or a final "unknown" that is taken back, so that
-    a caller who has booked anew meanwhile is charged for the resend as well.
-    Sequence: an entry host claims a key, dies or pauses, and may come back.  Cause:
-    only the owner appends the outcome, at any later time.
+    Guards against "in progress" for ever, and against a final "unknown" that changes
+    later, so that a caller who booked again in the meantime is also charged for the
+    resend.  An entry host claims a key, dies or pauses, and may return; only the owner
+    appends the outcome, at any later time.
     """
     claims = _claims()
-    fold = claims.folds_by_stream[OWN]
+    fold = claims.folds_by_stream[KEY_PARTITION]
     claim = Claim(key=KEY, fingerprint="f", owner="e2", request_id="r")
     fold.apply(Entry(offset=0, time=EPOCH, id="c", record=claim))
     end = Outcome(key=KEY, owner="e2", run_state=outcome or "run", status=0)
@@ -138,16 +143,16 @@
     record = end if outcome else other
     fold.apply(Entry(offset=1, time=EPOCH + record_age, id="o", record=record))
     claims.observe_wall(EPOCH + age, now=1000.0)
-    claims.caught_up(OWN, at=1000.0 if caught_up else 1000.0 - age)
-    seen = claims.lookup(KEY)
-    found = "free" if seen is None else "in progress"
-    if seen is not None and seen.outcome is not None:
-        found = seen.outcome.run_state
-    assert found == told
+    claims.caught_up(KEY_PARTITION, at=1000.0 if caught_up else 1000.0 - age)
+    found = claims.lookup(KEY)
+    state = "free" if found is None else "in progress"
+    if found is not None and found.outcome is not None:
+        state = found.outcome.run_state
+    assert state == expected_state
 
 
 def test_key_is_looked_up_in_its_partition() -> None:
-    """Spread keys over all partitions and find each again."""
+    """Keys are spread over all partitions, and each is found in its partition."""
     claims = _claims()
     keys = [f"acme/{int(EPOCH * 1000)}-{index}" for index in range(100)]
     for offset, key in enumerate(keys):
@@ -157,5 +162,6 @@
     sizes = [len(fold.claims_by_key) for fold in claims.folds_by_stream.values()]
     assert sum(sizes) == 100 and min(sizes) > 10
     assert all(claims.lookup(key) is not None for key in keys)
-    # The same in every process and release: a claim in another partition is lost.
+    # The partition of a key must be the same in every process and release: a claim in
+    # another partition would not be found.
     assert claims.stream_of("acme/1800000000000-0") == "claims-1"
--- a/tests/test_coordination/test_requests/test_idempotency.py
+++ b/tests/test_coordination/test_requests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Test the judgement of idempotency keys and of owners that are gone."""
+"""Test the checks of idempotency keys and the timeout of claim owners."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from ryelever.coordination.requests.idempotency import (
     MAX_CLOCK_ERROR,
     OWNER_TIMEOUT,
+    apply_owner_timeout,
     check_key,
-    judge_owner,
 )
 from ryelever.errors import Category, RunState
 from ryelever.events import CallerRequest
@@ -29,7 +29,7 @@
 UUID7 = f"{UUID7[:8]}-{UUID7[8:]}-7abc-8def-0123456789ab"
 
 KEYS = [
-    # key, seconds after its issue, code of the refusal, run state it states
+    # key, seconds after its issue, error code, run state in the error
     (UUID7, 0.0, None, None),
     (UUID7.upper(), 0.0, None, None),
     (f"{MILLISECONDS}-rex", 0.0, None, None),
@@ -37,7 +37,7 @@
     (UUID7, CLAIM_WINDOW - 1, None, None),
     (UUID7, 1 - MAX_AHEAD, None, None),
     (UUID7, CLAIM_WINDOW + 1, "idempotency_key_expired", RunState.OUTCOME_UNKNOWN),
-    # An entry host whose clock is right may have taken what this one refuses.
+    # An entry host whose clock is right may have accepted a key that this one refuses.
     (UUID7, -1 - MAX_AHEAD, "idempotency_key_in_future", RunState.OUTCOME_UNKNOWN),
     (
         UUID7,
@@ -55,14 +55,14 @@
 
 
 @pytest.mark.parametrize(("key", "age", "code", "run_state"), KEYS)
-def test_key_is_judged_by_its_time_of_issue(
+def test_key_is_checked_by_its_time_of_issue(
     key: str, age: float, code: str | None, run_state: RunState | None
 ) -> None:
-    """Refuse what nobody could know, and say no more than is known.
+    """Keys outside the claim window are refused without a false "not run".
 
-    Symptom: a renewal is filed twice.  Sequence: it runs, its caller sleeps for an
-    hour and sends it again, is told "not run", and sends it under a new key.  Cause:
-    the claim was forgotten, and forgotten was taken for never.
+    Guards against a renewal that is filed twice: it runs, and its caller sends it
+    again an hour later, when its claim has been forgotten.  On the answer "not run"
+    the caller would send it once more under a new key.
     """
     result = check_key(key, wall=EPOCH + age)
     if code is None:
@@ -74,7 +74,8 @@
 
 
 CLOCKS = [
-    # seconds by which the host's clock, and what it read of the log, are behind
+    # seconds that the host's clock is behind, seconds that the newest log time read is
+    # behind, error code
     (0.0, 0.0, None),
     (MAX_AHEAD + 30, 0.0, None),
     (0.0, 3600.0, None),
@@ -85,14 +86,14 @@
 
 
 @pytest.mark.parametrize(("host_behind", "log_behind", "code"), CLOCKS)
-def test_key_is_not_called_future_against_the_log(
+def test_key_is_not_in_future_by_the_later_clock(
     host_behind: float, log_behind: float, code: str | None, monkeypatch
 ) -> None:
-    """Resend a booking to an entry host whose clock is behind.
+    """A key is checked by the later of the host's clock and the log's time.
 
-    Symptom: "not run" for a booking that ran.  Sequence: it runs through one entry
-    host, its answer is lost, it is sent again to a host whose clock is a minute
-    behind.  Cause: the key is from that host's future, though its claim was read.
+    Guards against "not run" for a booking that ran: one entry host runs it, its answer
+    is lost, and it is sent again to a host whose clock is a minute behind.  By that
+    clock alone the key is from the future, although the host has read its claim.
     """
     monkeypatch.setattr(time, "time", lambda: EPOCH - host_behind)
     fold = ConfigurationFold()
@@ -123,22 +124,21 @@
 STORED = Outcome(key="k", owner="e1/a", run_state="run", status=201)
 
 OWNERS = [
-    # seconds since the claim, stored outcome, run state that a resend is told
+    # seconds since the claim, stored outcome, run state in the answer to a resend
     (OWNER_TIMEOUT - 1, None, None),
     (OWNER_TIMEOUT + 1, None, "outcome_unknown"),
     (OWNER_TIMEOUT + 1, STORED, "run"),
 ]
 
 
-@pytest.mark.parametrize(("age", "outcome", "told"), OWNERS)
-def test_resend_is_told_the_outcome_or_that_it_is_unknown(
-    age: float, outcome: Outcome | None, told: str | None
+@pytest.mark.parametrize(("age", "outcome", "expected_state"), OWNERS)
+def test_resend_gets_the_outcome_or_outcome_unknown(
+    age: float, outcome: Outcome | None, expected_state: str | None
 ) -> None:
-    """Ask for a request whose owner is gone for good.
+    """A claim whose owner never returns gets the stored outcome or "unknown".
 
-    Symptom: a caller is told "in progress" for ever.  Sequence: an entry host claims
-    a key, sends the request and is replaced.  Cause: only the owner appends the
-    outcome.
+    Guards against "in progress" for ever: an entry host claims a key, sends the request
+    and is replaced, and only that host would append the outcome.
     """
     claim = ClaimState(
         key="k",
@@ -149,6 +149,6 @@
         time=EPOCH,
         outcome=outcome,
     )
-    seen = judge_owner(claim, read_until=EPOCH + age)
-    assert (seen.outcome.run_state if seen.outcome else None) == told
+    found = apply_owner_timeout(claim, read_until=EPOCH + age)
+    assert (found.outcome.run_state if found.outcome else None) == expected_state
     assert claim.outcome is outcome
--- a/tests/test_coordination/test_requests/test_requests.py
+++ b/tests/test_coordination/test_requests/test_requests.py
@@ -19,24 +19,24 @@
 )
 from ryelever.state.records import Claim
 
-from .request_fakes import KEY, Bench, call, chat
+from .request_fakes import KEY, RequestTableDriver, call, chat
 
 KINDS = {
     "chat": chat,
-    "whole": partial(chat, streamed=False),
+    "unstreamed_chat": partial(chat, streamed=False),
     "call": call,
     "booking": partial(call, key=KEY),
     "chat_once": partial(chat, key=KEY),
-    "whole_once": partial(chat, streamed=False, key=KEY),
+    "unstreamed_chat_once": partial(chat, streamed=False, key=KEY),
 }
 
 
-def seen(bench: Bench) -> str:
-    """Write down what the table asked for, one word an action."""
-    return " ".join(filter(None, map(_heartbeat, bench.actions)))
+def summary(driver: RequestTableDriver) -> str:
+    """Return the table's actions as text, one word per action."""
+    return " ".join(filter(None, map(_describe, driver.actions)))
 
 
-def _heartbeat(action: object) -> str:
+def _describe(action: object) -> str:
     match action:
         case SendAttempt():
             return f"send-{action.target.name}+{len(action.delivered)}"
@@ -45,7 +45,7 @@
         case StreamFinished():
             return "finished"
         case AnswerComplete():
-            return "whole:" + ",".join(action.tokens)
+            return "complete:" + ",".join(action.tokens)
         case AnswerService():
             return f"answer-{action.status}" + ("-again" if action.replayed else "")
         case AnswerError(error=error):
@@ -62,10 +62,10 @@
             )
 
 
-# Each row: the kind of request, what happens, what the table asks for.
+# Each row: the kind of request, the steps of the driver, the expected actions.
 CASES = {
     # Attempts that fail
-    "refused elsewhere runs": (
+    "refused attempt runs elsewhere": (
         "chat",
         "arrive refused tokens:0 finish",
         "send-a+0 send-b+0 t0 finished",
@@ -80,10 +80,10 @@
         "arrive tokens:0 silent tokens:1 finish",
         "send-a+0 t0 send-b+1 t1 finished",
     ),
-    "whole answer spans attempts": (
-        "whole",
+    "complete answer spans attempts": (
+        "unstreamed_chat",
         "arrive tokens:0 broken tokens:1 finish",
-        "send-a+0 send-b+1 whole:t0,t1",
+        "send-a+0 send-b+1 complete:t0,t1",
     ),
     "late tokens reach nobody": (
         "chat",
@@ -130,14 +130,14 @@
         "targets:a,b arrive read targets:b wait:9 answer:200",
         "claim send-a+0 log:run-200 answer-200",
     ),
-    "nothing serves it": ("chat", "targets arrive", "unavailable/not_run"),
+    "no target": ("chat", "targets arrive", "unavailable/not_run"),
     # No group is left
     "waits for a group": (
         "chat",
         "targets:a arrive tokens:0 broken wait:1 targets:b wait:1 tokens:1 finish",
         "send-a+0 t0 send-b+1 t1 finished",
     ),
-    "waits in vain": (
+    "no group within the recovery timeout": (
         "chat",
         "targets:a arrive tokens:0 broken targets wait:7.9 wait:0.2",
         "send-a+0 t0 cut:broken/outcome_unknown",
@@ -169,35 +169,39 @@
         "send-a+0 timeout/not_run",
     ),
     # The caller
-    "caller gone while sent": ("chat", "arrive gone late_tokens", "send-a+0 cancel"),
-    "caller gone while waiting for a group": (
+    "caller disconnects while sent": (
         "chat",
-        "targets:a arrive broken gone wait:9",
+        "arrive disconnect late_tokens",
+        "send-a+0 cancel",
+    ),
+    "caller disconnects while waiting for a group": (
+        "chat",
+        "targets:a arrive broken disconnect wait:9",
         "send-a+0",
     ),
-    "caller of a booking gone: outcome kept": (
+    "caller of a booking disconnects: outcome kept": (
         "booking",
-        "arrive read gone answer:201",
+        "arrive read disconnect answer:201",
         "claim send-a+0 log:run-201",
     ),
-    "caller of a booking gone, then refused": (
+    "caller of a booking disconnects, then refused": (
         "booking",
-        "arrive read gone refused",
+        "arrive read disconnect refused",
         "claim send-a+0 log:not_run",
     ),
-    "caller gone while claiming": (
+    "caller disconnects while claiming": (
         "booking",
-        "arrive gone read",
+        "arrive disconnect read",
         "claim log:not_run",
     ),
-    "caller gone while a booking waits": (
+    "caller disconnects while a booking waits": (
         "booking",
-        "targets:a arrive read refused gone",
+        "targets:a arrive read refused disconnect",
         "claim send-a+0 log:not_run",
     ),
-    "caller of a chat that runs once gone": (
+    "caller of a non-repeatable chat disconnects": (
         "chat_once",
-        "arrive read tokens:0 gone tokens:1 finish read arrive:r2",
+        "arrive read tokens:0 disconnect tokens:1 finish read arrive:r2",
         "claim send-a+0 t0 log:run-200 t0,t1 finished",
     ),
     # Claims
@@ -221,7 +225,7 @@
         "arrive arrive:r2 read answer:201",
         "claim claim send-a+0 in_progress/outcome_unknown log:run-201 answer-201",
     ),
-    "a rival came first": (
+    "another host's claim came first": (
         "booking",
         "arrive rival read",
         "claim in_progress/outcome_unknown",
@@ -242,7 +246,7 @@
         "claim claim_not_confirmed/not_run log:not_run claim send-a+0 log:run-201 "
         "answer-201",
     ),
-    # Refused without the key's whole history: an earlier sending may have run
+    # Refused while the key's history is incomplete: an earlier request may have run
     "log down": ("booking", "log_down arrive", "log_unavailable/outcome_unknown"),
     "log goes down while claiming": (
         "booking",
@@ -288,10 +292,10 @@
         "arrive read answer:201+ read arrive:r2",
         "claim send-a+0 log:run answer-201 outcome_kept_without_answer/run",
     ),
-    "whole chat that runs once is resent": (
-        "whole_once",
+    "unstreamed non-repeatable chat is resent": (
+        "unstreamed_chat_once",
         "arrive read tokens:0 finish read arrive:r2",
-        "claim send-a+0 log:run-200 whole:t0 whole:t0",
+        "claim send-a+0 log:run-200 complete:t0 complete:t0",
     ),
     # At most once
     "refused booking goes elsewhere": (
@@ -320,7 +324,7 @@
         "arrive read refused broken wait:9",
         "claim send-a+0 send-b+0 log:outcome_unknown broken/outcome_unknown",
     ),
-    "chat that runs once breaks": (
+    "non-repeatable chat breaks": (
         "chat_once",
         "arrive read tokens:0 broken",
         "claim send-a+0 t0 log:outcome_unknown cut:broken/outcome_unknown",
@@ -369,7 +373,7 @@
         "arrive tokens:0 pause:61 broken",
         "send-a+0 t0 cut:broken/outcome_unknown",
     ),
-    # Two faults at once
+    # Two faults in one case
     "broken, and its outcome is not read": (
         "booking",
         "arrive read broken log_down arrive:r2",
@@ -378,7 +382,7 @@
     ),
     "claim late and caller gone": (
         "booking",
-        "arrive pause:6 gone read",
+        "arrive pause:6 disconnect read",
         "claim log:not_run",
     ),
     "two groups die": (
@@ -402,38 +406,38 @@
 
 @pytest.mark.parametrize("name", CASES)
 def test_fault_case(name: str) -> None:
-    """Ask for exactly what a case expects, and leave nothing behind.
+    """The table returns exactly the expected actions and keeps no entry.
 
-    Symptom, for any case: a caller without its answer, with two, with another's, or
-    with a false word about what was run.  Sequence: the case's own words.  Cause:
-    a step of the table that forgets a fault.
+    Guards against a step of the table that does not handle a fault, so that a caller
+    gets no answer, two answers, another caller's answer or a false run state.
     """
-    kind, words, expected = CASES[name]
-    bench = Bench()
-    bench.kind = KINDS[kind]
-    for word in words.split():
-        bench.step(word)
-    assert seen(bench) == expected
-    assert bench.table.n_left() == 0
-    assert not bench.admission.admitted
-    assert not bench.router.in_flight
+    kind, steps, expected = CASES[name]
+    driver = RequestTableDriver()
+    driver.kind = KINDS[kind]
+    for step in steps.split():
+        driver.step(step)
+    assert summary(driver) == expected
+    assert driver.table.n_left() == 0
+    assert not driver.admission.admitted
+    assert not driver.router.in_flight
 
 
 REFUSALS = ["log_down arrive", "full arrive", "draining", "arrive end_all read"]
 
 
-@pytest.mark.parametrize("words", REFUSALS)
-def test_refusal_in_doubt_says_what_to_do(words: str) -> None:
-    """Tell a caller with a key that a resend is safe, and when.
+@pytest.mark.parametrize("steps", REFUSALS)
+def test_refusal_with_unknown_outcome_advises_a_resend(steps: str) -> None:
+    """A refused caller with a key learns that a resend is safe, and when to send it.
 
-    Symptom: a booking runs twice.  Sequence: it runs at one entry host, its answer is
+    Guards against a booking that runs twice: it runs at one entry host, its answer is
     lost, another host refuses the resend as "not run", and the caller books again
-    under a new key.  Cause: the refusal spoke of one sending, the caller of its key.
+    under a new key.  The refusal meant the resend only, but the caller took it to
+    cover every request with the key.
     """
-    bench = Bench()
-    bench.kind = KINDS["booking"]
-    for word in words.split():
-        bench.step(word)
-    (error,) = (a.error for a in bench.actions if isinstance(a, AnswerError))
+    driver = RequestTableDriver()
+    driver.kind = KINDS["booking"]
+    for step in steps.split():
+        driver.step(step)
+    (error,) = (a.error for a in driver.actions if isinstance(a, AnswerError))
     assert "with the same key, which is always safe" in error.message
     assert error.retry_after > 0
--- a/tests/test_coordination/test_requests/test_requests_machine.py
+++ b/tests/test_coordination/test_requests/test_requests_machine.py
@@ -1,4 +1,4 @@
-"""Let hypothesis look for an order of events that breaks the request table."""
+"""Test the request table with random orders of events (hypothesis)."""
 
 from __future__ import annotations
 
@@ -20,106 +20,106 @@
 )
 from ryelever.errors import Category, RunState, RyeleverError
 
-from .request_fakes import KEY, Bench, call, chat
+from .request_fakes import KEY, RequestTableDriver, call, chat
 
 FINAL = (AnswerError, AnswerService, AnswerComplete, StreamFailed, StreamFinished)
 KEYS = ("", KEY, f"{KEY}2")
 
 
 class RequestMachine(RuleBasedStateMachine):
-    """Send events in any order, repeated, late or never."""
+    """State machine that sends events in any order, repeatedly, late or never."""
 
     requests = Bundle("requests")
 
     def __init__(self) -> None:
         super().__init__()
-        self.bench = Bench()
+        self.driver = RequestTableDriver()
         self.arrivals = {}
         self.finals: Counter[str] = Counter()
         self.tokens_by_request: dict[str, list[str]] = {}
         self.sent_by_key: Counter[str] = Counter()
         self.request_by_attempt: dict[str, str] = {}
         self.gone: set[str] = set()
-        self.left: set[str] = set()
+        self.possibly_run: set[str] = set()
         self.refused: set[str] = set()
-        self.keys_run_elsewhere: set[str] = set()
-        self.n_seen = 0
+        self.keys_run_by_rival: set[str] = set()
+        self.n_checked = 0
 
     # Events
 
     @rule(
         target=requests,
-        kind=st.sampled_from(["chat", "whole", "call"]),
+        kind=st.sampled_from(["chat", "unstreamed_chat", "call"]),
         key=st.sampled_from(KEYS),
     )
     def arrive(self, kind: str, key: str) -> str:
         request_id = f"r{len(self.arrivals)}"
         if kind == "call":
-            arrival = call(request_id, self.bench.now, key=key)
+            arrival = call(request_id, self.driver.now, key=key)
         else:
             streamed = kind == "chat"
-            arrival = chat(request_id, self.bench.now, streamed=streamed, key=key)
+            arrival = chat(request_id, self.driver.now, streamed=streamed, key=key)
         self.arrivals[request_id] = arrival
-        self.bench.take(self.bench.table.arrive(arrival, now=self.bench.now))
+        self.driver.take(self.driver.table.arrive(arrival, now=self.driver.now))
         return request_id
 
     @rule(request_id=requests)
     def caller_disconnected(self, request_id: str) -> None:
         if not self.finals[request_id]:
             self.gone.add(request_id)
-        table = self.bench.table
-        self.bench.take(table.caller_disconnected(request_id, now=self.bench.now))
+        table = self.driver.table
+        self.driver.take(table.caller_disconnected(request_id, now=self.driver.now))
 
     @rule()
     def read_back(self) -> None:
-        self.bench.do_read()
+        self.driver.do_read()
 
     @rule()
     def read_to_the_end(self) -> None:
-        self.bench.do_read()
-        self.bench.log.caught_up_at = self.bench.now
+        self.driver.do_read()
+        self.driver.log.caught_up_at = self.driver.now
 
     @rule()
     def read_back_twice(self) -> None:
-        if self.bench.log.unread:
-            self.bench.do_read_twice()
+        if self.driver.log.unread:
+            self.driver.do_read_twice()
 
     @rule()
     def lose_append(self) -> None:
-        unread = self.bench.log.unread
-        if unread and unread[-1].record.owner == self.bench.log.owner:
+        unread = self.driver.log.unread
+        if unread and unread[-1].record.owner == self.driver.log.owner:
             unread.pop()
 
     @rule(key=st.sampled_from(KEYS[1:]))
-    def run_elsewhere(self, key: str) -> None:
-        """Let another entry host claim a key first and run its request at once."""
-        if self.bench.rival_claims(key):
-            self.keys_run_elsewhere.add(key)
+    def run_by_rival(self, key: str) -> None:
+        """Append another entry host's claim; if first, that host runs it at once."""
+        if self.driver.append_rival_claim(key):
+            self.keys_run_by_rival.add(key)
 
-    @rule(up=st.booleans())
-    def log(self, up: bool) -> None:
-        self.bench.log.up = up
+    @rule(reachable=st.booleans())
+    def log(self, reachable: bool) -> None:
+        self.driver.log.reachable = reachable
 
     @rule(names=st.sets(st.sampled_from("abcd")))
     def targets(self, names: set[str]) -> None:
-        self.bench.router.names = sorted(names)
+        self.driver.router.names = sorted(names)
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 3.0, 9.0, 70.0]), paused=st.booleans())
     def time_passes(self, seconds: float, paused: bool) -> None:
-        self.bench.now += seconds
+        self.driver.now += seconds
         if not paused:
-            self.bench.take(self.bench.table.tick(now=self.bench.now))
+            self.driver.take(self.driver.table.tick(now=self.driver.now))
 
     @rule(data=st.data(), index=st.integers(0, 5), n_tokens=st.integers(1, 3))
     def tokens(self, data: st.DataObject, index: int, n_tokens: int) -> None:
         attempt = self._attempt(data)
         if attempt is None:
             return
-        self._leave(attempt)
+        self._mark_possibly_run(attempt)
         tokens = tuple(f"t{i}" for i in range(index, index + n_tokens))
-        table = self.bench.table
-        self.bench.take(
-            table.tokens(attempt, index=index, tokens=tokens, now=self.bench.now)
+        table = self.driver.table
+        self.driver.take(
+            table.tokens(attempt, index=index, tokens=tokens, now=self.driver.now)
         )
 
     @rule(data=st.data(), status=st.sampled_from([0, 200, 502, 503]))
@@ -127,8 +127,8 @@
         attempt = self._attempt(data)
         if attempt is None:
             return
-        self._leave(attempt)
-        table, now = self.bench.table, self.bench.now
+        self._mark_possibly_run(attempt)
+        table, now = self.driver.table, self.driver.now
         if not status:
             actions = table.finished(
                 attempt, finish_reason="stop", usage=Usage(), now=now
@@ -137,7 +137,7 @@
             actions = table.service_answered(
                 attempt, status=status, content_type="", body=b"b", now=now
             )
-        self.bench.take(actions)
+        self.driver.take(actions)
 
     @rule(data=st.data(), refused=st.booleans(), category=st.sampled_from(Category))
     def fail(self, data: st.DataObject, refused: bool, category: Category) -> None:
@@ -145,35 +145,35 @@
         if attempt is None:
             return
         if not refused:
-            self._leave(attempt)
+            self._mark_possibly_run(attempt)
         elif self._is_live(attempt):
             self.refused.add(attempt)
         error = RyeleverError("x", category=category, step="generate")
-        table = self.bench.table
-        self.bench.take(
-            table.failed(attempt, error=error, refused=refused, now=self.bench.now)
+        table = self.driver.table
+        self.driver.take(
+            table.failed(attempt, error=error, refused=refused, now=self.driver.now)
         )
 
     def _attempt(self, data: st.DataObject) -> str | None:
-        attempts = self.bench.attempts
+        attempts = self.driver.attempts
         return data.draw(st.sampled_from(attempts)) if attempts else None
 
     def _is_live(self, attempt: str) -> bool:
-        """Tell whether an event is in time: a late one proves nothing."""
-        requests = self.bench.table.requests_by_id.values()
+        """Return whether an attempt is open; events of an ended one are ignored."""
+        requests = self.driver.table.requests_by_id.values()
         return any(request.attempt_id == attempt for request in requests)
 
-    def _leave(self, attempt: str) -> None:
+    def _mark_possibly_run(self, attempt: str) -> None:
         if self._is_live(attempt):
-            self.left.add(self.request_by_attempt[attempt])
+            self.possibly_run.add(self.request_by_attempt[attempt])
 
-    # What must hold
+    # Invariants
 
     @invariant()
-    def actions_hold(self) -> None:
-        for action in self.bench.actions[self.n_seen :]:
+    def check_actions(self) -> None:
+        for action in self.driver.actions[self.n_checked :]:
             self._check(action)
-        self.n_seen = len(self.bench.actions)
+        self.n_checked = len(self.driver.actions)
 
     def _check(self, action: object) -> None:
         if isinstance(action, SendAttempt):
@@ -192,47 +192,47 @@
     def _check_send(self, action: SendAttempt) -> None:
         arrival = action.arrival
         assert not self.finals[arrival.request_id]
-        assert self.bench.now < arrival.deadline
+        assert self.driver.now < arrival.deadline
         self.request_by_attempt[action.attempt_id] = arrival.request_id
         if arrival.idempotency_key:
-            others = [
+            earlier = [
                 attempt
                 for attempt, request_id in self.request_by_attempt.items()
                 if self.arrivals[request_id].idempotency_key == arrival.idempotency_key
                 and attempt != action.attempt_id
             ]
-            assert set(others) <= self.refused, "sent again after its first byte"
-            assert arrival.idempotency_key not in self.keys_run_elsewhere
+            assert set(earlier) <= self.refused, "sent again after its first byte"
+            assert arrival.idempotency_key not in self.keys_run_by_rival
 
     def _check_not_run(self, request_id: str) -> None:
         key = self.arrivals[request_id].idempotency_key
-        assert key not in self.keys_run_elsewhere, "not_run although it ran elsewhere"
-        same = {request_id} | {
+        assert key not in self.keys_run_by_rival, "not_run although it ran elsewhere"
+        same_key = {request_id} | {
             name
             for name, arrival in self.arrivals.items()
             if key and arrival.idempotency_key == key
         }
-        sent = {a for a, r in self.request_by_attempt.items() if r in same}
+        sent = {a for a, r in self.request_by_attempt.items() if r in same_key}
         assert sent <= self.refused, "not_run although an attempt may have run"
-        assert not same & self.left
+        assert not same_key & self.possibly_run
 
     @invariant()
-    def tables_agree(self) -> None:
-        table = self.bench.table
+    def check_tables(self) -> None:
+        table = self.driver.table
         waiting = set(table.requests_by_id)
-        assert self.bench.admission.admitted == waiting
+        assert self.driver.admission.admitted == waiting
         n_attempts = sum(bool(r.attempt_id) for r in table.requests_by_id.values())
-        assert len(self.bench.router.in_flight) == n_attempts
+        assert len(self.driver.router.in_flight) == n_attempts
         for request_id in self.arrivals:
             ended = self.finals[request_id] or request_id in self.gone
             assert ended or request_id in waiting
 
     def teardown(self) -> None:
-        self.bench.now += 1000
-        self.bench.take(self.bench.table.tick(now=self.bench.now))
-        self.actions_hold()
-        self.tables_agree()
-        assert self.bench.table.n_left() == 0
+        self.driver.now += 1000
+        self.driver.take(self.driver.table.tick(now=self.driver.now))
+        self.check_actions()
+        self.check_tables()
+        assert self.driver.table.n_left() == 0
 
 
 TestRequestMachine = RequestMachine.TestCase
