--- a/ryelever/coordination/requests/claims.py
+++ b/ryelever/coordination/requests/claims.py
@@ -108,7 +108,7 @@
         return [AnswerError(request_id=arrival.request_id, error=error)]
 
     def append_claim(self, request: Request, *, now: float) -> Action:
-        """Return the append of a request's claim, and wait for it to be read back."""
+        """Return the append of a request's claim, which must then be read back."""
         claim_id = self._new_id()
         request.claim_id = claim_id
         request.claim_deadline = now + self._timeout
--- a/ryelever/coordination/routing/__init__.py
+++ b/ryelever/coordination/routing/__init__.py
@@ -1,7 +1,7 @@
-"""Choose where an attempt goes, and whether there is another one.
+"""Choose the backend server of each attempt, and decide whether to retry.
 
-Which hosts may run it, which are suspected, left, slow or full, and where a prompt's
-prefix lies.
+A choice considers which backend servers may serve, are leaving, lag, are loaded or
+run suspects of a crash, and which have probably cached the prompt's prefix.
 """
 
 from .candidates import Candidate, CandidateSet
--- a/ryelever/coordination/routing/affinity.py
+++ b/ryelever/coordination/routing/affinity.py
@@ -1,4 +1,4 @@
-"""Rank backend servers for a prompt's prefix, with a bound on their load."""
+"""Rank backend servers by rendezvous hashing of prompt prefixes, and bound loads."""
 
 from __future__ import annotations
 
@@ -15,36 +15,36 @@
 
     from .candidates import Candidate
 
-__all__ = ["bounded_choice", "load_bound", "node_seed", "prefix_key", "ranked"]
+__all__ = ["bounded_choice", "load_bound", "rendezvous_seed", "prefix_key", "ranked"]
 
-#: Characters of one block of a prompt; engines cache whole blocks only.
+#: Characters of one block of a prompt; engines cache only complete blocks.
 BLOCK_CHARS = 256
 
-#: Leading blocks that requests must share to be sent to the same place.
+#: Number of leading blocks that make up the prefix by which requests are routed.
 N_BLOCKS = 4
 
-#: Candidates that are ranked for a key at most.
-WINDOW = 64
+#: Maximum number of candidates that are ranked for a key.
+RANKING_WINDOW = 64
 
-#: Bytes of a prompt's key and of the number that stands for a backend server.
+#: Bytes of a prompt's key and of a backend server's seed.
 DIGEST_BYTES = 7
 
 _MASK = (1 << 64) - 1
 
 
-def node_seed(name: str) -> int:
-    """Return the number that stands for a backend server, equal on all hosts."""
+def rendezvous_seed(name: str) -> int:
+    """Return a backend server's seed in rendezvous hashing, equal on all hosts."""
     return _digest(name)
 
 
 def prefix_key(work: ChatWork, *, n_blocks: int = N_BLOCKS) -> int | None:
-    """Return the key of a prompt's leading blocks.
+    """Return the rendezvous key of a prompt's leading blocks.
 
     Returns
     -------
     int or None
-        None when the prompt does not fill one block: there is nothing cached
-        that would be worth a worse balance.
+        None when the prompt does not fill one block: no block of it can be cached, so
+        affinity would only make the load less balanced.
     """
     wanted = n_blocks * BLOCK_CHARS
     text = ""
@@ -52,32 +52,33 @@
         text += f"\x1e{message.get('role', '')}\x1f{message.get('content', '')}"
         if len(text) >= wanted:
             break
-    n_whole = min(n_blocks, len(text) // BLOCK_CHARS)
-    if not n_whole:
+    n_full_blocks = min(n_blocks, len(text) // BLOCK_CHARS)
+    if not n_full_blocks:
         return None
-    head = f"{work.model}\x1e{work.adapter}{text[: n_whole * BLOCK_CHARS]}"
+    head = f"{work.model}\x1e{work.adapter}{text[: n_full_blocks * BLOCK_CHARS]}"
     return _digest(head)
 
 
 def ranked(key: int, candidates: Sequence[Candidate], *, n: int) -> list[Candidate]:
-    """Return the first candidates in the rendezvous order of a key.
+    """Return the first ``n`` candidates in the rendezvous order of a key.
 
-    A backend server that comes or goes moves only the keys that it ranks first
-    for, and all entry hosts find the same order without a word.
+    A backend server that joins or leaves moves only the keys for which it ranks first.
+    All entry hosts compute the same order without exchanging messages.
 
     Parameters
     ----------
     candidates : sequence of Candidate
-        Ordered by seed.  Of more than ``WINDOW`` only those that follow the key
-        are ranked, so that the cost does not grow with the fleet; what comes or
-        goes then also moves the few keys whose window's edge it shifts.
+        Ordered by seed.  Of more than ``RANKING_WINDOW`` candidates, only those that
+        follow the key's position are ranked, so that the cost does not grow with the
+        fleet.  A backend server that joins or leaves then also moves the few keys for
+        which it shifts the edge of the window.
     """
-    if len(candidates) > WINDOW:
-        place = _mixed(key, WINDOW)
+    if len(candidates) > RANKING_WINDOW:
+        place = _mix(key, RANKING_WINDOW)
         start = bisect.bisect(candidates, place, key=lambda one: one.seed)
-        window = candidates[start : start + WINDOW]
-        candidates = [*window, *candidates[: WINDOW - len(window)]]
-    return heapq.nlargest(n, candidates, key=lambda one: _mixed(key, one.seed))
+        window = candidates[start : start + RANKING_WINDOW]
+        candidates = [*window, *candidates[: RANKING_WINDOW - len(window)]]
+    return heapq.nlargest(n, candidates, key=lambda one: _mix(key, one.seed))
 
 
 def _digest(text: str) -> int:
@@ -86,11 +87,11 @@
     return int.from_bytes(digest, "big")
 
 
-def _mixed(key: int, seed: int) -> int:
-    """Return 56 well mixed bits of two numbers (the finalizer of MurmurHash3).
+def _mix(key: int, seed: int) -> int:
+    """Return a 56-bit hash of two numbers (the finalizer of MurmurHash3).
 
-    ``hash((key, seed))`` is faster and was tried: it gave one of 20 backend servers
-    six times the keys of another.
+    ``hash((key, seed))`` is faster, but gives one of 20 backend servers six times the
+    keys of another.
     """
     mixed = (key ^ seed) * 0xFF51AFD7ED558CCD & _MASK
     mixed ^= mixed >> 33
@@ -98,7 +99,7 @@
 
 
 def load_bound(total: float, share: float, *, slack: float) -> float:
-    """Return the load up to which a backend server may take one more.
+    """Return the maximum load of a backend server, including a new request.
 
     Parameters
     ----------
@@ -107,7 +108,7 @@
     share : float
         The candidate's share of all capacity, such as 1/n.
     slack : float
-        Factor above 1 that a candidate may exceed its fair part by.
+        Ratio, above 1, of the maximum load to the candidate's fair part of ``total``.
 
     References
     ----------
@@ -119,12 +120,12 @@
 def bounded_choice(
     order: Iterable[tuple[str, float, float]], total: float, *, slack: float
 ) -> str | None:
-    """Return the first of an order whose load stays within its bound.
+    """Return the first name whose load stays within its bound with a new request.
 
     Parameters
     ----------
     order : iterable of (name, load, share)
-        Best place first; ``load`` without the new request.
+        Candidates, the preferred one first; ``load`` without the new request.
     total : float
         Load of all candidates without the new request.
     """
--- a/ryelever/coordination/routing/candidates.py
+++ b/ryelever/coordination/routing/candidates.py
@@ -1,4 +1,4 @@
-"""Hold the backend servers that are placed for a work."""
+"""Represent the backend servers that are placed or listed for a model or service."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Candidate:
-    """Name a backend server that is placed for a work, whole or not.
+    """Backend server for a model or service, whether or not it can serve now.
 
     Attributes
     ----------
     group : Group or None
         None for a plain service.
     seed : int
-        Number by which rendezvous hashing ranks it.
+        Seed of the backend server in rendezvous hashing.
     n_accelerators : int
-        Accelerators of all its hosts; at least 1.
+        Number of accelerators of all hosts; at least 1.
     weight : float
-        Its accelerators over the average of all candidates.
+        ``n_accelerators`` divided by the average of all candidates.
     """
 
     name: str
@@ -37,19 +37,26 @@
 
     @property
     def key(self) -> tuple[str, int, int]:
-        """Return what makes a changed candidate a different one."""
+        """Return the values that identify a candidate; a change replaces its list."""
         fencing = self.group.fencing if self.group is not None else -1
         return self.name, fencing, self.n_accelerators
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class CandidateSet:
-    """Hold the candidates of one work; the same object until they change.
+    """Candidates for one model or service; the same object until a candidate changes.
 
     Attributes
     ----------
     own_zone, other_zones : tuple of Candidate
-        Ordered by seed.
+        Candidates in this entry host's availability zone and in all others, ordered by
+        seed.
+    names, keys : tuple
+        Names and keys of all candidates.
+    built_at : float
+        Monotonic time at which the candidates were last compared with the hosts list.
+    offsets : tuple of int
+        Next offsets of the zones' placement logs at that time.
     """
 
     own_zone: tuple[Candidate, ...]
--- a/ryelever/coordination/routing/departures.py
+++ b/ryelever/coordination/routing/departures.py
@@ -1,4 +1,4 @@
-"""Know the backend servers that are leaving, by the first word of anyone."""
+"""Track hosts that are leaving, from the earliest evidence of any source."""
 
 from __future__ import annotations
 
@@ -15,56 +15,57 @@
 __all__ = ["Departures"]
 
 
-#: Seconds for which a peer's word counts against the host's own reports: long
-#: enough for the own copy of the platform's list to show it too.
+#: Seconds for which a peer's announcement outweighs the host's own reports: long
+#: enough for this entry host's copy of the platform's list to show the departure too.
 PEER_HOLD = 3.0
 
-#: Seconds after which a host that gives no reports is tried again.
+#: Seconds after which a host that sends no reports is tried again.
 SERVICE_HOLD = 2.0
 
-#: Seconds for which peers are told of a refusal.
+#: Seconds for which a refusal is announced to peers.
 ANNOUNCED_FOR = 3.0
 
-#: Seconds after which any word is dropped.
+#: Seconds after which any evidence is dropped.
 MAX_AGE = 60.0
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class _Departure:
-    """Hold the newest evidence that a host takes nothing new.
+    """Newest evidence that a host accepts no new requests.
 
     Attributes
     ----------
     at : float
         Monotonic time of the evidence.
     hold : float
-        Seconds for which it stands whatever the host reports.
-    told : bool
-        Pass it on.  Only what this host saw itself is: a word that two hosts pass
-        to and fro would never grow old.
+        Seconds for which the evidence holds whatever the host reports.
+    announced : bool
+        True if the evidence is announced to peers.  Only evidence that this entry host
+        observed itself is announced: evidence that two hosts passed back and forth
+        would never expire.
     """
 
     at: float
     hold: float
-    told: bool
+    announced: bool
 
 
 class Departures:
-    """Hold back work from hosts that refused, or that a peer calls leaving.
+    """Track hosts that refused a request or that a peer announced as leaving.
 
-    The platform's list lags, so a leaving host goes on being listed as live; the
-    operator sees requests fail on a host that was told to go.  The list's and the
-    host's own word are read where they are kept (``Targets``, ``Confirmations``);
-    here is what neither shows.  A word ends only by evidence that is newer than
-    itself: a host's own report that was asked for later.  A plain service gives no
-    report and is tried again after a while.
+    The platform's list lags and keeps listing a leaving host as live; the operator
+    would see requests fail on a host that was told to leave.  The states in the list
+    and in the host's own reports are checked elsewhere (``Targets``,
+    ``Confirmations``); this class keeps evidence that neither shows.  Evidence ends
+    only with newer evidence: a report of the host itself that was requested later.  A
+    plain service sends no reports and is tried again after ``SERVICE_HOLD`` seconds.
 
     Parameters
     ----------
     confirmations : Confirmations
         The hosts' own reports.
     hosts_by_name : dict of str to ListedHost
-        What the platform's list names; kept current by its owner.
+        Hosts in the platform's list; kept current by the owner of the dict.
     """
 
     def __init__(
@@ -75,32 +76,33 @@
         self._departures_by_host: dict[str, _Departure] = {}
 
     def refused(self, host: str, *, connection: bool, now: float) -> None:
-        """Take note that a host refused new work.
+        """Record that a host refused a new request.
 
         Parameters
         ----------
         connection : bool
-            It refused the connection.  A refusal by answer may be due to this one
-            request or to a moment's load, and is not passed on to peers.
+            True if the host refused the connection.  A refusal by answer may be due to
+            this single request or to a short peak of load, and is not announced to
+            peers.
         """
-        self._take(host, _Departure(at=now, hold=0.0, told=connection))
+        self._record_evidence(host, _Departure(at=now, hold=0.0, announced=connection))
 
     def is_leaving(self, host: str, *, now: float) -> bool:
-        """Tell whether the host must get nothing new."""
+        """Return whether a host must get no new requests."""
         departure = self._departures_by_host.get(host)
         if departure is None:
             return False
-        if self._is_refuted(host, departure, now=now):
+        if self._has_ended(host, departure, now=now):
             del self._departures_by_host[host]
             return False
         return True
 
     def observations(self, *, now: float) -> list[Observation]:
-        """Return the hosts that this entry host itself found to be leaving."""
+        """Return the leaving hosts that this entry host itself observed."""
         leaving = {
             host
             for host, departure in list(self._departures_by_host.items())
-            if departure.told
+            if departure.announced
             and now - departure.at <= ANNOUNCED_FOR
             and self.is_leaving(host, now=now)
         }
@@ -115,23 +117,24 @@
     def observed(
         self, observation: Observation, *, peer: str, observed_at: float, now: float
     ) -> None:
-        """Take a peer's word."""
+        """Record a peer's announcement of a leaving host."""
         if not isinstance(observation, LeavingRow):
             return
-        departure = _Departure(at=observed_at, hold=PEER_HOLD, told=False)
-        if not self._is_refuted(observation.host, departure, now=now):
-            self._take(observation.host, departure)
-
-    def _take(self, host: str, departure: _Departure) -> None:
-        # The newest evidence counts, for as long as any of it stands.  Were a refusal
-        # to end a peer's hold, the host's next report would bring back a host that
-        # the peer has seen on the list as leaving, and the own copy has not yet.
+        departure = _Departure(at=observed_at, hold=PEER_HOLD, announced=False)
+        if not self._has_ended(observation.host, departure, now=now):
+            self._record_evidence(observation.host, departure)
+
+    def _record_evidence(self, host: str, departure: _Departure) -> None:
+        # The newest evidence counts, until the latest end of either hold.  If a refusal
+        # ended the hold of a peer's announcement, the host's next report would bring
+        # back a host that the peer's copy of the list shows as leaving, and the copy of
+        # this entry host does not yet.
         known = self._departures_by_host.get(host, departure)
         newest = max(departure, known, key=lambda evidence: evidence.at)
-        until = max(known.at + known.hold, departure.at + departure.hold)
-        self._departures_by_host[host] = replace(newest, hold=until - newest.at)
+        held_until = max(known.at + known.hold, departure.at + departure.hold)
+        self._departures_by_host[host] = replace(newest, hold=held_until - newest.at)
 
-    def _is_refuted(self, host: str, departure: _Departure, *, now: float) -> bool:
+    def _has_ended(self, host: str, departure: _Departure, *, now: float) -> bool:
         age = now - departure.at
         if age > MAX_AGE:
             return True
--- a/ryelever/coordination/routing/feedback.py
+++ b/ryelever/coordination/routing/feedback.py
@@ -1,4 +1,4 @@
-"""Learn from the course of attempts: crashes, refusals, lag."""
+"""Pass results of attempts on: crashes, refusals, failures and latencies."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 
 class AttemptFeedback(Protocol):
-    """Take what the request table sees of attempts, and judge requests by it."""
+    """Receive results of attempts, and decide which requests must not run."""
 
     def verdict(self, fingerprint: str, *, now: float) -> Quarantined | None:
-        """Return why a request must not run, or None if it may."""
+        """Return why a request is quarantined, or None if it may run."""
 
     def first_token(self, target: Target, *, seconds: float, now: float) -> None:
-        """Take the time from sending to the first token."""
+        """Record the seconds from sending an attempt to its first token."""
 
     def proved(self, fingerprint: str, *, now: float) -> None:
-        """Take an attempt that got past the place of an earlier crash."""
+        """Record that an attempt passed the position of an earlier crash."""
 
     def completed(
         self,
@@ -40,7 +40,13 @@
         between_tokens: float | None,
         now: float,
     ) -> None:
-        """Take an attempt that ran to its end."""
+        """Record a completed attempt.
+
+        Parameters
+        ----------
+        between_tokens : float or None
+            Mean seconds between its tokens, if it was streamed.
+        """
 
     def failed(
         self,
@@ -51,20 +57,22 @@
         in_flight: Iterable[str],
         now: float,
     ) -> None:
-        """Take a failed attempt.
+        """Record a failed attempt.
 
         Parameters
         ----------
+        refused : bool
+            True when the backend server did not run the request.
         in_flight : iterable of str
-            Fingerprints of all attempts at the target, the failed one included.
+            Fingerprints of all attempts at the target, including the failed one.
         """
 
 
 class NoFeedback:
-    """Learn nothing; the plain policy of benchmarks and of narrow tests."""
+    """Ignore all results and let every request run; for benchmarks and unit tests."""
 
     def verdict(self, fingerprint: str, *, now: float) -> Quarantined | None:
-        """Let every request run."""
+        """Return None: every request may run."""
         return None
 
     def first_token(self, target: Target, *, seconds: float, now: float) -> None:
@@ -96,7 +104,7 @@
 
 
 class RoutingFeedback:
-    """Hand each thing seen to those who decide by it."""
+    """Pass results to the quarantine, departures, stragglers and the retry budget."""
 
     def __init__(
         self,
@@ -112,15 +120,15 @@
         self._retry_budget = retry_budget
 
     def verdict(self, fingerprint: str, *, now: float) -> Quarantined | None:
-        """Ask the quarantine."""
+        """Return the quarantine's verdict."""
         return self._quarantine.verdict(fingerprint, now=now)
 
     def first_token(self, target: Target, *, seconds: float, now: float) -> None:
-        """Compare the time with siblings'."""
+        """Record the time to the first token for the comparison with siblings."""
         self._stragglers.first_token(target.name, seconds=seconds, now=now)
 
     def proved(self, fingerprint: str, *, now: float) -> None:
-        """Tell the quarantine."""
+        """Report to the quarantine that a suspect passed the position of its crash."""
         self._quarantine.proved(fingerprint, now=now)
 
     def completed(
@@ -131,7 +139,7 @@
         between_tokens: float | None,
         now: float,
     ) -> None:
-        """Clear the request and count the success."""
+        """Clear the request of suspicion and record the success of its target."""
         self._quarantine.completed(fingerprint, now=now)
         self._stragglers.ended(
             target.name, failed=False, between_tokens=between_tokens, now=now
@@ -146,17 +154,18 @@
         in_flight: Iterable[str],
         now: float,
     ) -> None:
-        """Tell a refusal, a death and an error apart."""
+        """Record a refusal, a failure, or a failure by a crash of the target."""
         if refused:
-            # A connect timeout may be a partition that only this host sees.
+            # A connect timeout may be due to a partition that affects only this host.
             connection = error.category is Category.BROKEN
             self._departures.refused(target.hosts[0], connection=connection, now=now)
             return
         self._stragglers.ended(target.name, failed=True, between_tokens=None, now=now)
         if is_crash(error, refused=refused):
             if target.fencing >= 0:
-                # Its last report still calls it ready; nothing new until it is
-                # asked again.  A service may have closed one connection only.
+                # The host's last report still says that it is ready; it gets no new
+                # requests until a newer report.  A plain service is excluded here: it
+                # may have closed only this one connection.
                 self._departures.refused(target.hosts[0], connection=False, now=now)
             crash = f"{target.name}#{target.fencing}"
             self._quarantine.crashed(crash, in_flight, now=now)
--- a/ryelever/coordination/routing/plain.py
+++ b/ryelever/coordination/routing/plain.py
@@ -1,4 +1,4 @@
-"""Choose the target with the fewest own attempts, to measure others against."""
+"""Baseline router that chooses the target with the fewest local attempts."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class LeastInFlightRouter:
-    """Send each attempt to the target with the fewest own attempts in flight.
+    """Send each attempt to the target with the fewest local attempts in flight.
 
-    The baseline that ``AffinityRouter`` is measured against.
+    The baseline with which benchmarks compare ``AffinityRouter``.
 
     Parameters
     ----------
     targets : callable
-        Return the targets that may serve a work at a time: only groups that are
-        confirmed whole, and live hosts of a service.
+        Return the targets that may serve a request at a given time: only groups whose
+        members all confirm them, and live hosts of a service.
     """
 
     def __init__(
@@ -37,7 +37,10 @@
     def choose(
         self, arrival: Arrival, *, tried: tuple[str, ...], now: float
     ) -> Target | None:
-        """Prefer targets that were not tried, then the least loaded one."""
+        """Return the target with the fewest local attempts that was not tried.
+
+        If all were tried, a chat request goes to any target but the last one tried.
+        """
         targets = self._targets(arrival, now)
         untried = [target for target in targets if target.name not in tried]
         if not untried and isinstance(arrival.work, ChatWork) and tried:
@@ -49,22 +52,22 @@
         )
 
     def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
-        """Keep nobody apart."""
+        """Return False: suspects of a crash are not kept apart."""
         return False
 
     def is_lost(self, target: Target, arrival: Arrival, *, now: float) -> bool:
-        """Wait for the attempt to fail."""
+        """Return False: an attempt runs until it ends or fails."""
         return False
 
     def started(self, target: Target, *, fingerprint: str = "", now: float) -> None:
-        """Count the attempt."""
+        """Add an attempt to the count of its target."""
         n_in_flight = self._n_in_flight_by_name.get(target.name, 0)
         self._n_in_flight_by_name[target.name] = n_in_flight + 1
 
     def ended(
         self, target: Target, *, failed: bool, fingerprint: str = "", now: float
     ) -> None:
-        """Count the attempt no more."""
+        """Remove an attempt from the count of its target."""
         self._n_in_flight_by_name[target.name] -= 1
         if not self._n_in_flight_by_name[target.name]:
             del self._n_in_flight_by_name[target.name]
--- a/ryelever/coordination/routing/routing.py
+++ b/ryelever/coordination/routing/routing.py
@@ -23,18 +23,18 @@
 
 __all__ = ["AffinityRouter", "Router"]
 
-#: Candidates drawn at random, of which the least loaded usable one is taken.
+#: Number of candidates drawn at random; the least loaded usable one is chosen.
 N_CHOICES = 8
 
-#: Part of the targets with waiting requests from which on balance goes first.
-CROWDED_SHARE = 0.1
+#: Share of targets with queued requests above which ``crowded_slack`` applies.
+QUEUEING_SHARE = 0.1
 
-#: Seconds for which a full look that found nothing usable is believed.
-NOTHING_INTERVAL = 0.05
+#: Seconds for which a full search that found no usable target is not repeated.
+NO_TARGET_INTERVAL = 0.05
 
 
 class Router(Protocol):
-    """Choose targets and learn from how attempts end."""
+    """Choose the target of each attempt, and track attempts in flight."""
 
     def choose(
         self, arrival: Arrival, *, tried: tuple[str, ...], now: float
@@ -42,23 +42,23 @@
         """Return the target of the next attempt, or None if there is none."""
 
     def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
-        """Tell whether only other suspects of a crash keep a request from running."""
+        """Return whether only suspects of a crash keep a request from running."""
 
     def is_lost(self, target: Target, arrival: Arrival, *, now: float) -> bool:
-        """Tell whether a target can answer no more and another one can."""
+        """Return whether a target can no longer answer while another target can."""
 
     def started(self, target: Target, *, fingerprint: str = "", now: float) -> None:
-        """Take note of an attempt that was sent."""
+        """Record an attempt that was sent."""
 
     def ended(
         self, target: Target, *, failed: bool, fingerprint: str = "", now: float
     ) -> None:
-        """Take note of an attempt that ended."""
+        """Record an attempt that ended."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class _Choice:
-    """Hold a usable candidate; ``load`` is what an average one would hold."""
+    """Usable candidate, its target and its load divided by its weight."""
 
     candidate: Candidate
     target: Target
@@ -66,28 +66,29 @@
 
 
 class AffinityRouter:
-    """Keep prompts with a common prefix together, within a bound on load.
+    """Send prompts with a common prefix to the same target, within a load bound.
 
-    The order of looking: the first places of the prefix in rendezvous order whose
-    load is within the bound; else the least loaded of a few usable ones drawn at
-    random.  Another zone is looked at first when it is clearly less loaded.
+    The router chooses the first candidate in the prefix's rendezvous order whose load
+    is within the bound; if there is none, the least loaded of a few usable candidates
+    drawn at random.  Other zones are tried first if their load is clearly lower.
 
     Parameters
     ----------
     part : callable
-        Return this entry host's place among all of them, and their number.  Its
-        suspects run in its part of the targets while any of it is usable, so that
-        those of two entry hosts do not meet in one crash.
+        Return this entry host's rank among all entry hosts, and their number.  Suspects
+        of a crash run in this host's part of the targets while any target in it is
+        usable, so that suspects of two entry hosts are not in the same crash.
     slack, crowded_slack : float
-        Times the fair part of the load that affinity may put on one target; the
-        second while requests wait at more than a tenth of the targets, when a
-        cached prefix saves less than the place in the queue costs.
+        Ratio of the load that affinity may put on one target to the target's fair part.
+        ``crowded_slack`` applies while requests are queued at more than a tenth of the
+        targets: a cached prefix then saves less time than waiting in the queue costs.
     free_load : float
-        Requests that every target may hold whatever its fair part is: engines
-        batch, so a second request in an idle fleet need not leave its prefix.
+        Requests that every target may hold whatever its fair part is.  Engines batch
+        requests, so a second request in an idle fleet need not go to a target without
+        its prefix.
     overflow_factor, overflow_margin : float
-        Another zone is chosen when ``own > factor * other + margin``, in requests
-        in flight at a target.
+        Another zone is chosen when ``local > factor * other + margin``, where ``local``
+        and ``other`` are the mean requests in flight per target.
     """
 
     def __init__(
@@ -117,33 +118,37 @@
         self._overflow_factor = overflow_factor
         self._overflow_margin = overflow_margin
         self._zones = ZoneTotals(targets=targets, loads=loads, generator=self._random)
-        self._suspects = SuspectsInFlight(quarantine=quarantine)
+        self._suspects_in_flight = SuspectsInFlight(quarantine=quarantine)
 
     def choose(
         self, arrival: Arrival, *, tried: tuple[str, ...], now: float
     ) -> Target | None:
-        """Return the best target that was not tried, or at least not just now."""
+        """Return the best target that was not tried, or else not tried last."""
         found = self._targets.candidates(arrival.work, now=now)
-        self._zones.remember(found)
-        if now < self._zones.nothing_until(found):
+        self._zones.retain(found)
+        if now < self._zones.unusable_until(found):
             return None
         self._stragglers.compare(str(id(found)), found.names, now=now)
         if self._quarantine.is_held(arrival.fingerprint, now=now):
             return None
         if self._quarantine.is_suspect(arrival.fingerprint, now=now):
-            return self._apart(arrival, found, tried=tried, now=now)
+            return self._choose_for_suspect(arrival, found, tried=tried, now=now)
         key = prefix_key(arrival.work) if isinstance(arrival.work, ChatWork) else None
-        choice = self._best(found, key, excluded=tried, now=now)
+        choice = self._choose(found, key, excluded=tried, now=now)
         if choice is None and tried:
-            choice = self._best(found, key, excluded=tried[-1:], now=now)
+            choice = self._choose(found, key, excluded=tried[-1:], now=now)
         if choice is None:
             if not tried:
-                self._zones.found_nothing(found, until=now + NOTHING_INTERVAL)
+                self._zones.mark_unusable(found, until=now + NO_TARGET_INTERVAL)
             return None
         return choice.target
 
     def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
-        """Tell whether something could serve a suspect, were there no others."""
+        """Return whether a request is held, or a suspect that a target could serve.
+
+        The quarantine holds a request that waits for its verdict.  A suspect waits for
+        a target without another suspect.
+        """
         if self._quarantine.is_held(arrival.fingerprint, now=now):
             return True
         if not self._quarantine.is_suspect(arrival.fingerprint, now=now):
@@ -155,25 +160,25 @@
         )
 
     def is_lost(self, target: Target, arrival: Arrival, *, now: float) -> bool:
-        """Tell whether its group is no longer whole and another one is."""
+        """Return whether a target's group is incomplete while another can serve."""
         return self._targets.is_lost(target, arrival, now=now)
 
     def started(self, target: Target, *, fingerprint: str = "", now: float) -> None:
-        """Count the attempt."""
-        self._suspects.started(target.name, fingerprint)
+        """Record an attempt that was sent, for loads, stragglers and suspects."""
+        self._suspects_in_flight.started(target.name, fingerprint)
         self._loads.started(target.name, now=now)
         self._stragglers.started(target.name, now=now)
 
     def ended(
         self, target: Target, *, failed: bool, fingerprint: str = "", now: float
     ) -> None:
-        """Count the attempt no more."""
-        self._suspects.ended(target.name, fingerprint)
+        """Record an attempt that ended, for loads and suspects."""
+        self._suspects_in_flight.ended(target.name, fingerprint)
         self._loads.ended(target.name, now=now)
 
     # Choosing
 
-    def _best(
+    def _choose(
         self,
         found: CandidateSet,
         key: int | None,
@@ -181,69 +186,71 @@
         excluded: Sequence[str],
         now: float,
     ) -> _Choice | None:
-        own_first = not self._overflows(found, now=now)
-        for is_own in (own_first, not own_first):
-            choice = self._in_zone(
-                found, key, is_own=is_own, excluded=excluded, now=now
+        local_first = not self._overflows(found, now=now)
+        for is_local in (local_first, not local_first):
+            choice = self._choose_in_zone(
+                found, key, is_local=is_local, excluded=excluded, now=now
             )
             if choice is not None:
                 return choice
         return None
 
     def _overflows(self, found: CandidateSet, *, now: float) -> bool:
-        """Tell whether this request leaves its zone.
+        """Return whether other zones are tried first, by load or as the only ones.
 
-        Loads are known late.  Were all requests to leave at once, the other zone
-        would be the crowded one a moment later, and so to and fro; so only the part
-        leaves that would make the two equal.
+        Loads are known with a delay.  If all requests went to the other zone at once,
+        that zone would be the crowded one a moment later, and the load would swing back
+        and forth.  Only the share of requests that makes both loads equal goes there.
         """
         if not found.own_zone or not found.other_zones:
             return not found.own_zone
-        own = self._zones.total(found, is_own=True, now=now).mean
-        other = self._zones.total(found, is_own=False, now=now).mean
-        if own <= self._overflow_factor * other + self._overflow_margin:
+        local = self._zones.total(found, is_local=True, now=now).mean
+        other = self._zones.total(found, is_local=False, now=now).mean
+        if local <= self._overflow_factor * other + self._overflow_margin:
             return False
-        return self._random.random() < (own - other) / (2 * own)
+        return self._random.random() < (local - other) / (2 * local)
 
-    def _in_zone(
+    def _choose_in_zone(
         self,
         found: CandidateSet,
         key: int | None,
         *,
-        is_own: bool,
+        is_local: bool,
         excluded: Sequence[str],
         now: float,
     ) -> _Choice | None:
-        candidates = found.own_zone if is_own else found.other_zones
+        candidates = found.own_zone if is_local else found.other_zones
         if not candidates:
             return None
         if key is not None:
-            choice = self._affine(found, key, is_own=is_own, excluded=excluded, now=now)
+            choice = self._choose_by_prefix(
+                found, key, is_local=is_local, excluded=excluded, now=now
+            )
             if choice is not None:
                 return choice
-        return self._of_few(candidates, excluded=excluded, now=now)
+        return self._choose_from_sample(candidates, excluded=excluded, now=now)
 
-    def _affine(
+    def _choose_by_prefix(
         self,
         found: CandidateSet,
         key: int,
         *,
-        is_own: bool,
+        is_local: bool,
         excluded: Sequence[str],
         now: float,
     ) -> _Choice | None:
-        total = self._zones.total(found, is_own=is_own, now=now)
-        crowded = total.queueing_share > CROWDED_SHARE
+        total = self._zones.total(found, is_local=is_local, now=now)
+        crowded = total.queueing_share > QUEUEING_SHARE
         slack = self._crowded_slack if crowded else self._slack
-        for candidate in self._zones.order(found, key, is_own=is_own):
-            load = self._loads.damped(candidate, now=now)
+        for candidate in self._zones.order(found, key, is_local=is_local):
+            load = self._loads.damped_load(candidate, now=now)
             share = candidate.weight / max(candidate.weight, total.weight)
-            bound = load_bound(total.damped + 1, share, slack=slack)
+            bound = load_bound(total.damped_load + 1, share, slack=slack)
             if load + 1 > max(bound, self._free_load):
                 continue
             if self._loads.is_queueing(candidate, now=now):
                 continue
-            if candidate.name in excluded or not self._preferred(candidate, now=now):
+            if candidate.name in excluded or not self._is_preferred(candidate, now=now):
                 continue
             target = self._targets.target(candidate, now=now)
             if target is not None:
@@ -252,56 +259,57 @@
                 )
         return None
 
-    def _of_few(
+    def _choose_from_sample(
         self, candidates: Sequence[Candidate], *, excluded: Sequence[str], now: float
     ) -> _Choice | None:
         drawn: list[tuple[float, int]] = []
         for _ in range(N_CHOICES):
             index = int(self._random.random() * len(candidates))
             candidate = candidates[index]
-            if candidate.name in excluded or not self._preferred(candidate, now=now):
+            if candidate.name in excluded or not self._is_preferred(candidate, now=now):
                 continue
-            load = self._loads.damped(candidate, now=now) / candidate.weight
+            load = self._loads.damped_load(candidate, now=now) / candidate.weight
             drawn.append((load, index))
-        # Ties stay in the order of the draw: sorted by place, they would send what
-        # all entry hosts get in a quiet moment to the same one.
+        # Ties stay in the order of the draw: sorted by index, they would make all entry
+        # hosts send their requests at times of low load to the same candidate.
         drawn.sort(key=itemgetter(0))
-        # To judge wholeness costs most, so it is asked from the least loaded on.
+        # Checking whether a group is complete costs most, so the check starts with the
+        # least loaded candidate.
         for _, index in drawn:
-            choice = self._usable(candidates[index], now=now)
+            choice = self._usable_choice(candidates[index], now=now)
             if choice is not None:
                 return choice
-        return self._of_all(candidates, excluded=excluded, now=now)
+        return self._choose_from_all(candidates, excluded=excluded, now=now)
 
-    def _of_all(
+    def _choose_from_all(
         self, candidates: Sequence[Candidate], *, excluded: Sequence[str], now: float
     ) -> _Choice | None:
-        """Return the least loaded of all, and a straggler rather than nothing."""
+        """Return the least loaded usable candidate; stragglers only if no other."""
         untried = [one for one in candidates if one.name not in excluded]
-        preferred = [one for one in untried if self._preferred(one, now=now)]
+        preferred = [one for one in untried if self._is_preferred(one, now=now)]
         for some in (preferred, untried):
-            choices = [self._usable(candidate, now=now) for candidate in some]
+            choices = [self._usable_choice(candidate, now=now) for candidate in some]
             usable = [choice for choice in choices if choice is not None]
             if usable:
                 return min(usable, key=attrgetter("load"))
         return None
 
-    def _usable(self, candidate: Candidate, *, now: float) -> _Choice | None:
+    def _usable_choice(self, candidate: Candidate, *, now: float) -> _Choice | None:
         target = self._targets.target(candidate, now=now)
         if target is None:
             return None
-        load = self._loads.damped(candidate, now=now) / candidate.weight
+        load = self._loads.damped_load(candidate, now=now) / candidate.weight
         return _Choice(candidate=candidate, target=target, load=load)
 
-    def _preferred(self, candidate: Candidate, *, now: float) -> bool:
+    def _is_preferred(self, candidate: Candidate, *, now: float) -> bool:
         name = candidate.name
-        return self._stragglers.may_take(name, now=now) and not self._suspects.at(
+        return self._stragglers.may_receive(
             name, now=now
-        )
+        ) and not self._suspects_in_flight.at(name, now=now)
 
     # Suspects
 
-    def _apart(
+    def _choose_for_suspect(
         self,
         arrival: Arrival,
         found: CandidateSet,
@@ -309,19 +317,20 @@
         tried: tuple[str, ...],
         now: float,
     ) -> Target | None:
-        """Place a suspect at the emptiest target that runs no other suspect.
+        """Return the least loaded target that runs no other suspect, or None.
 
-        A second sending of a suspect goes where the first one runs, so that one
-        crash takes both.  Without a free target it waits for its turn.
+        If the caller sent the same suspect twice, the second request goes to the target
+        of the first, so that both are in the same crash.  Without a free target the
+        suspect waits.
         """
-        running_at = self._suspects.targets_of(arrival.fingerprint)
+        running_at = self._suspects_in_flight.targets_of(arrival.fingerprint)
         all_usable = self._usable_for_suspects(found, now=now)
         for excluded in (tried, tried[-1:]):
             free = [
                 choice
                 for choice in all_usable
                 if choice.candidate.name not in excluded
-                and not self._suspects.at(choice.candidate.name, now=now)
+                and not self._suspects_in_flight.at(choice.candidate.name, now=now)
                 - {arrival.fingerprint}
             ]
             if free:
@@ -337,12 +346,12 @@
         return None
 
     def _usable_for_suspects(self, found: CandidateSet, *, now: float) -> list[_Choice]:
-        """Return the usable ones of the own part, or of all if there is none."""
+        """Return usable candidates of this entry host's part, or else of all."""
         rank, n_hosts = self._part()
         candidates = sorted(found.own_zone + found.other_zones, key=attrgetter("seed"))
         for part in (candidates[rank::n_hosts], candidates):
             choices = [
-                self._usable(candidate, now=now)
+                self._usable_choice(candidate, now=now)
                 for candidate in self._zones.sample(part)
             ]
             usable = [choice for choice in choices if choice is not None]
--- a/ryelever/coordination/routing/stragglers.py
+++ b/ryelever/coordination/routing/stragglers.py
@@ -1,4 +1,4 @@
-"""Find backend servers that lag behind their siblings, and probe them back."""
+"""Eject backend servers that lag behind their siblings, and readmit them by probes."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 __all__ = ["Stragglers"]
 
 #: Weight of the newest sample in a moving average.
-NEWEST = 0.2
+NEWEST_WEIGHT = 0.2
 
-#: Samples without which nobody is judged.
+#: Minimum number of samples of a backend server before it is compared.
 MIN_SAMPLES = 8
 
 #: Seconds between two comparisons of the same siblings.
 COMPARE_INTERVAL = 1.0
 
-#: Records kept before those of backend servers that are gone are dropped.
+#: Number of records above which records without recent attempts are dropped.
 MAX_RECORDS = 4096
 
 #: Seconds without an attempt after which a record may be dropped.
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Record:
-    """Hold what was seen of one backend server; times in seconds."""
+    """Moving averages and ejection state of one backend server; times in seconds."""
 
     first_token: float = 0.0
     n_first_tokens: int = 0
@@ -40,27 +40,31 @@
     is_ejected: bool = False
     probe_sent_at: float = float("-inf")
     siblings: Sequence[str] = ()
-    seen_at: float = float("-inf")
+    updated_at: float = float("-inf")
 
 
 class Stragglers:
-    """Eject what is far slower, or fails far more, than its siblings.
+    """Eject backend servers that are far slower, or fail far more, than their siblings.
 
-    A paused or throttled member slows its whole group; nothing fails, and the
-    operator sees only the tail of the waiting times grow.  An absolute limit would
-    eject everyone when all are slow, so each is held against the median of its
-    siblings, and only a share of them may be out at a time.
+    Siblings are the candidates for the same model or service.  A paused or throttled
+    member slows its entire group; no request fails, and the operator sees only the tail
+    of the waiting times grow.  An absolute limit would eject all backend servers when
+    all are slow.  Each is therefore compared with the median of its siblings, and only
+    a share of the siblings may be ejected at a time.
 
     Parameters
     ----------
     factor : float
-        Times the siblings' median that counts as lagging.
+        Ratio to the siblings' median above which a backend server counts as lagging.
     max_share : float
-        Largest share of siblings that may be out at a time.
+        Maximum share of siblings that may be ejected at a time.
     hold : float
-        Seconds until the first probe; doubled with each ejection in a row.
+        Seconds from an ejection to the first probe; doubled with each consecutive
+        ejection.
+    max_hold : float
+        Maximum of the doubled ``hold``.
     probe_timeout : float
-        Seconds after which a probe without an outcome is given up.
+        Seconds after which a probe without a result is abandoned.
     """
 
     def __init__(
@@ -80,8 +84,8 @@
         self._records_by_name: dict[str, _Record] = {}
         self._compared_at_by_siblings: dict[str, float] = {}
 
-    def may_take(self, name: str, *, now: float) -> bool:
-        """Tell whether it is in, or may get one probe."""
+    def may_receive(self, name: str, *, now: float) -> bool:
+        """Return whether a backend server is not ejected or may get a probe."""
         record = self._records_by_name.get(name)
         if record is None or not record.is_ejected:
             return True
@@ -89,13 +93,13 @@
         return now >= record.ejected_until and not probing
 
     def started(self, name: str, *, now: float) -> None:
-        """Take note of an attempt; to an ejected one it is the probe."""
+        """Record an attempt; at an ejected backend server it is the probe."""
         record = self._records_by_name.get(name)
         if record is not None and record.is_ejected:
             record.probe_sent_at = now
 
     def first_token(self, name: str, *, seconds: float, now: float) -> None:
-        """Take the time from sending to the first token."""
+        """Record the seconds from sending an attempt to its first token."""
         record = self._record(name, now=now)
         n_samples = record.n_first_tokens
         record.first_token = _average(record.first_token, seconds, n_samples)
@@ -104,7 +108,7 @@
     def ended(
         self, name: str, *, failed: bool, between_tokens: float | None, now: float
     ) -> None:
-        """Take the end of an attempt and the mean time between its tokens."""
+        """Record the end of an attempt and the mean seconds between its tokens."""
         record = self._record(name, now=now)
         failure = float(failed)
         record.failure_share = _average(record.failure_share, failure, record.n_ended)
@@ -116,10 +120,13 @@
             )
             record.n_between_tokens = n_samples + 1
         if record.is_ejected and now >= record.ejected_until:
-            self._judge_probe(record, failed=failed, now=now)
+            self._evaluate_probe(record, failed=failed, now=now)
 
     def compare(self, siblings_id: str, names: Sequence[str], *, now: float) -> None:
-        """Eject the worst of siblings, unless they were compared just now."""
+        """Eject the siblings that lag most.
+
+        Siblings are compared at most once in ``COMPARE_INTERVAL`` seconds.
+        """
         compared_at = self._compared_at_by_siblings.get(siblings_id, float("-inf"))
         if now - compared_at < COMPARE_INTERVAL:
             return
@@ -129,20 +136,20 @@
             for name in names
             if name in self._records_by_name
         ]
-        n_out = sum(record.is_ejected for _, record in known)
-        n_allowed = self._n_allowed(len(names)) - n_out
+        n_ejected = sum(record.is_ejected for _, record in known)
+        n_allowed = self._n_allowed(len(names)) - n_ejected
         if n_allowed <= 0:
             return
-        judged = [record for _, record in known if not record.is_ejected]
-        excess = self._excess_of(judged)
-        worst = sorted(zip(excess, range(len(judged)), strict=True), reverse=True)
-        for how_much, index in worst[:n_allowed]:
-            if how_much > self._factor:
-                judged[index].siblings = names
-                self._eject(judged[index], now=now)
+        compared = [record for _, record in known if not record.is_ejected]
+        excess = self._excess_ratios(compared)
+        worst = sorted(zip(excess, range(len(compared)), strict=True), reverse=True)
+        for ratio, index in worst[:n_allowed]:
+            if ratio > self._factor:
+                compared[index].siblings = names
+                self._eject(compared[index], now=now)
 
     def is_ejected(self, name: str) -> bool:
-        """Tell whether it is out at present."""
+        """Return whether a backend server is ejected."""
         record = self._records_by_name.get(name)
         return record is not None and record.is_ejected
 
@@ -151,8 +158,8 @@
             return 0
         return max(1, int(n_siblings * self._max_share))
 
-    def _excess_of(self, records: list[_Record]) -> list[float]:
-        """Return by how many times each exceeds the median of the others."""
+    def _excess_ratios(self, records: list[_Record]) -> list[float]:
+        """Return each record's largest ratio to the median of the other records."""
         first = [
             record.first_token if record.n_first_tokens >= MIN_SAMPLES else None
             for record in records
@@ -161,8 +168,8 @@
             record.between_tokens if record.n_between_tokens >= MIN_SAMPLES else None
             for record in records
         ]
-        # Half a failure in ten is put under both sides of the ratio: one failure
-        # among siblings that never fail must not look infinitely worse.
+        # Half a failure in ten attempts is added to both sides of the ratio: one
+        # failure among siblings that never fail must not count as infinitely worse.
         failures = [
             record.failure_share + 0.05 if record.n_ended >= MIN_SAMPLES else None
             for record in records
@@ -176,12 +183,12 @@
         record.n_ejections += 1
         record.ejected_until = now + hold
         record.probe_sent_at = float("-inf")
-        # The probe is judged by what it shows itself, not by the past.
+        # The probe is evaluated by its own samples, without those before the ejection.
         record.n_first_tokens = 0
         record.n_between_tokens = 0
         record.n_ended = 0
 
-    def _judge_probe(self, record: _Record, *, failed: bool, now: float) -> None:
+    def _evaluate_probe(self, record: _Record, *, failed: bool, now: float) -> None:
         others = [
             self._records_by_name[name]
             for name in record.siblings
@@ -192,7 +199,8 @@
             (record.between_tokens, [other.between_tokens for other in others]),
         ]
         lags = failed or any(
-            own > self._factor * _median_above_0(values) for own, values in pairs
+            sample > self._factor * _median_of_positive(values)
+            for sample, values in pairs
         )
         if lags:
             self._eject(record, now=now)
@@ -206,28 +214,28 @@
             if len(self._records_by_name) >= MAX_RECORDS:
                 self._drop_old(now=now)
             record = self._records_by_name[name] = _Record()
-        record.seen_at = now
+        record.updated_at = now
         return record
 
     def _drop_old(self, *, now: float) -> None:
         for name, record in list(self._records_by_name.items()):
-            if now - record.seen_at > RECORD_MAX_AGE:
+            if now - record.updated_at > RECORD_MAX_AGE:
                 del self._records_by_name[name]
 
 
 def _average(average: float, sample: float, n_samples: int) -> float:
-    """Move an average; the first samples count alike."""
-    weight = max(NEWEST, 1.0 / (n_samples + 1))
+    """Return the moving average with a new sample; the first samples weigh the same."""
+    weight = max(NEWEST_WEIGHT, 1.0 / (n_samples + 1))
     return average + weight * (sample - average)
 
 
-def _median_above_0(values: list[float]) -> float:
+def _median_of_positive(values: list[float]) -> float:
     positive = [value for value in values if value > 0.0]
     return statistics.median(positive) if positive else float("inf")
 
 
 def _ratios(column: list[float | None]) -> list[float]:
-    """Return each value over the median of all others; 0 for the unknown."""
+    """Return each value divided by the median of the others; 0 for None."""
     known = sorted(value for value in column if value is not None)
     if len(known) < 2:
         return [0.0] * len(column)
--- a/ryelever/coordination/routing/suspects.py
+++ b/ryelever/coordination/routing/suspects.py
@@ -12,12 +12,12 @@
 
 
 class SuspectsInFlight:
-    """Know which suspects run where.
+    """Track which requests run at which target, to keep suspects apart.
 
-    A crash breaks off a poisonous request and bystanders alike.  Were two of them to
-    run at one target again, the next crash would single out neither: the operator
-    sees group after group die, since each round has fresh bystanders.  So a target
-    holds one suspect at a time, and the others wait for their turn.
+    A crash breaks off the poison request together with bystanders.  If two of them ran
+    at one target again, the next crash would identify neither: the operator would see
+    group after group die, since each crash adds new bystanders.  A target therefore
+    runs one suspect at a time, and the other suspects wait.
     """
 
     def __init__(self, *, quarantine: Quarantine) -> None:
@@ -25,12 +25,12 @@
         self._fingerprints_by_target: dict[str, Counter[str]] = {}
 
     def started(self, target: str, fingerprint: str) -> None:
-        """Count an attempt of a request, suspect or not yet."""
+        """Record an attempt at a target; its request may become a suspect later."""
         running = self._fingerprints_by_target.setdefault(target, Counter())
         running[fingerprint] += 1
 
     def ended(self, target: str, fingerprint: str) -> None:
-        """Count an attempt no more."""
+        """Remove an attempt that ended."""
         running = self._fingerprints_by_target[target]
         running[fingerprint] -= 1
         if not running[fingerprint]:
@@ -39,7 +39,7 @@
             del self._fingerprints_by_target[target]
 
     def at(self, target: str, *, now: float) -> set[str]:
-        """Return the suspects that run at a target."""
+        """Return the fingerprints of the suspects that run at a target."""
         if not self._quarantine.has_suspects:
             return set()
         return {
@@ -49,7 +49,7 @@
         }
 
     def targets_of(self, fingerprint: str) -> set[str]:
-        """Return where a request runs; its caller may have sent it twice."""
+        """Return the targets that run a request; its caller may have sent it twice."""
         return {
             target
             for target, running in self._fingerprints_by_target.items()
--- a/ryelever/coordination/routing/targets.py
+++ b/ryelever/coordination/routing/targets.py
@@ -1,4 +1,4 @@
-"""Name the backend servers that may take a request right now."""
+"""List the candidates for a request, and check which of them may serve it now."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ..actions import Arrival, ChatWork, ServiceWork, Target
-from .affinity import node_seed
+from .affinity import rendezvous_seed
 from .candidates import Candidate, CandidateSet
 
 if TYPE_CHECKING:
@@ -22,18 +22,18 @@
 #: Seconds after which a candidate list is compared with the hosts list again.
 REBUILD_INTERVAL = 1.0
 
-#: Most candidate lists kept; one for each model, adapter and service in use.
+#: Maximum number of candidate lists kept: one for each model, adapter and service.
 MAX_SETS = 512
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ReportedLoad:
-    """Hold the load that a backend server reports of itself.
+    """Load that a backend server reports of itself.
 
     Attributes
     ----------
     age : float
-        Seconds since the report was asked for.
+        Seconds since the report was requested.
     """
 
     n_running: int
@@ -42,18 +42,20 @@
 
 
 class Targets:
-    """Keep candidate lists and judge a candidate only when it is looked at.
+    """Keep candidate lists, and check a candidate only when a decision needs it.
 
-    To judge 800 groups for each request would cost milliseconds.  The lists
-    change with the placement only; whether a group is whole changes all the time,
-    and is asked for the few candidates that a decision looks at.
+    Checking 800 groups for each request would take milliseconds.  The lists change only
+    with the placement and the platform's list.  Whether a group is complete changes all
+    the time, and is checked only for the few candidates that a decision considers.
 
     Parameters
     ----------
+    availability_zone : str
+        Zone of this entry host.
     hosts_by_name : dict of str to ListedHost
-        What the platform's list names; kept current by its owner.
+        Hosts in the platform's list; kept current by the owner of the dict.
     departures : Departures or None
-        Knows the hosts that are leaving.
+        Hosts that refused requests or were announced as leaving.
     """
 
     def __init__(
@@ -73,7 +75,7 @@
         self._sets_by_work: dict[tuple[str, str, str], CandidateSet] = {}
 
     def for_arrival(self, arrival: Arrival, now: float) -> list[Target]:
-        """Return the targets that may serve an arrival now, own zone first."""
+        """Return the targets in this host's zone that may serve now, or in others."""
         found = self.candidates(arrival.work, now=now)
         for candidates in (found.own_zone, found.other_zones):
             usable = [self.target(candidate, now=now) for candidate in candidates]
@@ -83,7 +85,7 @@
         return []
 
     def candidates(self, work: ChatWork | ServiceWork, *, now: float) -> CandidateSet:
-        """Return everything that is placed or listed for a work."""
+        """Return all groups placed, or hosts listed, for a model or service."""
         if isinstance(work, ChatWork):
             key = (work.model, work.adapter, "")
         else:
@@ -99,7 +101,7 @@
         return self._rebuild(work, key, offsets, now=now)
 
     def target(self, candidate: Candidate, *, now: float) -> Target | None:
-        """Return the target of a candidate that may be used now, or else None."""
+        """Return the target of a candidate if it may serve now, or else None."""
         listed = self._hosts_by_name.get(candidate.hosts[0])
         if listed is None:
             return None
@@ -116,9 +118,10 @@
         )
 
     def is_lost(self, target: Target, arrival: Arrival, *, now: float) -> bool:
-        """Tell whether a group stopped counting as whole and another one serves.
+        """Return whether a target's group is incomplete while another can serve.
 
-        A draining group ends what it runs, and a plain service has no members.
+        A draining group that is complete finishes its running requests and is not lost.
+        A plain service has no members and is never lost.
         """
         if target.fencing < 0:
             return False
@@ -128,12 +131,14 @@
             group = candidate.group
             if candidate.name != target.name:
                 others.append(candidate)
-            elif group is not None and self._still_whole(group, target, now=now):
+            elif group is not None and self._is_same_and_complete(
+                group, target, now=now
+            ):
                 return False
         return any(self.target(other, now=now) is not None for other in others)
 
     def reported_load(self, candidate: Candidate, *, now: float) -> ReportedLoad | None:
-        """Return what rank 0 reports, if its report still counts."""
+        """Return the load reported by rank 0, or None without a recent report."""
         known = self._confirmations.reports_by_host.get(candidate.hosts[0])
         if known is None or now - known.asked_at > self._confirmations.max_age:
             return None
@@ -143,12 +148,14 @@
             age=now - known.asked_at,
         )
 
-    def _still_whole(self, group: Group, target: Target, *, now: float) -> bool:
+    def _is_same_and_complete(
+        self, group: Group, target: Target, *, now: float
+    ) -> bool:
         same = group.fencing == target.fencing
         return same and self._confirmations.is_complete(group, now=now)
 
     def _may_serve(self, group: Group, *, now: float) -> bool:
-        # A draining group ends what it runs and is then dissolved.
+        # A draining group finishes its running requests and is then dissolved.
         return not group.draining and self._confirmations.is_complete(group, now=now)
 
     def _is_leaving(self, host: str, *, now: float) -> bool:
@@ -168,32 +175,36 @@
         now: float,
     ) -> CandidateSet:
         if isinstance(work, ChatWork):
-            candidates = list(self._placed(work))
+            candidates = list(self._placed_candidates(work))
         else:
-            candidates = list(self._listed(work.service))
+            candidates = list(self._listed_candidates(work.service))
         keys = tuple(candidate.key for candidate in candidates)
         known = self._sets_by_work.get(key)
         if known is not None and known.keys == keys:
-            # A renewed lease moves the offset and changes no candidate.  The old
-            # object stays, and with it the ranks that others keep for it.
+            # A renewed lease advances the offset but changes no candidate.  The object
+            # is kept, because ``ZoneTotals`` caches ranks by the id of the object.
             known.built_at = now
             known.offsets = offsets
             return known
-        weighted = sorted(_weighted(candidates), key=lambda one: one.seed)
-        own = self._availability_zone
+        ordered = sorted(_with_weights(candidates), key=lambda one: one.seed)
+        local_zone = self._availability_zone
         if len(self._sets_by_work) >= MAX_SETS:
             self._sets_by_work.clear()
         rebuilt = self._sets_by_work[key] = CandidateSet(
-            own_zone=tuple(one for one in weighted if one.availability_zone == own),
-            other_zones=tuple(one for one in weighted if one.availability_zone != own),
-            names=tuple(one.name for one in weighted),
+            own_zone=tuple(
+                one for one in ordered if one.availability_zone == local_zone
+            ),
+            other_zones=tuple(
+                one for one in ordered if one.availability_zone != local_zone
+            ),
+            names=tuple(one.name for one in ordered),
             keys=keys,
             built_at=now,
             offsets=offsets,
         )
         return rebuilt
 
-    def _placed(self, work: ChatWork) -> Iterable[Candidate]:
+    def _placed_candidates(self, work: ChatWork) -> Iterable[Candidate]:
         for zone, fold in self._placements_by_zone.items():
             for group in fold.groups_by_name.values():
                 if group.model != work.model or group.dissolved:
@@ -202,7 +213,7 @@
                     continue
                 yield self._candidate(group.name, zone, group.members, group=group)
 
-    def _listed(self, service: str) -> Iterable[Candidate]:
+    def _listed_candidates(self, service: str) -> Iterable[Candidate]:
         for host in self._hosts_by_name.values():
             if host.service == service:
                 yield self._candidate(host.host, host.availability_zone, (host.host,))
@@ -221,13 +232,13 @@
             name=name,
             availability_zone=zone,
             hosts=hosts,
-            seed=node_seed(name),
+            seed=rendezvous_seed(name),
             n_accelerators=max(1, n_accelerators),
             group=group,
         )
 
 
-def _weighted(candidates: list[Candidate]) -> list[Candidate]:
+def _with_weights(candidates: list[Candidate]) -> list[Candidate]:
     n_accelerators = sum(candidate.n_accelerators for candidate in candidates)
     average = n_accelerators / max(1, len(candidates))
     return [
--- a/ryelever/coordination/routing/zones.py
+++ b/ryelever/coordination/routing/zones.py
@@ -1,4 +1,4 @@
-"""Keep what a router works out of each list of candidates."""
+"""Cache rendezvous orders and load totals of candidate lists for a router."""
 
 from __future__ import annotations
 
@@ -17,35 +17,40 @@
 
 __all__ = ["ZoneTotal", "ZoneTotals"]
 
-#: Places in the rendezvous order that are tried before balance goes first.
+#: Number of candidates in rendezvous order tried before a choice by load alone.
 N_RANKED = 4
 
-#: Candidates that the total load is estimated from.
+#: Maximum number of candidates from which the total load is estimated.
 MAX_SAMPLE = 64
 
-#: Seconds for which an estimate of the total load is kept.
+#: Seconds for which an estimate of the total load is reused.
 TOTAL_INTERVAL = 0.25
 
-#: Prefixes whose rendezvous order is kept.
+#: Maximum number of cached rendezvous orders.
 MAX_ORDERS = 8192
 
 
 @dataclass(slots=True, kw_only=True)
 class ZoneTotal:
-    """Hold the estimated load of one zone's usable candidates.
+    """Estimated load of the usable candidates in this host's zone or all other zones.
 
     Attributes
     ----------
     load : float
-        All requests in flight there.
-    damped : float
-        The same with the weight that siblings are compared by.
+        All requests in flight at the candidates.
+    damped_load : float
+        The same, with other entry hosts' requests weighted as by
+        ``LoadView.damped_load``.
     queueing_share : float
-        Part of the candidates that report waiting requests.
+        Share of the candidates that report queued requests.
+    weight : float
+        Sum of the candidates' weights.
+    estimated_at : float
+        Monotonic time of the estimate.
     """
 
     load: float
-    damped: float
+    damped_load: float
     queueing_share: float
     weight: float
     estimated_at: float
@@ -57,7 +62,7 @@
 
 
 class ZoneTotals:
-    """Keep orders and estimated loads, which cost too much for each request."""
+    """Cache rendezvous orders and load totals, too slow to compute per request."""
 
     def __init__(
         self, *, targets: Targets, loads: LoadView, generator: random.Random
@@ -70,45 +75,53 @@
         )
         self._sets_by_id: dict[int, CandidateSet] = {}
         self._totals_by_set: dict[tuple[int, bool], ZoneTotal] = {}
-        self._nothing_until_by_set: dict[int, float] = {}
+        self._unusable_until_by_set: dict[int, float] = {}
 
-    def remember(self, found: CandidateSet) -> None:
-        """Hold on to a list, so that its id stays its own, and drop old ones."""
+    def retain(self, found: CandidateSet) -> None:
+        """Keep a reference to a candidate list, so that its id is not reused.
+
+        Beyond ``MAX_SAMPLE`` lists, all cached lists and values are dropped.
+        """
         if id(found) in self._sets_by_id:
             return
         if len(self._sets_by_id) >= MAX_SAMPLE:
             self._sets_by_id.clear()
             self._orders.clear()
             self._totals_by_set.clear()
-            self._nothing_until_by_set.clear()
+            self._unusable_until_by_set.clear()
         self._sets_by_id[id(found)] = found
 
-    def found_nothing(self, found: CandidateSet, *, until: float) -> None:
-        """Believe for a moment that nothing of a list is usable."""
-        self._nothing_until_by_set[id(found)] = until
+    def mark_unusable(self, found: CandidateSet, *, until: float) -> None:
+        """Mark all candidates of a list as unusable until a time."""
+        self._unusable_until_by_set[id(found)] = until
 
-    def nothing_until(self, found: CandidateSet) -> float:
-        """Return until when nothing of a list is believed to be usable."""
-        return self._nothing_until_by_set.get(id(found), float("-inf"))
+    def unusable_until(self, found: CandidateSet) -> float:
+        """Return the time until which no candidate of a list counts as usable."""
+        return self._unusable_until_by_set.get(id(found), float("-inf"))
 
-    def order(self, found: CandidateSet, key: int, *, is_own: bool) -> list[Candidate]:
-        """Return the first places of a prefix in its rendezvous order."""
-        known = self._orders.get((id(found), key, is_own))
+    def order(
+        self, found: CandidateSet, key: int, *, is_local: bool
+    ) -> list[Candidate]:
+        """Return the first candidates in the rendezvous order of a prefix."""
+        known = self._orders.get((id(found), key, is_local))
         if known is not None:
             return known
-        candidates = found.own_zone if is_own else found.other_zones
+        candidates = found.own_zone if is_local else found.other_zones
         if len(self._orders) >= MAX_ORDERS:
             self._orders.popitem(last=False)
         order = ranked(key, candidates, n=N_RANKED)
-        self._orders[id(found), key, is_own] = order
+        self._orders[id(found), key, is_local] = order
         return order
 
-    def total(self, found: CandidateSet, *, is_own: bool, now: float) -> ZoneTotal:
-        """Return the estimated load of one zone, taken anew now and then."""
-        known = self._totals_by_set.get((id(found), is_own))
+    def total(self, found: CandidateSet, *, is_local: bool, now: float) -> ZoneTotal:
+        """Return the load total of this host's zone or of all other zones.
+
+        The total is estimated again after ``TOTAL_INTERVAL`` seconds.
+        """
+        known = self._totals_by_set.get((id(found), is_local))
         if known is not None and now - known.estimated_at < TOTAL_INTERVAL:
             return known
-        candidates = found.own_zone if is_own else found.other_zones
+        candidates = found.own_zone if is_local else found.other_zones
         usable = [
             candidate
             for candidate in self.sample(candidates)
@@ -116,17 +129,17 @@
         ]
         total = ZoneTotal(
             load=sum(self._loads.estimate(one, now=now) for one in usable),
-            damped=sum(self._loads.damped(one, now=now) for one in usable),
+            damped_load=sum(self._loads.damped_load(one, now=now) for one in usable),
             queueing_share=sum(self._loads.is_queueing(one, now=now) for one in usable)
             / max(1, len(usable)),
             weight=sum(candidate.weight for candidate in usable),
             estimated_at=now,
         )
-        self._totals_by_set[id(found), is_own] = total
+        self._totals_by_set[id(found), is_local] = total
         return total
 
     def sample(self, candidates: Sequence[Candidate]) -> Iterable[Candidate]:
-        """Return all of a few candidates, or some of many drawn at random."""
+        """Return all candidates, or ``MAX_SAMPLE`` of them drawn at random."""
         if len(candidates) <= MAX_SAMPLE:
             return candidates
         return self._random.sample(candidates, MAX_SAMPLE)
--- a/tests/test_coordination/test_routing/__init__.py
+++ b/tests/test_coordination/test_routing/__init__.py
@@ -1,1 +1,1 @@
-"""Test the family of routing decisions."""
+"""Test the package ``ryelever.coordination.routing``."""
--- a/tests/test_coordination/test_routing/test_affinity.py
+++ b/tests/test_coordination/test_routing/test_affinity.py
@@ -1,4 +1,4 @@
-"""Test prefixes, rendezvous order and the bound on load."""
+"""Test prefix keys, rendezvous order and the load bound."""
 
 from __future__ import annotations
 
@@ -19,18 +19,20 @@
 
 
 @pytest.mark.parametrize(
-    ("one", "other", "same"),
+    ("one", "other", "is_same_key"),
     [
         ("a" * 2000 + "x", "a" * 2000 + "y", True),
         ("a" * 300, "b" * 300, False),
         ("a" * 260 + "x" * 100, "a" * 260 + "y" * 100, True),
         ("a" * 400 + "x" * 900, "a" * 400 + "y" * 900, False),
     ],
-    ids=["same head", "other head", "same first block", "differ within the head"],
+    ids=["same prefix", "other prefix", "same first block", "differ in the prefix"],
 )
-def test_key_is_that_of_whole_leading_blocks(one: str, other: str, same: bool) -> None:
-    keys = {prefix_key(chat(text).work) for text in (one, other)}
-    assert (len(keys) == 1) is same
+def test_key_covers_complete_leading_blocks(
+    one: str, other: str, is_same_key: bool
+) -> None:
+    keys = {prefix_key(chat(prompt).work) for prompt in (one, other)}
+    assert (len(keys) == 1) is is_same_key
 
 
 def test_short_prompt_has_no_key() -> None:
@@ -42,34 +44,34 @@
     return fleet.targets.candidates(chat().work, now=0.0).own_zone
 
 
-@pytest.mark.parametrize(("n_groups", "n_others_moved"), [(20, 0), (100, 8)])
-def test_order_moves_only_the_keys_of_what_is_gone(
-    n_groups: int, n_others_moved: int
+@pytest.mark.parametrize(("n_groups", "n_other_moves"), [(20, 0), (100, 8)])
+def test_removing_a_group_moves_only_its_keys(
+    n_groups: int, n_other_moves: int
 ) -> None:
-    """Take one group away; of 100, a few more keys may move with the window.
+    """Removing one group moves only its keys; of 100 groups, a few more.
 
-    Symptom: all caches are cold after one group is lost.  Sequence: the list gets
-    shorter, and every prefix maps to another place.  Cause: the place depended on
-    the length of the list.
+    Guards against an order that depends on the length of the list: after one group is
+    lost every prefix would map to another group, and all caches would be cold.  With
+    more than 64 groups, the keys whose ranking window shifts move too.
     """
     candidates = _candidates(n_groups)
     gone = candidates[7]
-    left = [candidate for candidate in candidates if candidate is not gone]
+    remaining = [candidate for candidate in candidates if candidate is not gone]
     generator = random.Random(3)
     keys = [generator.getrandbits(56) for _ in range(400)]
     before = [ranked(key, candidates, n=1)[0] for key in keys]
-    after = [ranked(key, left, n=1)[0] for key in keys]
+    after = [ranked(key, remaining, n=1)[0] for key in keys]
     moved = [one for one, two in zip(before, after, strict=True) if one is not two]
-    others = [candidate for candidate in moved if candidate is not gone]
-    assert len(others) < len(moved) and len(others) <= n_others_moved
+    moved_others = [candidate for candidate in moved if candidate is not gone]
+    assert len(moved_others) < len(moved) and len(moved_others) <= n_other_moves
 
 
 @pytest.mark.parametrize("n_groups", [20, 100])
 def test_order_spreads_keys_evenly(n_groups: int) -> None:
-    """Rank many prefixes.
+    """Many prefixes are spread evenly over the groups.
 
-    Symptom: one group gets six times the prefixes of another.  Sequence: none.
-    Cause: the hash of a tuple of two numbers mixes the second one badly.
+    Guards against a hash that mixes badly: with the hash of a tuple of two numbers, one
+    group gets six times the prefixes of another.
     """
     candidates = _candidates(n_groups)
     generator = random.Random(4)
@@ -82,10 +84,11 @@
 
 
 def test_order_is_the_same_in_every_process() -> None:
-    """Ask another process, which salts the hashes of strings otherwise.
+    """Processes with different salts of string hashes compute the same order.
 
-    Symptom: the cache hit share falls with each entry host that is added.  Sequence:
-    each sends the same prefix elsewhere.  Cause: the order hung on a salted hash.
+    Guards against an order that depends on a salted hash: each entry host would send
+    the same prefix to a different group, and the cache hit rate would fall with each
+    entry host that is added.
     """
     code = (
         "from tests.test_coordination.test_routing.test_affinity import "
@@ -113,18 +116,18 @@
     weights=st.lists(st.integers(1, 8), min_size=1, max_size=12),
     steps=st.lists(st.tuples(st.booleans(), st.integers(0, 3)), max_size=120),
 )
-def test_no_target_exceeds_its_bound(
+def test_no_target_exceeds_its_load_bound(
     weights: list[int], steps: list[tuple[bool, int]]
 ) -> None:
-    """Start and end requests of a few prefixes in any order.
+    """Loads stay within the bound, whatever requests start and end.
 
-    Symptom: one popular prompt drowns one group while others idle.  Sequence: all
-    requests with the prefix go to its first place.  Cause: affinity without a bound.
-    The bound also leaves a place for every request: some target is always below it.
+    Guards against affinity without a bound: all requests with a popular prefix would go
+    to the first group in its order, which is overloaded while others idle.  Some target
+    is always below its bound, so every request finds a target.
     """
     loads = [0] * len(weights)
-    for starts, prefix in steps:
-        if not starts:
+    for is_start, prefix in steps:
+        if not is_start:
             busy = [index for index, load in enumerate(loads) if load]
             if busy:
                 loads[busy[prefix % len(busy)]] -= 1
--- a/tests/test_coordination/test_routing/test_departures.py
+++ b/tests/test_coordination/test_routing/test_departures.py
@@ -1,4 +1,4 @@
-"""Test that leaving backend servers get nothing new."""
+"""Test that leaving backend servers get no new requests."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     _failed(fleet, refused=False)
 
 
-def _told(fleet: FakeFleet) -> None:
+def _announced(fleet: FakeFleet) -> None:
     fleet.departures.observed(
         LeavingRow(host="a-0-0"), peer="p", observed_at=9.8, now=10.0
     )
@@ -44,7 +44,7 @@
     "reported": lambda fleet: fleet.report("a-0-0", asked_at=9.9, state="leaving"),
     "refused": _refused,
     "died": _died,
-    "told by a peer": _told,
+    "told by a peer": _announced,
 }
 
 
@@ -53,12 +53,12 @@
 
 
 @pytest.mark.parametrize("evidence", EVIDENCE.values(), ids=EVIDENCE)
-def test_first_word_of_anyone_counts(evidence) -> None:
-    """Let one source know, while all others still call the host live.
+def test_evidence_of_one_source_is_enough(evidence) -> None:
+    """One source is enough, while all others still show the host as live.
 
-    Symptom: requests fail on a host that was told to go.  Sequence: the list lags by
-    seconds behind the host, or the host behind the list.  Cause: one source alone was
-    believed, and it was the late one.
+    Guards against requests that fail on a host that was told to leave: the platform's
+    list lags seconds behind the host's own report, or the report behind the list, and
+    only the source that lags was used.
     """
     fleet = _fleet(asked_at=9.5)
     assert _names(fleet, 9.6) == ["a-0", "a-1"]
@@ -67,46 +67,46 @@
 
 
 @pytest.mark.parametrize(
-    ("evidence", "asked_at", "now", "back"),
+    ("evidence", "asked_at", "now", "readmitted"),
     [
         (_refused, 9.9, 10.2, False),
         (_refused, 10.1, 10.2, True),
         (_died, 9.9, 11.0, False),
         (_died, 10.1, 10.2, True),
-        (_told, 10.1, 10.2, False),
-        (_told, 12.7, 12.9, True),
+        (_announced, 10.1, 10.2, False),
+        (_announced, 12.7, 12.9, True),
         (EVIDENCE["listed"], 12.7, 12.9, False),
-        # two faults: the word of a peer and an own refusal, in either order
-        (lambda fleet: (_told(fleet), _refused(fleet)), 10.1, 10.2, False),
-        (lambda fleet: (_refused(fleet), _told(fleet)), 10.1, 10.2, False),
-        (lambda fleet: (_refused(fleet), _told(fleet)), 12.7, 12.9, True),
+        # Two faults: a peer's announcement and a refusal seen here, in either order.
+        (lambda fleet: (_announced(fleet), _refused(fleet)), 10.1, 10.2, False),
+        (lambda fleet: (_refused(fleet), _announced(fleet)), 10.1, 10.2, False),
+        (lambda fleet: (_refused(fleet), _announced(fleet)), 12.7, 12.9, True),
     ],
 )
-def test_only_newer_evidence_brings_it_back(
-    evidence, asked_at: float, now: float, back: bool
+def test_only_a_newer_report_ends_evidence(
+    evidence, asked_at: float, now: float, readmitted: bool
 ) -> None:
-    """Show a report from before the word, and one from after.
+    """A report ends the evidence only if it was requested after the evidence.
 
-    Symptom: a host that has just refused gets the next request too.  Sequence: its
-    last report, asked for before it began to leave, still counts as fresh.  Cause:
-    reports were not compared with the word's time.
+    Guards against a host that has just refused and gets the next request too: its last
+    report was requested before it began to leave and still counts as fresh, and report
+    times were not compared with the time of the evidence.
     """
     fleet = _fleet()
     evidence(fleet)
     for host in ("a-0-0", "a-1-0"):
         fleet.report(host, asked_at=asked_at)
-    assert ("a-0" in _names(fleet, now)) is back
+    assert ("a-0" in _names(fleet, now)) is readmitted
 
 
-def test_words_of_peers_are_not_passed_on() -> None:
-    """Let two entry hosts hear of one another.
+def test_announcements_of_peers_are_not_repeated() -> None:
+    """A peer's announcement is not announced again.
 
-    Symptom: a host that returned long ago gets no work from anybody.  Sequence: each
-    entry host tells the other that it leaves, each time as news.  Cause: a peer's word
-    was passed on as an own one, so it never grew old.
+    Guards against a host that returned long ago and gets no requests from any entry
+    host: two entry hosts announce to each other that it is leaving, each time as new
+    evidence, so the evidence never expires.
     """
     fleet = _fleet()
-    _told(fleet)
+    _announced(fleet)
     fleet.departures.observed(
         LoadRow(target="a-1", n_in_flight=1), peer="p", observed_at=9.9, now=10.0
     )
@@ -114,20 +114,22 @@
 
 
 @pytest.mark.parametrize(
-    ("category", "told"),
+    ("category", "announced"),
     [(Category.BROKEN, True), (Category.TIMEOUT, False), (Category.UNAVAILABLE, False)],
 )
-def test_only_a_refused_connection_is_told(category: Category, told: bool) -> None:
-    """Refuse by connection, by silence and by answer.
+def test_only_a_refused_connection_is_announced(
+    category: Category, announced: bool
+) -> None:
+    """Only a refused connection is announced, not a timeout or a refusal by answer.
 
-    Symptom: one entry host with a bad link takes a backend server from all others.
-    Sequence: its connects time out, and it tells its peers.  Cause: silence, which
-    may be due to the link, was told like a refusal.
+    Guards against one entry host with a bad link that makes all other entry hosts avoid
+    a backend server: its connects time out because of the link, and it announces the
+    timeouts like refusals.
     """
     fleet = _fleet()
     _failed(fleet, refused=True, category=category)
     rows = fleet.departures.observations(now=10.0)
-    assert rows == ([LeavingRow(host="a-0-0")] if told else [])
+    assert rows == ([LeavingRow(host="a-0-0")] if announced else [])
     assert fleet.departures.observations(now=14.0) == []
 
 
--- a/tests/test_coordination/test_routing/test_retry.py
+++ b/tests/test_coordination/test_routing/test_retry.py
@@ -16,11 +16,11 @@
 @settings(max_examples=60, deadline=None)
 @given(outcomes=st.lists(st.booleans(), max_size=400))
 def test_retries_stay_within_the_share_of_successes(outcomes: list[bool]) -> None:
-    """Let any order of successes and failures ask for retries.
+    """Retries stay within the budget for any order of successes and failures.
 
-    Symptom: load stays high after callers have left.  Sequence: backend servers fail,
-    each failure is sent again and fails again.  Cause: retries were bounded for each
-    request, not over all of them.
+    Guards against load that stays high after callers have left: backend servers fail,
+    and each failed attempt is sent again and fails again, because retries are limited
+    for each request but not over all requests.
     """
     budget = RetryBudget(share=SHARE, reserve=RESERVE)
     n_retries = 0
@@ -58,26 +58,26 @@
     ],
     ids=["one death", "late failures", "dies too often", "dies again"],
 )
-def test_a_death_pays_for_what_it_breaks_off(
+def test_death_earns_retries_of_its_attempts(
     times: list[float], n_allowed: int
 ) -> None:
-    """Kill a group under 100 streams, or let it fail all the time.
+    """The attempts that one death breaks off are retried beyond the budget.
 
-    Symptom: of 100 streams that one death breaks off, ten are resumed.  Sequence: all
-    fail in one moment, long before successes earn as many retries.  Cause: the budget
-    counted a death like a brown-out.  The other rows show that what fails all the
-    time does not pass for a death.
+    Guards against a budget that counts a death like a brown-out: of 100 streams that
+    one death breaks off at one moment, only ten would be resumed, because successes
+    have not earned more retries.  The other rows show that a backend server that fails
+    all the time does not count as dead each time.
     """
     budget = RetryBudget(reserve=0.0)
     assert _broken_off(budget, times) == n_allowed
 
 
-def test_many_lone_failures_are_no_deaths() -> None:
-    """Break off one attempt at each of 100 backend servers.
+def test_single_failures_do_not_count_as_deaths() -> None:
+    """One broken attempt at each of 100 backend servers earns no retry.
 
-    Symptom: in a brown-out the load offered is 1.13 times the callers'.  Sequence:
-    each backend server breaks a connection now and then, and each such failure is
-    believed to be a death once in 30 s.  Cause: a lone failure earned its retry.
+    Guards against single failures that earn retries: in a brown-out each backend server
+    breaks a connection now and then, each such failure would count as a death once in
+    30 s, and the offered load would be 1.13 times that of the callers.
     """
     budget = RetryBudget(reserve=0.0)
     for number in range(100):
--- a/tests/test_coordination/test_routing/test_routing.py
+++ b/tests/test_coordination/test_routing/test_routing.py
@@ -27,7 +27,7 @@
     return names
 
 
-def test_prefix_stays_in_one_place_while_the_load_allows() -> None:
+def test_prefix_stays_at_one_group_within_the_load_bound() -> None:
     names = set()
     for seed in range(5):
         names |= set(_fill(_fleet().router(seed=seed), 4))
@@ -35,14 +35,15 @@
 
 
 def test_popular_prefix_is_spread() -> None:
-    """Send 160 requests with one prefix to eight groups.
+    """160 requests with one prefix are spread over eight groups.
 
-    Symptom: one group queues while seven idle.  Sequence: a popular prompt arrives
-    all at once.  Cause: affinity without a bound on load.
+    Guards against affinity without a load bound: one group queues requests while seven
+    idle, when many requests with a popular prompt arrive at once.
     """
     names = _fill(_fleet().router(), 160)
     assert len(names) == 8
-    # Totals are a quarter of a second old at most; here all fall into one instant.
+    # Load totals are at most a quarter of a second old; here all requests arrive at
+    # the same time.
     assert max(names.values()) <= 40
 
 
@@ -58,10 +59,10 @@
 def test_never_the_same_group_twice_in_a_row(
     tried: tuple[str, ...], expected: set[str]
 ) -> None:
-    """Retry with few groups.
+    """A retry never goes to the target of the previous attempt.
 
-    Symptom: all attempts of a request fail on one broken group.  Sequence: it fails
-    fast, so it is empty, so it is chosen again.  Cause: the last target was not
+    Guards against a request whose attempts all fail on one broken group: the group
+    fails fast, is therefore empty, and is chosen again unless the last target is
     excluded.
     """
     fleet = _fleet(a=2)
@@ -76,17 +77,17 @@
     assert _fleet(a=1).router().choose(chat(), tried=("a-0",), now=0.1) is None
 
 
-def _own_zone_lost(fleet: FakeFleet) -> None:
+def _lose_local_zone(fleet: FakeFleet) -> None:
     for host in ("a-0-0", "a-1-0"):
         fleet.confirmations.unreachable(host)
 
 
-def _own_zone_busy(fleet: FakeFleet) -> None:
+def _load_local_zone(fleet: FakeFleet) -> None:
     for host in ("a-0-0", "a-1-0"):
         fleet.report(host, asked_at=0.1, running=30)
 
 
-def _all_busy(fleet: FakeFleet) -> None:
+def _load_all_zones(fleet: FakeFleet) -> None:
     for host in fleet.hosts_by_name:
         fleet.report(host, asked_at=0.1, running=30)
 
@@ -95,18 +96,18 @@
     ("change", "zone"),
     [
         (lambda fleet: None, "a"),
-        (_own_zone_lost, "b"),
-        (_own_zone_busy, "b"),
-        (_all_busy, "a"),
+        (_lose_local_zone, "b"),
+        (_load_local_zone, "b"),
+        (_load_all_zones, "a"),
     ],
-    ids=["idle", "own lost", "own busy", "all busy"],
+    ids=["idle", "local zone lost", "local zone busy", "all busy"],
 )
-def test_own_zone_first_then_by_load(change, zone: str) -> None:
-    """Fill the own zone while another idles.
+def test_local_zone_first_then_by_load(change, zone: str) -> None:
+    """Requests go to another zone when the local zone is lost or much more loaded.
 
-    Symptom: callers wait in one zone while accelerators idle in the next.  Sequence:
-    one zone gets more requests than it can serve, and is not empty.  Cause: other
-    zones were asked only when the own one had nothing left.
+    Guards against callers that wait in one zone while accelerators idle in the next:
+    the local zone gets more requests than it can serve but still has usable targets,
+    and other zones are used only when it has none.
     """
     fleet = _fleet(a=2, b=2)
     change(fleet)
@@ -115,40 +116,42 @@
         assert target.name.startswith(zone)
 
 
-def _see_report(fleet: FakeFleet) -> None:
+def _load_in_report(fleet: FakeFleet) -> None:
     fleet.report("a-0-0", asked_at=0.1, running=30)
 
 
-def _see_peer(fleet: FakeFleet) -> None:
+def _load_in_peer_count(fleet: FakeFleet) -> None:
     row = LoadRow(target="a-0", n_in_flight=30)
     fleet.loads.observed(row, peer="p", observed_at=0.1, now=0.1)
 
 
-def _see_own(fleet: FakeFleet) -> None:
+def _load_in_local_count(fleet: FakeFleet) -> None:
     for _ in range(30):
         fleet.loads.started("a-0", now=0.1)
 
 
-@pytest.mark.parametrize("see", [_see_report, _see_peer, _see_own])
-def test_load_counts_whoever_saw_it(see) -> None:
-    """Let one view know of load that the other two do not show yet.
+@pytest.mark.parametrize(
+    "add_load", [_load_in_report, _load_in_peer_count, _load_in_local_count]
+)
+def test_load_from_any_source_counts(add_load) -> None:
+    """Load counts even if only one of the three sources shows it.
 
-    Symptom: requests pile up on a group that looked idle.  Sequence: the report lags,
-    or peers filled it, or own requests did a moment ago.  Cause: one view was taken
-    for the whole.
+    Guards against requests that pile up on a group that seems idle: its report lags,
+    or peers or this host have just sent it requests, and only one source of load is
+    used.
     """
     fleet = _fleet(a=2)
-    see(fleet)
+    add_load(fleet)
     chosen = {
         fleet.router(seed=seed).choose(chat(text), tried=(), now=0.2).name
         for seed in range(10)
         for text in ("short", PROMPT)
     }
-    # Two draws may both hit the loaded one; those of ten seeds mostly do not.
+    # All draws of one seed may hit the loaded target; those of ten seeds mostly do not.
     assert chosen <= {"a-0", "a-1"} and "a-1" in chosen
     assert (
         fleet.router(seed=1)
-        ._of_all(
+        ._choose_from_all(
             fleet.targets.candidates(chat().work, now=0.2).own_zone,
             excluded=(),
             now=0.2,
@@ -159,19 +162,19 @@
 
 
 @pytest.mark.parametrize(("now", "load"), [(1.0, 30.0), (6.0, 0.0)])
-def test_old_rows_of_peers_do_not_count(now: float, load: float) -> None:
+def test_old_counts_of_peers_are_ignored(now: float, load: float) -> None:
     fleet = _fleet(a=2)
-    _see_peer(fleet)
+    _load_in_peer_count(fleet)
     candidate = fleet.targets.candidates(chat().work, now=0.0).own_zone[0]
     assert fleet.loads.estimate(candidate, now=now) == load
 
 
-def test_emptied_target_is_told_as_empty() -> None:
-    """Fill a target and empty it again.
+def test_emptied_target_is_announced_as_empty() -> None:
+    """A target that became empty is announced to peers with count 0.
 
-    Symptom: an idle group gets no work from peers.  Sequence: its last row says 30,
-    and no row says otherwise, for the exchange sends only what changed.  Cause: a
-    target without requests was left out.
+    Guards against an idle group that gets no requests from peers: its last announced
+    count is 30, and the exchange sends only rows that changed, so no row corrects the
+    count if targets without requests are left out.
     """
     fleet = _fleet(a=2)
     fleet.loads.started("a-0", now=1.0)
@@ -181,7 +184,7 @@
     assert fleet.loads.observations(now=8.0) == []
 
 
-def test_straggler_gets_nothing_while_others_can() -> None:
+def test_straggler_is_chosen_only_if_no_other_can_serve() -> None:
     fleet = _fleet(a=4)
     for name in fleet.groups:
         for _ in range(10):
@@ -195,12 +198,12 @@
     assert router.choose(chat(), tried=(), now=0.2).name == "a-2"
 
 
-def test_suspects_run_apart() -> None:
-    """Place three suspects beside a loaded group.
+def test_suspects_run_at_separate_targets() -> None:
+    """Three suspects of a crash run at three different groups.
 
-    Symptom: two bystanders of one crash are in the next one as well.  Sequence: all
-    that a crash broke off is sent again at once, to the same idle group.  Cause:
-    suspects were placed like other requests.
+    Guards against bystanders of one crash that are in the next crash as well: all
+    requests that a crash broke off are sent again at once, to the same idle group, if
+    suspects are routed like other requests.
     """
     fleet = _fleet(a=4)
     suspects = ["s-0", "s-1", "s-2"]
@@ -214,7 +217,7 @@
         router.started(target, fingerprint=suspect, now=0.2)
         names.append(target.name)
     assert sorted(names) == ["a-1", "a-2", "a-3"]
-    # What is no suspect keeps away from them, though a-0 is the most loaded.
+    # Other requests avoid the suspects' targets, although a-0 is the most loaded.
     assert router.choose(chat(), tried=(), now=0.3).name == "a-0"
     for suspect in suspects:
         fleet.quarantine.completed(suspect, now=0.4)
@@ -236,7 +239,7 @@
     assert retried.name == "s-3"
 
 
-def test_recovery_is_seen_after_nothing_was_whole() -> None:
+def test_choice_recovers_after_no_group_was_complete() -> None:
     fleet = _fleet(a=2)
     router = fleet.router()
     assert router.choose(chat(), tried=(), now=9.0) is None
--- a/tests/test_coordination/test_routing/test_stragglers.py
+++ b/tests/test_coordination/test_routing/test_stragglers.py
@@ -1,4 +1,4 @@
-"""Test that stragglers are found by comparison, and never all at once."""
+"""Test that stragglers are found by comparison, and only a share is ejected."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     failing: tuple[str, ...] = (),
     first_token: float = 0.1,
 ) -> Stragglers:
-    """Return what ten siblings have shown by ten requests each."""
+    """Return stragglers after ten requests at each of ten siblings and a comparison."""
     stragglers = Stragglers()
     for name in NAMES:
         for _ in range(10):
@@ -27,11 +27,12 @@
     return stragglers
 
 
-def _out(stragglers: Stragglers) -> list[str]:
+def _ejected(stragglers: Stragglers) -> list[str]:
     return [name for name in NAMES if stragglers.is_ejected(name)]
 
 
-#: Factors of the slow ones, those that fail, seconds to a first token, the ejected.
+#: Slow servers with their factor, failing servers, seconds to the first token of the
+#: others, servers that are ejected.
 CASES = {
     "alike": ({}, (), 0.1, []),
     "a little slow": ({"g-3": 2.0}, (), 0.1, []),
@@ -46,30 +47,33 @@
 
 
 @pytest.mark.parametrize(
-    ("slow", "failing", "first_token", "out"), CASES.values(), ids=CASES
+    ("slow", "failing", "first_token", "ejected"), CASES.values(), ids=CASES
 )
 def test_only_a_share_of_the_worst_is_ejected(
-    slow: dict[str, float], failing: tuple[str, ...], first_token: float, out: list[str]
+    slow: dict[str, float],
+    failing: tuple[str, ...],
+    first_token: float,
+    ejected: list[str],
 ) -> None:
-    """Slow down or fail some, most or all of ten siblings.
+    """Of ten siblings, only a share that lags most is ejected.
 
-    Symptom: a slow moment of the whole fleet becomes an outage.  Sequence: each one
-    exceeds a limit, is ejected, and its load slows the next.  Cause: an absolute
-    limit, or no bound on how many may be out.
+    Guards against an absolute limit, or no limit on the number of ejected servers: when
+    the whole fleet is slow for a moment, each server exceeds the limit and is ejected,
+    and its load slows the next, until no server is left.
     """
     stragglers = _run(slow=slow, failing=failing, first_token=first_token)
-    assert _out(stragglers) == out
+    assert _ejected(stragglers) == ejected
 
 
-def test_few_samples_judge_nobody() -> None:
+def test_few_samples_eject_no_server() -> None:
     stragglers = Stragglers()
     for name in NAMES:
         stragglers.first_token(name, seconds=9.0 if name == "g-3" else 0.1, now=0.0)
     stragglers.compare("siblings", NAMES, now=0.0)
-    assert _out(stragglers) == []
+    assert _ejected(stragglers) == []
 
 
-def test_one_of_two_may_be_out_but_not_both() -> None:
+def test_only_one_of_two_is_ejected() -> None:
     stragglers = Stragglers()
     for name, seconds in (("g-0", 0.1), ("g-1", 0.9)):
         for _ in range(10):
@@ -78,36 +82,36 @@
     for _ in range(10):
         stragglers.first_token("g-0", seconds=99.0, now=1.0)
     stragglers.compare("two", NAMES[:2], now=2.0)
-    assert _out(stragglers) == ["g-1"]
+    assert _ejected(stragglers) == ["g-1"]
 
 
 @pytest.mark.parametrize(
-    ("probe_seconds", "failed", "comes_back"),
+    ("probe_seconds", "failed", "readmitted"),
     [(0.1, False, True), (0.9, False, False), (0.1, True, False)],
 )
-def test_one_probe_decides_the_return(
-    probe_seconds: float, failed: bool, comes_back: bool
+def test_one_probe_decides_the_readmission(
+    probe_seconds: float, failed: bool, readmitted: bool
 ) -> None:
-    """Let the hold end and one probe run.
+    """After the hold, a single probe decides whether a server is readmitted.
 
-    Symptom: each return of a group that is still slow costs a burst of late answers.
-    Sequence: its hold ends, and all entry hosts send their full part at once.  Cause:
-    it came back without a probe, or with as many as asked.
+    Guards against a burst of late answers each time the hold of a group ends that is
+    still slow: all entry hosts send their full share of requests at once, if the group
+    is readmitted without a probe or after any number of probes.
     """
     stragglers = _run(slow={"g-3": 5.0})
-    assert not stragglers.may_take("g-3", now=9.9)
-    assert stragglers.may_take("g-3", now=10.0)
+    assert not stragglers.may_receive("g-3", now=9.9)
+    assert stragglers.may_receive("g-3", now=10.0)
     stragglers.started("g-3", now=10.0)
-    assert not stragglers.may_take("g-3", now=10.1)
+    assert not stragglers.may_receive("g-3", now=10.1)
     stragglers.first_token("g-3", seconds=probe_seconds, now=11.0)
     stragglers.ended("g-3", failed=failed, between_tokens=probe_seconds / 10, now=12.0)
-    assert stragglers.is_ejected("g-3") is not comes_back
-    assert stragglers.may_take("g-3", now=23.0) is comes_back
-    assert stragglers.may_take("g-3", now=32.0)
+    assert stragglers.is_ejected("g-3") is not readmitted
+    assert stragglers.may_receive("g-3", now=23.0) is readmitted
+    assert stragglers.may_receive("g-3", now=32.0)
 
 
-def test_lost_probe_is_given_up() -> None:
+def test_lost_probe_is_abandoned() -> None:
     stragglers = _run(slow={"g-3": 5.0})
     stragglers.started("g-3", now=10.0)
-    assert not stragglers.may_take("g-3", now=39.9)
-    assert stragglers.may_take("g-3", now=40.0)
+    assert not stragglers.may_receive("g-3", now=39.9)
+    assert stragglers.may_receive("g-3", now=40.0)
--- a/tests/test_coordination/test_routing/test_targets.py
+++ b/tests/test_coordination/test_routing/test_targets.py
@@ -1,4 +1,4 @@
-"""Test which backend servers may take a request."""
+"""Test which backend servers may serve a request."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("break_it", "now", "left"),
+    ("apply_fault", "now", "remaining"),
     [
         (lambda fleet: None, 1.0, ["a-0", "a-1"]),
         (lambda fleet: None, 2.1, []),
@@ -35,38 +35,42 @@
         (lambda fleet: fleet.relist("a-0-1", state="leaving"), 1.0, ["a-1"]),
         (lambda fleet: fleet.hosts_by_name.pop("a-0-0"), 1.0, ["a-1"]),
     ],
-    ids=["whole", "reports too old", "member gone", "reports", "listed", "unlisted"],
+    ids=["complete", "reports too old", "member gone", "reports", "listed", "unlisted"],
 )
-def test_only_whole_groups_are_targets(break_it, now: float, left: list[str]) -> None:
-    """Lose one member in each way there is.
+def test_only_complete_groups_are_targets(
+    apply_fault, now: float, remaining: list[str]
+) -> None:
+    """A group is a target only while all its members are listed, ready and confirmed.
 
-    Symptom: requests hang on a group.  Sequence: rank 0 answers while a member is
-    missing or leaving.  Cause: the group was judged by its rank 0 alone.
+    Guards against requests that hang on a group: its rank 0 answers while a member is
+    missing or leaving, and only rank 0 was checked.
     """
     fleet = _fleet()
-    break_it(fleet)
+    apply_fault(fleet)
     targets = fleet.targets.for_arrival(chat(), now)
-    assert [target.name for target in targets] == left
+    assert [target.name for target in targets] == remaining
 
 
 @pytest.mark.parametrize(
-    ("break_it", "now", "lost"),
+    ("apply_fault", "now", "lost"),
     [
         (lambda fleet: None, 1.0, False),
         (lambda fleet: fleet.confirmations.unreachable("a-0-1"), 1.0, True),
         (lambda fleet: fleet.relist("a-0-1", state="leaving"), 1.0, False),
         (lambda fleet: None, 2.1, False),
     ],
-    ids=["whole", "member gone", "leaving, but whole", "nothing else serves"],
+    ids=["complete", "member gone", "leaving, but complete", "nothing else serves"],
 )
-def test_group_is_lost_when_another_can_do_better(break_it, now, lost: bool) -> None:
+def test_group_is_lost_when_incomplete_and_another_serves(
+    apply_fault, now, lost: bool
+) -> None:
     fleet = _fleet()
-    break_it(fleet)
+    apply_fault(fleet)
     target = fleet.target("a-0")
     assert fleet.targets.is_lost(target, chat(), now=now) is lost
 
 
-def test_other_zone_serves_when_own_has_nothing() -> None:
+def test_other_zone_serves_when_local_zone_cannot() -> None:
     fleet = _fleet()
     for group in ("a-0", "a-1"):
         fleet.confirmations.unreachable(f"{group}-0")
@@ -75,28 +79,28 @@
 
 @pytest.mark.parametrize(("adapter", "n_found"), [("", 3), ("pt", 3), ("es", 0)])
 def test_target_has_the_adapter(adapter: str, n_found: int) -> None:
-    """Ask for an adapter that was not loaded.
+    """Only groups that have loaded a request's adapter are candidates.
 
-    Symptom: an answer in the base model's voice.  Sequence: the adapter is declared
-    while older groups run without it.  Cause: groups were matched by model only.
+    Guards against an answer in the base model's voice: an adapter is declared while
+    older groups run without it, and groups were matched by model only.
     """
     found = _fleet().targets.candidates(chat(adapter=adapter).work, now=0.0)
     assert len(found.names) == n_found
 
 
-def test_services_come_own_zone_first_and_not_when_leaving() -> None:
+def test_services_of_the_local_zone_come_first_unless_leaving() -> None:
     fleet = _fleet()
     assert [t.name for t in fleet.targets.for_arrival(service_call(), 0.0)] == ["s-2"]
     fleet.relist("s-2", state="leaving")
     assert [t.name for t in fleet.targets.for_arrival(service_call(), 0.1)] == ["s-1"]
 
 
-def test_list_is_kept_until_the_placement_changes() -> None:
-    """Append records that change nothing, then one that does.
+def test_candidates_are_kept_until_the_placement_changes() -> None:
+    """A renewed lease keeps the candidate list, and a new group replaces it.
 
-    Symptom: a new group gets no work, or each request costs a walk over all groups.
-    Sequence: leases are renewed all the time, groups form seldom.  Cause: the list
-    was kept for too long, or thrown away for nothing.
+    Guards against a list that is kept too long, so that a new group gets no requests,
+    and a list that is rebuilt without need, so that each request iterates over all
+    groups.  Leases are renewed all the time, groups form rarely.
     """
     fleet = _fleet()
     found = fleet.targets.candidates(chat().work, now=0.0)
@@ -108,12 +112,12 @@
 
 
 @pytest.mark.parametrize(("draining", "usable"), [(False, True), (True, False)])
-def test_draining_group_gets_nothing_new(draining: bool, usable: bool) -> None:
-    """Drain a group that is whole.
+def test_draining_group_is_no_target(draining: bool, usable: bool) -> None:
+    """A complete group gets no new requests while it drains.
 
-    Symptom: a planned stop never ends, or cuts off requests.  Sequence: the group is
-    to end what it runs, its members confirm it, and requests keep coming.  Cause: a
-    whole group was taken for one that may be used.
+    Guards against a planned stop that never ends, or cuts off requests: the group is to
+    finish its running requests, its members still confirm it, and new requests keep
+    coming because a complete group was taken for a usable one.
     """
     fleet = _fleet()
     candidate = fleet.targets.candidates(chat().work, now=0.0).own_zone[0]
