--- a/ryelever/coordination/routing/candidates.py
+++ b/ryelever/coordination/routing/candidates.py
@@ -37,7 +37,7 @@
 
     @property
     def key(self) -> tuple[str, int, int]:
-        """Return the values that identify a candidate; a change replaces its list."""
+        """Return name, fencing and accelerators; a change makes a new candidate."""
         fencing = self.group.fencing if self.group is not None else -1
         return self.name, fencing, self.n_accelerators
 
--- a/ryelever/coordination/routing/departures.py
+++ b/ryelever/coordination/routing/departures.py
@@ -56,9 +56,10 @@
     The platform's list lags and keeps listing a leaving host as live; the operator
     would see requests fail on a host that was told to leave.  The states in the list
     and in the host's own reports are checked elsewhere (``Targets``,
-    ``Confirmations``); this class keeps evidence that neither shows.  Evidence ends
-    only with newer evidence: a report of the host itself that was requested later.  A
-    plain service sends no reports and is tried again after ``SERVICE_HOLD`` seconds.
+    ``Confirmations``); this class keeps evidence that neither shows.  Within
+    ``MAX_AGE`` seconds, evidence ends only with newer evidence: a report of the host
+    itself that was requested later.  A plain service sends no reports and is tried
+    again after ``SERVICE_HOLD`` seconds.
 
     Parameters
     ----------
