--- a/ryelever/coordination/planner/__init__.py
+++ b/ryelever/coordination/planner/__init__.py
@@ -1,11 +1,12 @@
-"""Plan which hosts make up which groups, on the product's own log.
+"""Plan replica groups from the records of the log service.
 
-One planner at a time holds the lease; it folds the log, looks at the fleet and decides
-what is formed, repaired, released and taken over.
+One planner of an availability zone at a time holds the lease.  The holder folds the
+log, checks the hosts' reports, and decides which groups are formed, repaired, replaced
+or dissolved, and which hosts are released.
 """
 
+from .placement_history import Repairs
 from .planner import Planner
-from .repairs import Repairs
 from .view import ModelDemand, PlannerView
 
 __all__ = [
--- a/ryelever/coordination/planner/capacity.py
+++ b/ryelever/coordination/planner/capacity.py
@@ -1,4 +1,4 @@
-"""Weigh group downtime against stranded accelerators, and follow demand."""
+"""Balance group downtime against stranded accelerators, and follow demand."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 _NEVER = float("-inf")
 
-#: Shares that add up to a whole number of groups in decimals fall just short of it in
-#: binary, and a group would be missing.
-ROUNDING = 1e-9
+#: Shares whose decimal sum is a whole number of groups may sum to slightly less in
+#: binary floating point.  Without this tolerance one group would be missing.
+ROUNDING_TOLERANCE = 1e-9
 
 
 class Capacity:
-    """Decide which model gets a group beyond the declared ones, and which gives.
+    """Decide which models get extra groups, and which groups make room for others.
 
-    The declared number of groups is a floor, and the accounts' shares are the
-    ceiling.  Hosts that are left over work in further groups until they are needed,
-    but for the spare hosts that the declared weights ask for.
+    A model's declared number of groups is its minimum, and the accounts' shares set
+    its maximum.  Remaining hosts serve in extra groups until they are needed
+    elsewhere, except for the spare hosts that the declared weights require.
     """
 
     def __init__(self, *, limits: PlannerLimits) -> None:
@@ -34,7 +34,7 @@
         self._moved_at = _NEVER
 
     def observe(self, view: PlannerView, *, now: float) -> None:
-        """Remember since when callers wait, or do not wait, for each model."""
+        """Record since when callers have been waiting, or not, for each model."""
         waiting = {row.model for row in view.demand if row.n_waiting > 0}
         models = set(view.configuration.models)
         self._waiting_since_by_model = {
@@ -46,14 +46,15 @@
         }
 
     def n_spare_hosts(self, domain: str, model: Model, view: PlannerView) -> int:
-        """Return how many hosts of a domain one more group must leave idle.
+        """Return how many hosts of a domain an extra group must leave idle.
 
-        A group of full size is the better spare: while another one is repaired it
-        serves already, and its hosts can still be taken.  A smaller one only holds
-        a host that a larger group would be repaired with at once; whether that host
-        waits idle or works until it is needed is what the weights decide.
+        An extra group of the same size is a better reserve than an idle host: it
+        already serves while another group is repaired, and its hosts can still be
+        used elsewhere.  A smaller extra group only occupies a host with which a
+        larger group could be repaired at once.  The declared weights determine
+        whether this host stays idle or serves until it is needed.
         """
-        if self.prefers_use(view):
+        if self.prefers_utilization(view):
             return 0
         return int(
             any(
@@ -63,27 +64,28 @@
             )
         )
 
-    def prefers_use(self, view: PlannerView) -> bool:
-        """Tell whether idle hosts weigh more than slower repairs."""
+    def prefers_utilization(self, view: PlannerView) -> bool:
+        """Return whether idle hosts weigh at least as much as slower repairs."""
         weights = view.configuration.weights
         return weights.stranded_accelerators >= weights.group_downtime
 
-    def growing(self, view: PlannerView, *, now: float) -> list[str]:
+    def growth_candidates(self, view: PlannerView, *, now: float) -> list[str]:
         """Return the models that may get one more group, most needed first.
 
-        Where nobody waits, larger groups go first: smaller ones fill the gaps.
+        Among models without waiting callers and of equal priority, those with larger
+        groups go first, and smaller groups fill the remaining hosts.
         """
         models = view.configuration.models
         names = [
             name
             for name, model in models.items()
             if len(view.groups_of(name))
-            < _n_allowed(name, model, view, now_waiting=True)
+            < _n_allowed(name, model, view, waiting_accounts_only=True)
         ]
         return sorted(
             names,
             key=lambda name: (
-                not self.is_wanted(name, now=now),
+                not self.has_lasting_demand(name, now=now),
                 -models[name].priority,
                 -models[name].hosts_per_group,
                 len(view.groups_of(name)),
@@ -91,111 +93,128 @@
             ),
         )
 
-    def is_wanted(self, model: str, *, now: float) -> bool:
-        """Tell whether callers have waited for a model long enough to act."""
+    def has_lasting_demand(self, model: str, *, now: float) -> bool:
+        """Return whether callers have waited for a model for ``demand_hold``."""
         since = self._waiting_since_by_model.get(model, now)
         return now - since >= self._limits.demand_hold
 
     def is_idle(self, model: str, *, now: float) -> bool:
-        """Tell whether nobody has waited for a model for long enough to take."""
+        """Return whether no caller has waited for a model for ``idle_hold``."""
         since = self._idle_since_by_model.get(model, now)
         return now - since >= self._limits.idle_hold
 
     def may_move(self, *, now: float) -> bool:
-        """Tell whether the last move of capacity is long enough ago.
+        """Return whether ``move_interval`` has passed since the last capacity move.
 
-        Two models with like demand would otherwise take a group from each other
-        in turn, and load weights instead of serving.
+        Otherwise two models with similar demand would take a group from each other
+        alternately, and load weights instead of serving.
         """
         return now - self._moved_at >= self._limits.move_interval
 
     def moved(self, *, now: float) -> None:
-        """Take note that capacity moves from one model to another."""
+        """Record that capacity moves from one model to another."""
         self._moved_at = now
 
     def donors(
         self,
         view: PlannerView,
         groups: list[Group],
-        taker: str,
+        recipient: str,
         *,
         n_available_by_domain: dict[str, int],
         now: float,
     ) -> list[Group]:
-        """Return the groups that make room for a model, as few as will do.
+        """Return the fewest groups whose hosts make room for a group of a model.
 
-        Groups beyond the declared number are given, of the least important model
-        and newest first; those below it only when a model of higher priority lacks
-        declared groups.  Nothing is given unless the taker then has all its hosts
-        in one fabric domain.
+        Groups beyond the declared number are donated, those of the lowest-priority
+        model and the newest first.  Groups within the declared number are donated
+        only to a model of higher priority that lacks declared groups.  No group is
+        donated unless the recipient then has all its hosts in one fabric domain.
 
         Parameters
         ----------
         groups : list of Group
-            Groups that count at present.
+            Groups that count towards the declared numbers.
+        recipient : str
+            Model that needs the hosts.
         n_available_by_domain : dict of str to int
-            Hosts outside of these groups, free or about to be.
+            Number of hosts outside these groups that are free or will be soon.
         """
-        n_needed = view.configuration.models[taker].hosts_per_group
+        n_needed = view.configuration.models[recipient].hosts_per_group
         if max(n_available_by_domain.values(), default=0) >= n_needed:
             return []
-        given_by_domain: dict[str, list[Group]] = {}
-        for group in self._givable(view, groups, taker, now=now):
+        candidates_by_domain: dict[str, list[Group]] = {}
+        for group in self._donatable_groups(view, groups, recipient, now=now):
             domain = view.domain_of(group.members[0])
-            given = given_by_domain.setdefault(domain, [])
+            candidates = candidates_by_domain.setdefault(domain, [])
             n_hosts = n_available_by_domain.get(domain, 0) + sum(
-                len(other.members) for other in given
+                len(other.members) for other in candidates
             )
             if n_hosts < n_needed:
-                given.append(group)
-        enough = [
-            given
-            for domain, given in given_by_domain.items()
+                candidates.append(group)
+        sufficient = [
+            candidates
+            for domain, candidates in candidates_by_domain.items()
             if n_available_by_domain.get(domain, 0)
-            + sum(len(group.members) for group in given)
+            + sum(len(group.members) for group in candidates)
             >= n_needed
         ]
-        return min(enough, key=len, default=[])
+        return min(sufficient, key=len, default=[])
 
-    def _givable(
-        self, view: PlannerView, groups: list[Group], taker: str, *, now: float
+    def _donatable_groups(
+        self, view: PlannerView, groups: list[Group], recipient: str, *, now: float
     ) -> list[Group]:
         models = view.configuration.models
-        givable: list[Group] = []
+        donatable: list[Group] = []
         for name in sorted(models, key=lambda name: (models[name].priority, name)):
-            own = [group for group in groups if group.model == name]
-            while name != taker and self._gives(name, len(own), taker, view, now=now):
-                givable.append(own.pop())
-        return givable
-
-    def _gives(
-        self, name: str, n_own: int, taker: str, view: PlannerView, *, now: float
+            model_groups = [group for group in groups if group.model == name]
+            while name != recipient and self._may_donate(
+                name, len(model_groups), recipient, view, now=now
+            ):
+                donatable.append(model_groups.pop())
+        return donatable
+
+    def _may_donate(
+        self,
+        name: str,
+        n_current: int,
+        recipient: str,
+        view: PlannerView,
+        *,
+        now: float,
     ) -> bool:
         models = view.configuration.models
-        n_taken = len(view.groups_of(taker))
-        taker_is_short = n_taken < models[taker].n_groups
-        if n_own > models[name].n_groups:
-            return taker_is_short or self.is_idle(name, now=now)
-        if not taker_is_short or models[name].priority >= models[taker].priority:
+        n_recipient_groups = len(view.groups_of(recipient))
+        recipient_is_short = n_recipient_groups < models[recipient].n_groups
+        if n_current > models[name].n_groups:
+            return recipient_is_short or self.is_idle(name, now=now)
+        if (
+            not recipient_is_short
+            or models[name].priority >= models[recipient].priority
+        ):
             return False
-        # The last group of one model is not given for one more of another.
-        return n_own > 1 or (n_own == 1 and not n_taken)
+        # The last group of a model is not donated for a further group of another.
+        return n_current > 1 or (n_current == 1 and not n_recipient_groups)
 
 
 def n_allowed(name: str, model: Model, view: PlannerView) -> int:
-    """Return how many groups of a model its accounts' shares allow."""
-    return _n_allowed(name, model, view, now_waiting=False)
+    """Return the maximum number of groups of a model by its accounts' shares."""
+    return _n_allowed(name, model, view, waiting_accounts_only=False)
 
 
-def _n_allowed(name: str, model: Model, view: PlannerView, *, now_waiting: bool) -> int:
-    """Return the groups allowed by all accounts, or by those who wait if any do.
+def _n_allowed(
+    name: str, model: Model, view: PlannerView, *, waiting_accounts_only: bool
+) -> int:
+    """Return the number of groups allowed by the accounts' shares.
 
-    An account cannot grow its capacity on the share of another one.
+    The result is never below the declared number of groups.  If accounts have waiting
+    requests and ``waiting_accounts_only`` is set, only these accounts' shares count,
+    so that no account grows its capacity on the share of another account.
     """
     waiting = {
         row.client_account
         for row in view.demand
-        if now_waiting and row.model == name and row.n_waiting > 0
+        if waiting_accounts_only and row.model == name and row.n_waiting > 0
     }
     shares = [
         account.share
@@ -203,6 +222,6 @@
         if (not account.models or name in account.models)
         and (not waiting or account_name in waiting)
     ]
-    n_slots = len(view.hosts_by_name) // max(model.hosts_per_group, 1)
-    allowed = math.floor(min(sum(shares), 1.0) * n_slots + ROUNDING)
+    n_possible_groups = len(view.hosts_by_name) // max(model.hosts_per_group, 1)
+    allowed = math.floor(min(sum(shares), 1.0) * n_possible_groups + ROUNDING_TOLERANCE)
     return max(allowed, model.n_groups)
--- a/ryelever/coordination/planner/decisions.py
+++ b/ryelever/coordination/planner/decisions.py
@@ -1,4 +1,4 @@
-"""Append each decision once, and again only if it has not taken effect."""
+"""Append each decision once, and repeat it only if it is not read back in time."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     from ...state.placement import PlacementFold
     from ...state.records import GroupDissolved, GroupDraining, HostReleased
 
-__all__ = ["Decisions", "Forming"]
+__all__ = ["Decisions", "PendingGroup"]
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Forming:
-    """Hold a group that was decided and not read back yet."""
+class PendingGroup:
+    """Group whose append has not been read back from the log yet."""
 
     model: str
     members: tuple[str, ...]
@@ -28,10 +28,10 @@
 
 
 class Decisions:
-    """Turn decisions into appends, and remember those under way.
+    """Turn decisions into appends, and track those that were not read back yet.
 
-    A group that was appended but not read back yet counts as formed; the next tick
-    would otherwise form a second one in its place.
+    A group that was appended but not read back yet counts as formed.  Otherwise the
+    next tick would form a second group with the same purpose.
     """
 
     def __init__(
@@ -41,34 +41,40 @@
         self._new_id = new_id
         self._timeout = timeout
         self._decided_at_by_key: dict[str, float] = {}
-        self.forming_by_id: dict[str, Forming] = {}
+        self.pending_groups_by_id: dict[str, PendingGroup] = {}
 
     def settle(self, placement: PlacementFold, *, now: float) -> None:
-        """Forget the groups that were read back, or never will be."""
-        for record_id, forming in list(self.forming_by_id.items()):
+        """Remove pending groups that were read back or whose append timed out."""
+        for record_id, pending in list(self.pending_groups_by_id.items()):
             settled = placement.offset_of(record_id) is not None
-            if settled or now - forming.since > self._timeout:
-                del self.forming_by_id[record_id]
+            if settled or now - pending.since > self._timeout:
+                del self.pending_groups_by_id[record_id]
 
     @property
     def taken(self) -> set[str]:
-        """Return the hosts of groups that are being formed."""
+        """Return the hosts of pending groups."""
         return {
-            host for forming in self.forming_by_id.values() for host in forming.members
+            host
+            for pending in self.pending_groups_by_id.values()
+            for host in pending.members
         }
 
     def n_forming(self, model: str) -> int:
-        """Return how many groups of a model are being formed."""
-        return sum(forming.model == model for forming in self.forming_by_id.values())
+        """Return the number of pending groups of a model."""
+        return sum(
+            pending.model == model for pending in self.pending_groups_by_id.values()
+        )
 
     def is_replaced(self, group: str) -> bool:
-        """Tell whether a group that takes a group's place is being formed."""
-        return any(forming.replaces == group for forming in self.forming_by_id.values())
+        """Return whether a successor of a group is pending."""
+        return any(
+            pending.replaces == group for pending in self.pending_groups_by_id.values()
+        )
 
     def form(self, record: GroupFormed, *, now: float) -> list[Action]:
-        """Append a group."""
+        """Return the append of a new group, and record the group as pending."""
         record_id = self._new_id()
-        self.forming_by_id[record_id] = Forming(
+        self.pending_groups_by_id[record_id] = PendingGroup(
             model=record.model,
             members=record.members,
             replaces=record.replaces,
@@ -83,7 +89,7 @@
         key: str,
         now: float,
     ) -> list[Action]:
-        """Append a decision, unless the same one is under way."""
+        """Return the append of a decision, unless one with this key is in flight."""
         self._decided_at_by_key = {
             known: at
             for known, at in self._decided_at_by_key.items()
--- a/ryelever/coordination/planner/health.py
+++ b/ryelever/coordination/planner/health.py
@@ -1,4 +1,4 @@
-"""Judge the members of a replica group: healthy, lost, paused or slow."""
+"""Detect lost, paused and slow members of replica groups."""
 
 from __future__ import annotations
 
@@ -11,39 +11,40 @@
     from ...state.placement import Group
     from .view import PlannerLimits, PlannerView
 
-__all__ = ["Fault", "HostHealth", "MemberFault", "cause_of"]
+__all__ = ["Fault", "HostHealth", "MemberFault", "describe_causes"]
 
-#: Refused connections in a row that show a host's engine to be gone.  One alone may
-#: be a full backlog.
+#: Consecutive refused connections after which a host's engine counts as gone.  A
+#: single refusal may come from a full backlog.
 N_REFUSED = 2
 
-#: Part of the largest counting age at which a report is late.
-LATE_PART = 0.6
+#: Fraction of the maximum report age above which a report is late.
+LATE_FRACTION = 0.6
 
-#: Late spells within ``STRAGGLER_WINDOW`` seconds that make a straggler.
-N_LATE_SPELLS = 3
+#: A host whose reports have become late this many times within ``STRAGGLER_WINDOW``
+#: seconds is a straggler.
+N_LATE_PERIODS = 3
 STRAGGLER_WINDOW = 60.0
 
-#: Seconds for which a straggler is chosen last.
-STRAGGLER_REST = 300.0
+#: Seconds for which a straggler is allocated last.
+STRAGGLER_AVOIDANCE = 300.0
 
 
 class Fault(enum.Enum):
-    """Say what is wrong with a member."""
+    """Kind of fault of a group member."""
 
-    #: The engine says that another member is gone.
+    #: The engine reports that another member is gone.
     BROKEN = "broken"
-    #: The engine says that it is not in its group any more.
+    #: The engine reports that it is no longer in its group.
     LEFT = "left"
-    #: Nothing answers where the host was.
+    #: The host refuses connections or is no longer in the hosts list.
     GONE = "gone"
-    #: No report; the host may be paused, cut off or dead.
+    #: No fresh report; the host may be paused, cut off or dead.
     SILENT = "silent"
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class MemberFault:
-    """Name a member's fault in words for the operator."""
+    """Fault of a member, with a description for the operator."""
 
     host: str
     fault: Fault
@@ -51,29 +52,38 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class _Spells:
-    """Remember when a host's reports began to be late."""
+class _LatePeriods:
+    """Start times of the latest periods in which a host's reports were late.
+
+    Attributes
+    ----------
+    late : bool
+        Whether the host's latest report is late.
+    avoided_until : float
+        Monotonic time until which the host counts as a straggler.
+    """
 
     late: bool = False
-    began_at: deque[float] = field(default_factory=lambda: deque(maxlen=N_LATE_SPELLS))
-    rests_until: float = float("-inf")
+    began_at: deque[float] = field(default_factory=lambda: deque(maxlen=N_LATE_PERIODS))
+    avoided_until: float = float("-inf")
 
 
 class HostHealth:
-    """Remember what one look at the reports cannot show.
+    """Track the health of hosts over several planning passes.
 
-    A member that restarts within the detection time is never missing; only its
-    boot id tells.  A straggler is never lost; only repeated lateness tells.
+    A single set of reports does not show every fault.  A member that restarts within
+    the detection time is never missing and is recognized only by its new boot id.  A
+    straggler is never lost and is recognized only by repeatedly late reports.
     """
 
     def __init__(self, *, limits: PlannerLimits) -> None:
         self._limits = limits
         self._boot_by_member: dict[tuple[str, str], str] = {}
         self._silent_since_by_host: dict[str, float] = {}
-        self._spells_by_host: dict[str, _Spells] = {}
+        self._late_periods_by_host: dict[str, _LatePeriods] = {}
 
     def observe(self, view: PlannerView, *, now: float) -> None:
-        """Take in the newest reports."""
+        """Record the newest reports."""
         known = set(view.hosts_by_name) | set(view.placement.group_by_host)
         self._silent_since_by_host = {
             host: self._silent_since_by_host.get(host, now)
@@ -86,37 +96,37 @@
     def faults(
         self, group: Group, view: PlannerView, *, now: float
     ) -> list[MemberFault]:
-        """Return the faults of a group's members."""
+        """Return the faults of a group's members, at most one per member."""
         faults = [self._fault(host, group, view, now=now) for host in group.members]
         return [fault for fault in faults if fault is not None]
 
     def silent_for(self, host: str, *, now: float) -> float:
-        """Return the seconds for which no report of a host has counted."""
+        """Return the seconds for which a host has had no fresh report."""
         return now - self._silent_since_by_host.get(host, now)
 
     def is_straggler(self, host: str, *, now: float) -> bool:
-        """Tell whether a host's reports have been late again and again."""
-        spells = self._spells_by_host.get(host)
-        return spells is not None and now < spells.rests_until
+        """Return whether a host's reports have repeatedly been late."""
+        periods = self._late_periods_by_host.get(host)
+        return periods is not None and now < periods.avoided_until
 
     def _observe_members(self, view: PlannerView, *, now: float) -> None:
-        seen: dict[tuple[str, str], str] = {}
+        boots: dict[tuple[str, str], str] = {}
         for group in view.live_groups:
             for host in group.members:
                 key = (group.name, host)
                 if view.confirmations.confirms(host, group, now=now):
                     report = view.confirmations.fresh(host, now=now)
-                    seen[key] = report.boot
+                    boots[key] = report.boot
                 elif key in self._boot_by_member:
-                    seen[key] = self._boot_by_member[key]
-        self._boot_by_member = seen
+                    boots[key] = self._boot_by_member[key]
+        self._boot_by_member = boots
 
     def _fault(
         self, host: str, group: Group, view: PlannerView, *, now: float
     ) -> MemberFault | None:
         report = view.confirmations.fresh(host, now=now)
         if report is None:
-            return self._silence(host, view, now=now)
+            return self._fault_of_silent_host(host, view, now=now)
         if report.group == group.name and report.state == "broken":
             return MemberFault(
                 host=host,
@@ -127,10 +137,10 @@
         if boot is None or report.group == group.name and report.boot == boot:
             return None
         if report.boot != boot:
-            return _left(host, f"{host} was restarted")
-        return _left(host, f"{host} has left for {report.group or 'no group'}")
+            return _left_fault(host, f"{host} was restarted")
+        return _left_fault(host, f"{host} has left for {report.group or 'no group'}")
 
-    def _silence(
+    def _fault_of_silent_host(
         self, host: str, view: PlannerView, *, now: float
     ) -> MemberFault | None:
         if host not in view.hosts_by_name:
@@ -145,32 +155,37 @@
         )
 
     def _observe_lateness(self, view: PlannerView, *, now: float) -> None:
-        late_after = view.confirmations.max_age * LATE_PART
+        late_after = view.confirmations.max_age * LATE_FRACTION
         late = {
             host
             for host in view.hosts_by_name
             if (known := view.confirmations.reports_by_host.get(host)) is not None
             and now - known.asked_at > late_after
         }
-        # When most are late, it is this process that was paused or cut off.
-        mostly_late = 2 * len(late) > len(view.hosts_by_name)
+        # If the reports of most hosts are late, this process was paused or cut off,
+        # and the lateness is not counted against the hosts.
+        most_are_late = 2 * len(late) > len(view.hosts_by_name)
         for host in view.hosts_by_name:
-            spells = self._spells_by_host.setdefault(host, _Spells())
-            began = host in late and not spells.late
-            spells.late = host in late
-            if not began or mostly_late:
+            periods = self._late_periods_by_host.setdefault(host, _LatePeriods())
+            became_late = host in late and not periods.late
+            periods.late = host in late
+            if not became_late or most_are_late:
                 continue
-            spells.began_at.append(now)
-            full = len(spells.began_at) == N_LATE_SPELLS
-            if full and now - spells.began_at[0] <= STRAGGLER_WINDOW:
-                spells.rests_until = now + STRAGGLER_REST
+            periods.began_at.append(now)
+            has_max_periods = len(periods.began_at) == N_LATE_PERIODS
+            if has_max_periods and now - periods.began_at[0] <= STRAGGLER_WINDOW:
+                periods.avoided_until = now + STRAGGLER_AVOIDANCE
 
 
-def _left(host: str, reason: str) -> MemberFault:
+def _left_fault(host: str, reason: str) -> MemberFault:
     return MemberFault(host=host, fault=Fault.LEFT, reason=reason)
 
 
-def cause_of(faults: list[MemberFault]) -> str:
-    """Return the faults in words, without those that only follow from others."""
+def describe_causes(faults: list[MemberFault]) -> str:
+    """Describe the faults, leaving out those that only follow from other faults.
+
+    A broken group follows from the loss of a member, so BROKEN faults are described
+    only when there are no others.
+    """
     causes = [fault for fault in faults if fault.fault is not Fault.BROKEN]
     return "; ".join(fault.reason for fault in causes or faults)
--- a/ryelever/coordination/planner/hosts.py
+++ b/ryelever/coordination/planner/host_allocator.py
@@ -1,4 +1,4 @@
-"""Choose hosts for a replica group within one fabric domain."""
+"""Allocate the hosts of a replica group within one fabric domain."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
     from .orders import Orders
     from .view import PlannerView
 
-__all__ = ["HostChoice"]
+__all__ = ["HostAllocator"]
 
 
-class HostChoice:
-    """Hold the free hosts of one look, and take from them.
+class HostAllocator:
+    """Allocate hosts from those that are free at one planning pass.
 
-    Free is a host that the log calls unclaimed, that the list calls live, and that
-    reported lately that it is in no group.  The report matters as much as the log:
-    a host that was released because it seemed dead may only have been cut off.
+    A host is free if no group in the log claims it, if it is live in the hosts list,
+    and if its fresh report shows that it is in no group.  The report is as necessary
+    as the log: a host that was released as dead may only have been cut off.
 
     Parameters
     ----------
     taken : set of str
-        Hosts of groups that were decided and not read back yet.
+        Hosts of groups whose append was not read back yet.
     held_since : float
-        Monotonic time since which the lease is held.
+        Monotonic time at which this planner's lease tenure began.
     """
 
     def __init__(
@@ -52,29 +52,32 @@
         for hosts in self.free_by_domain.values():
             hosts.sort(key=self._is_straggler)
 
-    def can_take(self, n_hosts: int) -> bool:
-        """Tell whether a domain has that many free hosts."""
-        return self._best_domain(n_hosts, _no_spare) is not None
+    def can_allocate(self, n_hosts: int) -> bool:
+        """Return whether one fabric domain has this many free hosts."""
+        return self._best_domain(n_hosts, _no_reserve) is not None
 
-    def take(
+    def allocate(
         self, n_hosts: int, *, n_spare: Callable[[str], int] | None = None
     ) -> tuple[str, ...]:
-        """Take free hosts of the domain that they fill best, or none at all.
+        """Allocate free hosts of the domain with the fewest sufficient free hosts.
+
+        The result is empty when no domain has enough free hosts.
 
         Parameters
         ----------
         n_spare : callable, optional
-            Return how many hosts of a domain to leave.
+            Return the number of free hosts that must remain in a domain.
         """
-        domain = self._best_domain(n_hosts, n_spare or _no_spare)
+        domain = self._best_domain(n_hosts, n_spare or _no_reserve)
         if domain is None:
             return ()
-        return self._take_from(domain, n_hosts)
+        return self._allocate_from(domain, n_hosts)
 
-    def take_over(self, group: Group, n_hosts: int) -> tuple[str, ...]:
-        """Take a group's healthy members, and spares of their domain for others.
+    def allocate_successor(self, group: Group, n_hosts: int) -> tuple[str, ...]:
+        """Allocate a group's healthy members and spare hosts of the same domain.
 
-        Nothing is taken when that does not make a group.
+        The result is empty, and no host is allocated, when these hosts do not make
+        up a complete group.
         """
         members = self.survivors(group)
         domain = next(map(self._view.domain_of, members), None)
@@ -84,26 +87,32 @@
         n_missing = n_hosts - len(members)
         if not members or len(self.free_by_domain.get(domain, [])) < n_missing:
             return ()
-        if not all(map(self._orders_expired, members)):
+        if not all(map(self._joins_expired, members)):
             return ()
-        return members + self._take_from(domain, n_missing)
+        return members + self._allocate_from(domain, n_missing)
 
     def n_available_by_domain(self, groups: list[Group]) -> dict[str, int]:
-        """Count usable hosts outside of some groups, free already or soon."""
-        bound = {host for group in groups for host in group.members}
+        """Count the usable hosts outside the given groups, by fabric domain.
+
+        These hosts are free or will be free soon.
+        """
+        claimed = {host for group in groups for host in group.members}
         counts: dict[str, int] = {}
         for host, listed in self._view.hosts_by_name.items():
-            if host not in bound and self._is_usable(host):
+            if host not in claimed and self._is_usable(host):
                 domain = listed.fabric_domain
                 counts[domain] = counts.get(domain, 0) + 1
         return counts
 
-    def must_wait_for_orders(self, group: Group) -> bool:
-        """Tell whether a survivor may still obey an old order; it soon may not."""
-        return not all(map(self._orders_expired, self.survivors(group)))
+    def has_outstanding_orders(self, group: Group) -> bool:
+        """Return whether a surviving member may still obey an earlier order to join.
+
+        Such orders expire within seconds.
+        """
+        return not all(map(self._joins_expired, self.survivors(group)))
 
     def survivors(self, group: Group) -> tuple[str, ...]:
-        """Return the members that report, and are neither leaving nor slow."""
+        """Return the members with fresh reports that are neither leaving nor slow."""
         return tuple(
             host
             for host in group.members
@@ -111,20 +120,20 @@
         )
 
     def _best_domain(self, n_hosts: int, n_spare: Callable[[str], int]) -> str | None:
-        fits = [
+        fitting_domains = [
             domain
             for domain, hosts in sorted(self.free_by_domain.items())
             if len(hosts) >= n_hosts + n_spare(domain)
         ]
-        if not fits:
+        if not fitting_domains:
             return None
-        return min(fits, key=lambda domain: len(self.free_by_domain[domain]))
+        return min(fitting_domains, key=lambda domain: len(self.free_by_domain[domain]))
 
-    def _take_from(self, domain: str, n_hosts: int) -> tuple[str, ...]:
+    def _allocate_from(self, domain: str, n_hosts: int) -> tuple[str, ...]:
         hosts = self.free_by_domain.get(domain, [])
-        taken = tuple(hosts[:n_hosts])
+        allocated = tuple(hosts[:n_hosts])
         del hosts[:n_hosts]
-        return taken
+        return allocated
 
     def _is_usable(self, host: str) -> bool:
         listed = self._view.hosts_by_name.get(host)
@@ -141,16 +150,16 @@
             return False
         report = self._view.confirmations.fresh(host, now=self._now)
         in_no_group = report.state == "idle" and not report.group
-        return in_no_group and self._orders_expired(host)
+        return in_no_group and self._joins_expired(host)
 
     def _is_straggler(self, host: str) -> bool:
         return self._health.is_straggler(host, now=self._now)
 
-    def _orders_expired(self, host: str) -> bool:
-        return self._orders.expired(
+    def _joins_expired(self, host: str) -> bool:
+        return self._orders.joins_expired(
             host, self._view, held_since=self._held_since, now=self._now
         )
 
 
-def _no_spare(domain: str) -> int:
+def _no_reserve(domain: str) -> int:
     return 0
--- a/ryelever/coordination/planner/outage.py
+++ b/ryelever/coordination/planner/outage.py
@@ -1,15 +1,17 @@
-"""Bring groups back while the log is away, without agreeing on anything new.
-
-Without the log no host may change its group.  But a group whose member was restarted
-needs no other hosts and no new number: all its members need is the order that they
-had already.  Whichever entry hosts send it, and however often, it is the same order.
-
-Only engines that check fencing numbers get it.  This process may be the only one that
-is cut off from the log; hosts of a group that was dissolved meanwhile have a higher
-number from their order to leave, or from their next group, and refuse.  A host that
-lost its number in a restart may obey.  It then reports the dissolved group, counts
-for nothing, and is ordered out by whoever holds the lease; every engine is in one
-group at any moment.
+"""Restore groups during an outage of the log, by repeating their orders to join.
+
+Without the log no host may change its group.  A group whose member was restarted
+needs neither other hosts nor a new fencing number, only the order to join that its
+members already had.  This order is the same whichever entry hosts send it, and
+however often.
+
+Only engines that check fencing numbers receive the order, because this process may be
+the only one that is cut off from the log.  If the group was dissolved meanwhile, its
+hosts have a higher fencing number, from their order to leave or from their next group,
+and refuse.  A host that lost its fencing number in a restart may obey.  Such a host
+then reports the dissolved group, is not counted as a member of any group, and is
+ordered to leave by the holder of the lease.  Every engine is in at most one group at
+any moment.
 """
 
 from __future__ import annotations
@@ -29,24 +31,25 @@
 
 
 class OutageRepair:
-    """Order the members of a group to join the very group that they were in."""
+    """Order the members of a group to rejoin this same group."""
 
     def __init__(self, *, health: HostHealth, orders: Orders) -> None:
         self._health = health
         self._orders = orders
 
     def tick(self, view: PlannerView, *, now: float) -> list[Action]:
-        """Return the orders that are due while nothing can be agreed."""
+        """Return the orders to rejoin that are due while the log is unavailable."""
         actions: list[Action] = []
         for group in view.live_groups:
             if not group.draining and self._can_rejoin(group, view, now=now):
-                actions += self._orders.join(group, view, now=now, again=True)
+                actions += self._orders.join(group, view, now=now, include_broken=True)
         return actions
 
     def _can_rejoin(self, group: Group, view: PlannerView, *, now: float) -> bool:
         if not all(map(view.checks_fencing, group.members)):
             return False
-        # A member that does not report cannot join, and the others would load for
-        # nothing; a paused one may come back as it was.
+        # A member without fresh reports cannot join, so the other members would load
+        # weights in vain.  If this member is only paused, it may return to the group
+        # in the state in which it was.
         faults = self._health.faults(group, view, now=now)
         return all(fault.fault in (Fault.BROKEN, Fault.LEFT) for fault in faults)
--- a/ryelever/coordination/planner/repairs.py
+++ b/ryelever/coordination/planner/placement_history.py
@@ -1,7 +1,7 @@
-"""Keep a line of cause, decision and outcome for each change of placement.
+"""Keep a line with cause, decision and outcome for each change of placement.
 
-Filled from the folded records, so every entry host shows the same lines whoever
-held the lease; only the outcome is what this entry host saw itself.
+The lines come from the folded records, so every entry host shows the same lines,
+whichever host held the lease.  Only the outcome is this entry host's own observation.
 """
 
 from __future__ import annotations
@@ -15,22 +15,23 @@
 
 __all__ = ["RepairLine", "Repairs"]
 
-#: Lines kept for the operator.
-N_KEPT_LINES = 100
+#: Maximum number of lines kept for the operator.
+MAX_LINES = 100
 
-_UNDER_WAY = "under way"
+_IN_PROGRESS = "under way"
 
 
 @dataclass(slots=True, kw_only=True)
 class RepairLine:
-    """Tell the operator what was done and why.
+    """Cause, decision and outcome of one change, for the operator.
 
     Attributes
     ----------
     time : float
-        The log service's time of the decision, seconds since the epoch.
+        The log service's time of the decision, in seconds since the epoch.
     group : str
-        Group whose serving, or whose hosts' release, is the outcome.
+        Group that the change forms or ends.  The outcome is that this group serves,
+        or that all its hosts are released.
     """
 
     time: float
@@ -38,12 +39,20 @@
     group: str
     cause: str
     decision: str
-    outcome: str = _UNDER_WAY
+    outcome: str = _IN_PROGRESS
 
 
 @dataclass(slots=True, kw_only=True)
-class _Open:
-    """Hold a line whose outcome is not known yet."""
+class _PendingLine:
+    """Line whose outcome is not known yet.
+
+    Attributes
+    ----------
+    since : float
+        Monotonic time at which this entry host read the decision.
+    ends_group : bool
+        Whether the outcome is the end of the group, rather than its serving.
+    """
 
     line: RepairLine
     since: float
@@ -51,7 +60,7 @@
 
 
 class Repairs:
-    """Follow the placement of all zones."""
+    """Record the changes of placement in all zones and their outcomes."""
 
     def __init__(
         self,
@@ -62,15 +71,17 @@
         self._placements_by_zone = placements_by_zone
         self._confirmations = confirmations
         self._next_offset_by_zone = dict.fromkeys(placements_by_zone, 0)
-        self._open: list[_Open] = []
+        self._pending: list[_PendingLine] = []
         self.lines: list[RepairLine] = []
 
     def observe(self, *, now: float) -> None:
-        """Add lines for new records and settle the outcomes of earlier ones."""
+        """Add lines for new records and update the outcomes of earlier lines."""
         for zone, placement in self._placements_by_zone.items():
             for change in self._new_changes(zone, placement):
-                self._add(zone, change, now=now)
-        self._open = [entry for entry in self._open if not self._settle(entry, now=now)]
+                self._add_line(zone, change, now=now)
+        self._pending = [
+            entry for entry in self._pending if not self._update_outcome(entry, now=now)
+        ]
 
     def _new_changes(
         self, zone: str, placement: PlacementFold
@@ -81,7 +92,7 @@
         self._next_offset_by_zone[zone] = placement.next_offset
         return [change for change in placement.changes if change.offset >= start]
 
-    def _add(self, zone: str, change: PlacementChange, *, now: float) -> None:
+    def _add_line(self, zone: str, change: PlacementChange, *, now: float) -> None:
         decision = _decision(change)
         if not decision:
             return
@@ -93,12 +104,12 @@
             decision=decision,
         )
         self.lines.append(line)
-        del self.lines[:-N_KEPT_LINES]
+        del self.lines[:-MAX_LINES]
         ends_group = change.kind != "formed"
-        self._open.append(_Open(line=line, since=now, ends_group=ends_group))
-        del self._open[:-N_KEPT_LINES]
+        self._pending.append(_PendingLine(line=line, since=now, ends_group=ends_group))
+        del self._pending[:-MAX_LINES]
 
-    def _settle(self, entry: _Open, *, now: float) -> bool:
+    def _update_outcome(self, entry: _PendingLine, *, now: float) -> bool:
         line = entry.line
         placement = self._placements_by_zone[line.availability_zone]
         group = placement.groups_by_name.get(line.group)
@@ -124,10 +135,10 @@
         case "formed":
             return f"formed {change.group} on {hosts}"
         case "draining":
-            return f"gave {change.group} no new work"
+            return f"started draining {change.group}"
         case "dissolved":
             return f"dissolved {change.group}"
         case "released" if change.reason != "left":
-            return f"freed {hosts} without its word"
+            return f"released {hosts} without its confirmation"
         case _:
             return ""
--- a/ryelever/coordination/planner/planner.py
+++ b/ryelever/coordination/planner/planner.py
@@ -1,4 +1,4 @@
-"""Plan one availability zone: form replica groups, order hosts, repair, change."""
+"""Plan one availability zone: form, repair, replace and dissolve replica groups."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from ..lease import PlannerLease
 from .capacity import Capacity
 from .decisions import Decisions
-from .forming import Forming
+from .formation import GroupFormation
+from .group_repair import GroupRepair
 from .health import HostHealth
-from .hosts import HostChoice
+from .host_allocator import HostAllocator
 from .orders import Orders
 from .outage import OutageRepair
-from .outgoing import Outgoing
 from .planning_pass import PlanningPass
 from .release import Release
-from .repair import Repair
+from .retirement import GroupRetirement
 from .view import PlannerLimits, PlannerView
 
 if TYPE_CHECKING:
@@ -27,21 +27,23 @@
 
 
 class Planner:
-    """Decide what one zone's hosts do, under a lease kept in the log.
+    """Decide which groups the hosts of one zone form, under a lease kept in the log.
 
-    Every entry host of the zone has one, and each looks on at every tick; only the
-    holder of the lease decides.
+    Every entry host of the zone runs a planner, and every planner observes the zone
+    at each tick.  Only the planner that holds the lease makes decisions.
 
     Parameters
     ----------
     holder : str
         Name of this entry host together with its boot id.
-    term : float
-        Seconds of one lease.
     stream : str
         The zone's placement stream.
+    new_id : callable
+        Return a new unique id for a record or group.
+    term : float
+        Duration of one lease term in seconds.
     limits : PlannerLimits, optional
-        Times and bounds.
+        Timeouts, intervals and bounds of the planner.
     """
 
     def __init__(
@@ -64,14 +66,16 @@
         self._orders = Orders(limits=limits)
         self._health = HostHealth(limits=limits)
         self._capacity = Capacity(limits=limits)
-        self._outgoing = Outgoing(limits=limits, health=self._health)
-        self._repair = Repair(
+        self._retirement = GroupRetirement(limits=limits, health=self._health)
+        self._repair = GroupRepair(
             limits=limits,
             health=self._health,
             orders=self._orders,
-            outgoing=self._outgoing,
+            retirement=self._retirement,
+        )
+        self._formation = GroupFormation(
+            capacity=self._capacity, retirement=self._retirement
         )
-        self._forming = Forming(capacity=self._capacity, outgoing=self._outgoing)
         self._outage = OutageRepair(health=self._health, orders=self._orders)
         self._release = Release(
             limits=limits,
@@ -81,29 +85,34 @@
         )
 
     def holds_lease(self, view: PlannerView, *, now: float) -> bool:
-        """Tell whether decisions made now are under a valid own lease."""
+        """Return whether this planner holds a valid lease."""
         return self.lease.holds(view.placement, now=now)
 
     def give_back_lease(self, view: PlannerView, *, now: float) -> list[Action]:
-        """Return the append that lets another entry host plan at once."""
+        """Return the append that releases the lease for another entry host."""
         return self.lease.give_back(view.placement, now=now)
 
     def tick(self, view: PlannerView, *, now: float) -> list[Action]:
-        """Return what is to be done now; nothing but lease work without a lease."""
+        """Return the appends and orders that are due.
+
+        A planner without the lease only tries to take the lease.  During an outage of
+        the log, it also repeats the orders to join that groups already had.
+        """
         self._observe(view, now=now)
-        fit = _sees_hosts(view, now=now)
-        actions = self.lease.tick(view.placement, wanted=fit, now=now)
-        if not fit:
+        sees_hosts = _sees_hosts(view, now=now)
+        actions = self.lease.tick(view.placement, wanted=sees_hosts, now=now)
+        if not sees_hosts:
             return actions
         if not self.holds_lease(view, now=now):
-            # A fold that lacks records sees no lease move, as if the log were away.
-            # Its groups may have ended long ago, and a restarted engine, whose
-            # number is lost, would join one of them again and again.
+            # A fold that lacks records sees no lease renewals, as if the log were
+            # unavailable.  The groups of such a fold may have ended long ago, and a
+            # restarted engine, which has lost its fencing number, would join one of
+            # these ended groups again and again.
             if view.placement.complete and self.lease.log_is_away(now=now):
                 actions += self._outage.tick(view, now=now)
             return actions
         self._decisions.settle(view.placement, now=now)
-        planning_pass = self._look(view, now=now)
+        planning_pass = self._new_planning_pass(view, now=now)
         self._repair.observe(planning_pass)
         actions += self._release.tick(
             view,
@@ -112,27 +121,27 @@
             now=now,
         )
         actions += self._repair.tick(planning_pass)
-        actions += self._forming.form_declared(planning_pass)
-        actions += self._forming.drain(planning_pass)
-        actions += self._forming.form_more(planning_pass)
+        actions += self._formation.form_declared(planning_pass)
+        actions += self._formation.drain(planning_pass)
+        actions += self._formation.form_extra(planning_pass)
         return actions
 
     def _observe(self, view: PlannerView, *, now: float) -> None:
         self._health.observe(view, now=now)
         self._capacity.observe(view, now=now)
-        self._outgoing.observe(view, now=now)
+        self._retirement.observe(view, now=now)
         self._orders.forget_groups(set(view.placement.groups_by_name))
 
-    def _look(self, view: PlannerView, *, now: float) -> PlanningPass:
-        outgoing_by_name = {
+    def _new_planning_pass(self, view: PlannerView, *, now: float) -> PlanningPass:
+        retirement_reason_by_group = {
             group.name: reason
             for group in view.live_groups
-            if (reason := self._outgoing.reason(group, view, now=now))
+            if (reason := self._retirement.reason(group, view, now=now))
         }
         return PlanningPass(
             view=view,
             now=now,
-            choice=HostChoice(
+            allocator=HostAllocator(
                 view=view,
                 health=self._health,
                 orders=self._orders,
@@ -141,21 +150,22 @@
                 now=now,
             ),
             decisions=self._decisions,
-            outgoing_by_name=outgoing_by_name,
+            retirement_reason_by_group=retirement_reason_by_group,
             current=[
                 group
                 for group in view.live_groups
-                if not group.draining and group.name not in outgoing_by_name
+                if not group.draining and group.name not in retirement_reason_by_group
             ],
             new_id=self._new_id,
         )
 
 
 def _sees_hosts(view: PlannerView, *, now: float) -> bool:
-    """Tell whether this process sees any engine at all.
+    """Return whether this process has a fresh report of at least one engine.
 
-    One that sees none is cut off itself.  Were it to decide, it would dissolve
-    every group of the zone; it lets the lease run out for a peer that sees them.
+    A process without any fresh report is cut off from the hosts.  If this process
+    made decisions, it would dissolve every group of the zone; instead it lets the
+    lease expire, for a peer that receives reports.
     """
     return any(
         view.confirmations.fresh(host, now=now) is not None
--- a/ryelever/coordination/planner/planning_pass.py
+++ b/ryelever/coordination/planner/planning_pass.py
@@ -1,4 +1,4 @@
-"""Hold one look of the planner at its zone, and what it has decided so far in it."""
+"""Share the state and the decisions of one planning pass among the planner's parts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from ...state.placement import Group
     from ..actions import Action
     from .decisions import Decisions
-    from .hosts import HostChoice
+    from .host_allocator import HostAllocator
     from .view import PlannerView
 
 __all__ = ["PlanningPass"]
@@ -22,36 +22,38 @@
 
 @dataclass(slots=True, kw_only=True)
 class PlanningPass:
-    """Share what all decisions of one tick need.
+    """State of the zone at one tick, and the decisions made in this tick.
 
     Attributes
     ----------
     now : float
-        Monotonic time of the look.
-    choice : HostChoice
-        Free hosts that no decision of this look has taken yet.
+        Monotonic time of the planning pass.
+    allocator : HostAllocator
+        Free hosts that no decision of this planning pass has allocated yet.
+    decisions : Decisions
+        Decisions already made, including those not yet read back from the log.
+    retirement_reason_by_group : dict of str to str
+        Reason for which a group is to be drained and ended, by group name.
     current : list of Group
         Groups that count towards the declared number, oldest first.
-    outgoing_by_name : dict of str to str
-        Why a group is to end, by its name.
     """
 
     view: PlannerView
     now: float
-    choice: HostChoice
+    allocator: HostAllocator
     decisions: Decisions
-    outgoing_by_name: dict[str, str]
+    retirement_reason_by_group: dict[str, str]
     current: list[Group]
     new_id: Callable[[], str]
 
     @property
     def tenure(self) -> int:
-        """Return the lease that decisions name."""
+        """Return the lease tenure under which the decisions are made."""
         return self.view.placement.lease.tenure
 
     @property
     def models_by_priority(self) -> list[tuple[str, Model]]:
-        """Return the declared models, the most important first."""
+        """Return the declared models, highest priority first."""
         return sorted(
             self.view.configuration.models.items(),
             key=lambda item: (-item[1].priority, item[0]),
@@ -59,7 +61,7 @@
 
     @property
     def groups_by_priority(self) -> list[Group]:
-        """Return the groups that are not dissolved, of important models first."""
+        """Return the groups that are not dissolved, highest model priority first."""
         ranks = {name: rank for rank, (name, _) in enumerate(self.models_by_priority)}
         return sorted(
             self.view.live_groups,
@@ -67,26 +69,26 @@
         )
 
     def is_complete(self, group: Group) -> bool:
-        """Tell whether every member confirms a group."""
+        """Return whether every member confirms that it serves in the group."""
         return self.view.confirmations.is_complete(group, now=self.now)
 
     def n_missing(self, model: str) -> int:
-        """Return how many declared groups of a model are neither there nor formed."""
+        """Return how many declared groups of a model neither exist nor are pending."""
         n_current = sum(group.model == model for group in self.current)
         n_wanted = self.view.configuration.models[model].n_groups
         return n_wanted - n_current - self.decisions.n_forming(model)
 
     @property
     def declared(self) -> list[Group]:
-        """Return the current groups within the declared numbers."""
+        """Return the current groups, per model no more than its declared number."""
         groups: list[Group] = []
         for name, model in self.view.configuration.models.items():
-            own = [group for group in self.current if group.model == name]
-            groups += own[: model.n_groups]
+            model_groups = [group for group in self.current if group.model == name]
+            groups += model_groups[: model.n_groups]
         return groups
 
-    def is_short_above(self, model: str) -> bool:
-        """Tell whether a more important model lacks declared groups."""
+    def is_more_important_model_short(self, model: str) -> bool:
+        """Return whether a model of higher priority lacks declared groups."""
         names = [name for name, _ in self.models_by_priority]
         above = names[: names.index(model)] if model in names else names
         return any(self.n_missing(name) > 0 for name in above)
@@ -94,7 +96,7 @@
     def form(
         self, name: str, members: tuple[str, ...], reason: str, *, replaces: str = ""
     ) -> list[Action]:
-        """Form a group of a model as it is declared now."""
+        """Return the append that forms a group with the model's current declaration."""
         model = self.view.configuration.models[name]
         record = GroupFormed(
             group=f"{name}-{self.new_id()}",
@@ -110,26 +112,29 @@
         return self.decisions.form(record, now=self.now)
 
     def replace(self, group: Group, reason: str) -> list[Action]:
-        """Form a group in place of one, from its survivors and spare hosts.
+        """Return the append of a successor group of healthy members and spare hosts.
 
-        Returns nothing when the model needs none, or when hosts are missing.
+        The list is empty when the model needs no successor or hosts are missing.
         """
         model = self.view.configuration.models.get(group.model)
         if model is None:
             return []
         if group not in self.current and self.n_missing(group.model) <= 0:
             return []
-        members = self.choice.take_over(group, model.hosts_per_group)
+        members = self.allocator.allocate_successor(group, model.hosts_per_group)
         if not members:
             return []
         return self.form(group.model, members, reason, replaces=group.name)
 
     def drain(self, group: Group, reason: str) -> list[Action]:
-        """Give a group no new work."""
+        """Return the append that starts draining a group: no new requests go there."""
         record = GroupDraining(group=group.name, lease=self.tenure, reason=reason)
         return self.decisions.once(record, key=f"drain {group.name}", now=self.now)
 
     def dissolve(self, group: Group, reason: str) -> list[Action]:
-        """End a group; its hosts are released one by one."""
+        """Return the append that dissolves a group.
+
+        The hosts of the group are released one by one afterwards.
+        """
         record = GroupDissolved(group=group.name, lease=self.tenure, reason=reason)
         return self.decisions.once(record, key=f"dissolve {group.name}", now=self.now)
--- a/ryelever/coordination/planner/release.py
+++ b/ryelever/coordination/planner/release.py
@@ -1,12 +1,13 @@
-"""Free the hosts of dissolved groups, each only with evidence.
+"""Release the hosts of dissolved groups, each only on evidence that it left or is dead.
 
-A host that never returns would keep its claim for ever.  It is shown dead when no
-report of it has counted for ``lost_timeout`` under the own lease, and for longer
-than any order can still be obeyed.  It is fenced by what a claim needs: a host is
-chosen only after it has reported, later, that it is in no group, and a group serves
-only while each member reports its very number.  Was the host merely cut off, it
-still reports its old group when it returns, is ordered to leave, and counts for
-nothing until then.
+Without a release, a host that never returns would stay claimed forever.  A host
+counts as dead when it has had no fresh report for ``lost_timeout`` while this planner
+has held the lease, and for longer than any order can still be obeyed.  Two conditions
+keep a dead host that returns out of other groups.  A host is allocated only after a
+later report that it is in no group, and a group serves only while each member reports
+the group's fencing number.  A host that was only cut off still reports its old group
+when it returns, and is ordered to leave.  Until it has left, this host counts neither
+as free nor as a serving member.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 class Release:
-    """Order the hosts of dissolved groups to leave, and record who left."""
+    """Order the hosts of dissolved groups to leave, and record their release."""
 
     def __init__(
         self,
@@ -45,12 +46,14 @@
     def tick(
         self, view: PlannerView, *, taken: set[str], held_since: float, now: float
     ) -> list[Action]:
-        """Return the orders and releases that are due.
+        """Return the orders to leave and the release records that are due.
 
         Parameters
         ----------
         taken : set of str
-            Hosts of groups that were decided and not read back yet.
+            Hosts of groups whose append was not read back yet.
+        held_since : float
+            Monotonic time at which this planner's lease tenure began.
         """
         actions: list[Action] = []
         for group in list(view.placement.groups_by_name.values()):
@@ -61,7 +64,7 @@
                     )
         for host in sorted(view.hosts_by_name):
             if host not in taken and host not in view.placement.group_by_host:
-                actions += self._order_stray(host, view, now=now)
+                actions += self._order_unclaimed_host_to_leave(host, view, now=now)
         return actions
 
     def _release(
@@ -75,17 +78,19 @@
     ) -> list[Action]:
         report = view.confirmations.fresh(host, now=now)
         if report is None:
-            return self._release_dead(group, host, view, held_since=held_since, now=now)
+            return self._release_dead_host(
+                group, host, view, held_since=held_since, now=now
+            )
         if report.group == group.name:
-            # The number of the dissolution is above that of the group, so an
-            # engine that checks refuses any order for the group that is still
-            # under way.
+            # The fencing number of the dissolution is above that of the group, so an
+            # engine that checks fencing numbers refuses any order for the group that
+            # is still in flight.
             return self._orders.leave(report, view, fencing=group.dissolved_at, now=now)
-        if not self._orders.expired(host, view, held_since=held_since, now=now):
+        if not self._orders.joins_expired(host, view, held_since=held_since, now=now):
             return []
-        return self._free(group, host, view, evidence="left", now=now)
+        return self._record_release(group, host, view, evidence="left", now=now)
 
-    def _release_dead(
+    def _release_dead_host(
         self,
         group: Group,
         host: str,
@@ -98,9 +103,9 @@
         if silent_for < self._limits.dead_after:
             return []
         evidence = "dead" if host in view.hosts_by_name else "gone"
-        return self._free(group, host, view, evidence=evidence, now=now)
+        return self._record_release(group, host, view, evidence=evidence, now=now)
 
-    def _free(
+    def _record_release(
         self, group: Group, host: str, view: PlannerView, *, evidence: str, now: float
     ) -> list[Action]:
         record = HostReleased(
@@ -111,7 +116,9 @@
         )
         return self._decisions.once(record, key=f"release {group.name} {host}", now=now)
 
-    def _order_stray(self, host: str, view: PlannerView, *, now: float) -> list[Action]:
+    def _order_unclaimed_host_to_leave(
+        self, host: str, view: PlannerView, *, now: float
+    ) -> list[Action]:
         report = view.confirmations.fresh(host, now=now)
         if report is None or not report.group:
             return []
--- a/ryelever/coordination/planner/outgoing.py
+++ b/ryelever/coordination/planner/retirement.py
@@ -1,4 +1,4 @@
-"""Name the groups that are to end in good order, and tell when they are empty."""
+"""Decide which groups are to be drained and ended, and when draining has finished."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
     from .health import HostHealth
     from .view import PlannerLimits, PlannerView
 
-__all__ = ["Outgoing"]
+__all__ = ["GroupRetirement"]
 
-#: Seconds in which every entry host that reads the log has read that a group
-#: drains, and the engine's reported load has caught up.
+#: Seconds within which every entry host that reads the log has read that a group is
+#: draining, and the load reported by the group's engine reflects this.
 SETTLE_TIME = 2.0
 
 _NEVER = float("-inf")
 
 
-class Outgoing:
-    """Judge which groups no longer match what is declared, or should be replaced."""
+class GroupRetirement:
+    """Select groups that no longer match the declaration or should be replaced."""
 
     def __init__(self, *, limits: PlannerLimits, health: HostHealth) -> None:
         self._limits = limits
         self._health = health
-        self._given_by_group: dict[str, str] = {}
+        self._reason_by_donor: dict[str, str] = {}
         self._draining_since_by_group: dict[str, float] = {}
         self._surplus_since_by_model: dict[str, float] = {}
 
     def observe(self, view: PlannerView, *, now: float) -> None:
-        """Remember since when groups drain and models have more than declared."""
+        """Record since when groups have been draining and models have had a surplus."""
         live = {group.name: group for group in view.live_groups}
-        self._given_by_group = {
+        self._reason_by_donor = {
             name: reason
-            for name, reason in self._given_by_group.items()
+            for name, reason in self._reason_by_donor.items()
             if name in live
         }
         self._draining_since_by_group = {
@@ -49,35 +49,35 @@
             if len(self._matching(name, view, now=now)) > n_allowed(name, model, view)
         }
 
-    def give(self, group: Group, reason: str) -> None:
-        """End a group so that another model gets its hosts."""
-        self._given_by_group[group.name] = reason
+    def retire(self, group: Group, reason: str) -> None:
+        """Mark a group to be ended, so that another model gets its hosts."""
+        self._reason_by_donor[group.name] = reason
 
     def reason(self, group: Group, view: PlannerView, *, now: float) -> str:
-        """Return why a group is to end, or nothing."""
+        """Return the reason for ending a group, or an empty string to keep it."""
         return (
-            self._given_by_group.get(group.name, "")
+            self._reason_by_donor.get(group.name, "")
             or _reason_undeclared(group, view)
             or self._reason_member(group, view, now=now)
             or self._reason_surplus(group, view, now=now)
         )
 
-    def drained(self, group: Group, view: PlannerView, *, now: float) -> str:
-        """Return how a draining group has ended, or nothing while it has not."""
+    def drain_outcome(self, group: Group, view: PlannerView, *, now: float) -> str:
+        """Return why draining has finished, or an empty string while it has not."""
         since = self._draining_since_by_group.get(group.name, now)
         if now - since >= self._limits.drain_timeout:
             return "its time to finish requests is over"
         reports = [
             view.confirmations.reports_by_host.get(host) for host in group.members
         ]
-        empty = all(
+        is_empty = all(
             known is not None
             and known.asked_at >= since + SETTLE_TIME
             and not known.report.running
             and not known.report.waiting
             for known in reports
         )
-        return "its requests have finished" if empty else ""
+        return "its requests have finished" if is_empty else ""
 
     def _reason_member(self, group: Group, view: PlannerView, *, now: float) -> str:
         for host in group.members:
@@ -99,21 +99,21 @@
         since = self._surplus_since_by_model.get(group.model)
         if since is None or now - since < self._limits.idle_hold:
             return ""
-        older = self._matching(group.model, view, now=now)
-        kept = older[: n_allowed(group.model, model, view)]
-        return "" if group in kept else "more groups than declared"
+        matching = self._matching(group.model, view, now=now)
+        groups_to_keep = matching[: n_allowed(group.model, model, view)]
+        return "" if group in groups_to_keep else "more groups than declared"
 
     def _matching(self, model: str, view: PlannerView, *, now: float) -> list[Group]:
-        """Return a model's groups that are to stay, were there not too many.
+        """Return a model's groups that have no reason to end other than a surplus.
 
-        A group that is about to end does not count: its successor would otherwise
-        be taken for one too many.
+        A group that is about to end for another reason does not count.  Otherwise
+        its successor would count as a surplus group.
         """
         return [
             group
             for group in view.groups_of(model)
             if not group.draining
-            and group.name not in self._given_by_group
+            and group.name not in self._reason_by_donor
             and not _reason_undeclared(group, view)
             and not self._reason_member(group, view, now=now)
         ]
@@ -135,9 +135,9 @@
 def _has_spare(
     group: Group, view: PlannerView, health: HostHealth, *, now: float
 ) -> bool:
-    """Tell whether a straggler's domain has a host to take its place.
+    """Return whether a fabric domain has an idle host to replace a straggler.
 
-    A slow group serves better than none.
+    Without such a host the straggler stays, since a slow group is better than none.
     """
     domain = view.domain_of(group.members[0])
     return any(
--- a/ryelever/coordination/planner/view.py
+++ b/ryelever/coordination/planner/view.py
@@ -1,4 +1,4 @@
-"""Define what a planner looks at, and its limits."""
+"""Define the input of a planner and its limits."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ModelDemand:
-    """Tell how many requests of one client account wait for one model."""
+    """Number of requests of one client account that wait for one model."""
 
     model: str
     client_account: str
@@ -25,34 +25,37 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class PlannerLimits:
-    """Bound what the planner does; times are in seconds.
+    """Timeouts, intervals and bounds of the planner; times are in seconds.
 
     Attributes
     ----------
     member_timeout : float
-        Time after its last report has ceased to count at which a silent member is
-        replaced, if a spare is there.
+        Time after which a silent member is replaced if a spare host is available,
+        counted from when the member's last report expired.
     lost_timeout : float
-        Silence after which a group is dissolved although no spare is there.  Until
-        then a paused member may come back, and the group need not load again.
+        Time after which a group with a silent member is dissolved although no spare
+        host is available, counted from when the member's last report expired.
+        Until then a paused member may return, and the group need not load again.
     load_timeout : float
-        Time in which a new group must have been whole once.
+        Time within which a new group must have been complete once.
     drain_timeout : float
-        Time that requests in flight have in a group that is to end.
+        Time that requests in flight have to finish in a group that is draining.
     order_window : float
-        Time after the report it is based on in which an engine may begin to obey
-        an order.
+        Time after the report that an order is based on, within which the engine may
+        begin to execute this order.
     order_interval : float
-        Time between two orders to one host.
+        Minimum time between two orders to one host.
     decision_timeout : float
-        Time after which a decision that was not read back is made again.
+        Time after which a decision that was not read back from the log is repeated.
     demand_hold, idle_hold : float
-        Time that callers must have waited for one model, and that nobody waited
-        for another, before capacity moves.
+        Time for which callers must have waited for one model, and for which no
+        caller must have waited for another model, before capacity moves between
+        these models.
     move_interval : float
-        Shortest time between two moves of capacity.
+        Minimum time between two moves of capacity.
     max_loading : int
-        Hosts that load weights at once, unless one group alone has more.
+        Maximum number of hosts that load weights at once.  A single group with more
+        members than this may still load alone.
     """
 
     member_timeout: float = 1.0
@@ -69,20 +72,23 @@
 
     @property
     def dead_after(self) -> float:
-        """Return the silence that shows a host dead; no order outlasts it."""
+        """Return the seconds of silence after which a host is considered dead.
+
+        No order to the host can still take effect after this time.
+        """
         return max(self.lost_timeout, 2 * self.order_window)
 
 
 @dataclass(slots=True, kw_only=True)
 class PlannerView:
-    """Hold everything that a planner looks at.
+    """Input of one planning pass.
 
     Attributes
     ----------
     hosts_by_name : dict of str to ListedHost
-        The engines of the zone that the platform's list names.
+        Engines of the zone that are in the platform's hosts list.
     demand : tuple of ModelDemand
-        Requests that wait, as far as this entry host knows.
+        Waiting requests known to this entry host.
     """
 
     configuration: Configuration
@@ -103,11 +109,14 @@
         return [group for group in self.live_groups if group.model == model]
 
     def domain_of(self, host: str) -> str | None:
-        """Return a host's fabric domain, unless the list does not name it."""
+        """Return the fabric domain of a host, or None for an unlisted host."""
         listed = self.hosts_by_name.get(host)
         return listed.fabric_domain if listed is not None else None
 
     def checks_fencing(self, host: str) -> bool:
-        """Tell whether a host refuses old fencing numbers; unlisted ones may not."""
+        """Return whether a host refuses orders with an old fencing number.
+
+        An unlisted host is assumed not to check.
+        """
         listed = self.hosts_by_name.get(host)
         return listed is not None and listed.checks_fencing
--- a/tests/test_coordination/test_planner/test_fencing.py
+++ b/tests/test_coordination/test_planner/test_fencing.py
@@ -1,4 +1,4 @@
-"""Test late, repeated and lost orders at engines of both kinds."""
+"""Test late, repeated and lost orders to engines with and without fencing checks."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from ...zone import Engine, Zone, new_zone
 
-JOIN = SendOrder(
+OLD_JOIN = SendOrder(
     host="h",
     address="h",
     kind="join",
@@ -19,69 +19,82 @@
     members=("h",),
     expires_ms=1_003_000,
 )
-LEAVE = replace(JOIN, kind="leave", fencing=12, expires_ms=1_004_000)
-NEXT = replace(JOIN, group="new", fencing=20, expires_ms=1_009_000)
+OLD_LEAVE = replace(OLD_JOIN, kind="leave", fencing=12, expires_ms=1_004_000)
+NEW_JOIN = replace(OLD_JOIN, group="new", fencing=20, expires_ms=1_009_000)
 
 
-#: Orders, each with the time of its delivery, and the groups that a checking and an
-#: ignoring engine obey.  The engine's clock reads 1,000 s at time 0.
+#: Orders with their delivery times, the final group of an engine that checks fencing
+#: numbers, and that of an engine that ignores them.  The engine's clock reads 1,000 s
+#: at time 0.
 CASES = {
-    "in order": ([(0, JOIN)], "old", "old"),
-    "left and joined anew": ([(0, JOIN), (1, LEAVE), (6, NEXT)], "new", "new"),
+    "in order": ([(0, OLD_JOIN)], "old", "old"),
+    "left and joined anew": (
+        [(0, OLD_JOIN), (1, OLD_LEAVE), (6, NEW_JOIN)],
+        "new",
+        "new",
+    ),
     "old order after its deadline": (
-        [(0, JOIN), (1, LEAVE), (6, NEXT), (7, JOIN)],
+        [(0, OLD_JOIN), (1, OLD_LEAVE), (6, NEW_JOIN), (7, OLD_JOIN)],
         "new",
         "new",
     ),
-    # What the wait of the planner is for: see the test of the zone below.
+    # Because of this case the planner waits before it forms the new group.  The tests
+    # with a zone below check that it waits.
     "old order before its deadline, new group formed too early": (
-        [(0, JOIN), (1, LEAVE), (2, NEXT), (2.5, JOIN)],
+        [(0, OLD_JOIN), (1, OLD_LEAVE), (2, NEW_JOIN), (2.5, OLD_JOIN)],
         "new",
         "old",
     ),
-    "old order after the host left": ([(0, JOIN), (1, LEAVE), (2, JOIN)], "", "old"),
+    "old order after the host left": (
+        [(0, OLD_JOIN), (1, OLD_LEAVE), (2, OLD_JOIN)],
+        "",
+        "old",
+    ),
     "old leave after the new join": (
-        [(0, JOIN), (3, NEXT), (3.5, LEAVE)],
+        [(0, OLD_JOIN), (3, NEW_JOIN), (3.5, OLD_LEAVE)],
         "new",
         "new",
     ),
-    "order repeated": ([(0, JOIN), (1, JOIN)], "old", "old"),
-    "late from the start": ([(4, JOIN)], "", ""),
-    "leave overtakes its join": ([(0, LEAVE), (1, JOIN)], "", "old"),
+    "order repeated": ([(0, OLD_JOIN), (1, OLD_JOIN)], "old", "old"),
+    "late from the start": ([(4, OLD_JOIN)], "", ""),
+    "leave overtakes its join": ([(0, OLD_LEAVE), (1, OLD_JOIN)], "", "old"),
 }
 
 
 @pytest.mark.parametrize("checks_fencing", [True, False])
 @pytest.mark.parametrize(("orders", "checking", "ignoring"), CASES.values(), ids=CASES)
-def test_engine_obeys(
+def test_engine_obeys_orders(
     orders: list[tuple[float, SendOrder]],
     checking: str,
     ignoring: str,
     checks_fencing: bool,
 ) -> None:
-    """State what engines of both kinds do, on which the planner builds."""
+    """Deliver each row's orders to an engine that checks or ignores fencing numbers.
+
+    The planner relies on this behavior.
+    """
     engine = Engine(host="h", checks_fencing=checks_fencing)
     for at, order in orders:
         engine.obey(order, now=float(at))
     assert engine.group == (checking if checks_fencing else ignoring)
 
 
-def _zone(checks_fencing: bool, *, n_planners: int = 1) -> Zone:
+def _make_zone(checks_fencing: bool, *, n_planners: int = 1) -> Zone:
     return new_zone(a=5, checks_fencing=checks_fencing, n_planners=n_planners)
 
 
-class _Watch:
-    """Count the times that an engine left its present group for an older one."""
+class _ObeyWatch:
+    """Record each order by which an engine left its current group for another one."""
 
     def __init__(self, zone: Zone) -> None:
         self.zone = zone
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         zone.on_obey = self.obeyed
 
     def obeyed(self, engine: Engine, order: SendOrder, before: str) -> None:
         claimed_by = self.zone.group_of(engine.host)
         if order.kind == "join" and before == claimed_by != order.group:
-            self.broken.append(f"{engine.host} left {before} for {order.group}")
+            self.violations.append(f"{engine.host} left {before} for {order.group}")
 
 
 @pytest.mark.parametrize("delay", [0.5, 1.0, 2.0, 2.8, 3.2, 5.0, 12.0])
@@ -89,14 +102,14 @@
 def test_late_order_never_breaks_a_new_group(
     checks_fencing: bool, delay: float
 ) -> None:
-    """Repeat every order late, while a group is repaired twice in a row.
+    """Deliver every order a second time, late, while a group is repaired twice.
 
-    Symptom: a whole group loses a member that is healthy.  Sequence: an order to
-    join lingers on its way, its group ends, its host joins another, the order
-    arrives.  Cause: the engine obeys whatever comes last.
+    Guards against a complete group losing a healthy member: an order to join is
+    delayed, its group ends, its host joins another group, and the order arrives.  An
+    engine that obeys the latest order to arrive leaves its new group.
     """
-    zone = _zone(checks_fencing)
-    watch = _Watch(zone)
+    zone = _make_zone(checks_fencing)
+    obey_watch = _ObeyWatch(zone)
     zone.order_fate = lambda order: (0.0, delay)
     zone.run_until(zone.groups, at_most=8)
     for host in zone.groups()[0]:
@@ -105,22 +118,23 @@
     zone.engines_by_host["a-1"].refuses = True
     zone.run(25)
     assert len(zone.groups()) == 1 and "a-1" not in zone.groups()[0]
-    assert watch.broken == []
+    assert obey_watch.violations == []
 
 
 @pytest.mark.parametrize("delay", [1.6, 1.8, 2.0, 2.2, 2.4])
 @pytest.mark.parametrize("checks_fencing", [True, False])
-def test_next_holder_waits_out_the_orders_of_the_last(
+def test_next_lease_holder_waits_until_earlier_orders_expire(
     checks_fencing: bool, delay: float
 ) -> None:
-    """Let an order of the former holder arrive after the next one has repaired.
+    """Deliver orders of the former lease holder after the next one has repaired.
 
-    Symptom: as above, by two planners.  Sequence: the holder orders a group to
-    join, gives the lease back, its orders linger; the next holder dissolves the
-    group and forms another.  Cause: the next holder knows nothing of the orders.
+    Guards against a complete group losing a healthy member through two planners.  The
+    lease holder orders a group to join and returns the lease, and its orders are
+    delayed.  The next holder, which doesn't know of these orders, dissolves the group
+    and forms another.
     """
-    zone = _zone(checks_fencing, n_planners=2)
-    watch = _Watch(zone)
+    zone = _make_zone(checks_fencing, n_planners=2)
+    obey_watch = _ObeyWatch(zone)
     first, _ = zone.planners
     zone.order_fate = lambda order: (0.0, delay) if order in first.sent else (0.0,)
     zone.run_until(lambda: first.sent, at_most=5)
@@ -130,16 +144,16 @@
     zone.engines_by_host["a-0"].refuses = True
     first.paused = True
     zone.run(20)
-    assert watch.broken == [] and len(zone.groups()) == 1
+    assert obey_watch.violations == [] and len(zone.groups()) == 1
 
 
 def test_order_deadline_is_on_the_engines_own_clock() -> None:
-    """Order engines whose clocks differ by hours.
+    """Send orders to engines whose clocks differ by hours.
 
-    Symptom: orders are refused, or obeyed hours late.  Sequence: hosts were booted
-    at other times.  Cause: two clocks are compared.
+    Guards against orders that are refused, or obeyed hours late, because clocks of
+    hosts that were booted at different times are compared.
     """
-    zone = _zone(False)
+    zone = _make_zone(False)
     for number, engine in enumerate(zone.engines_by_host.values()):
         engine.clock_offset = 10_000.0 * number + 1
     zone.run_until(zone.groups, at_most=10)
--- a/tests/test_coordination/test_planner/test_planner_change.py
+++ b/tests/test_coordination/test_planner/test_planner_change.py
@@ -1,4 +1,4 @@
-"""Test planned changes: the old group drains, the new one is confirmed first."""
+"""Test planned changes: the old group is drained after the new one is complete."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 _Change = Callable[[Model], Model]
 
 
-def _zone(**fields: object) -> Zone:
+def _make_zone(**fields: object) -> Zone:
     limits = PlannerLimits(drain_timeout=15.0)
     return new_zone(serves_within=30, limits=limits, **fields)
 
 
-def _draining_zone() -> Zone:
-    """Return a zone whose one group drains, with a request in flight."""
-    zone = _zone(a=4)
-    _busy(zone, 1)
-    _declare(zone, _new_version)
+def _zone_with_draining_group() -> Zone:
+    """Return a zone whose only group is draining with a request in flight."""
+    zone = _make_zone(a=4)
+    _set_running(zone, 1)
+    _change_models(zone, _new_version)
     zone.run_until(lambda: "draining" in zone.kinds(), at_most=5)
     return zone
 
 
-def _declare(zone: Zone, change: _Change) -> None:
+def _change_models(zone: Zone, change: _Change) -> None:
     models = {name: change(model) for name, model in zone.configuration.models.items()}
     zone.configuration = replace(zone.configuration, models=models)
 
@@ -57,7 +57,8 @@
     ]
 
 
-#: Change, groups declared, hosts of two fabric domains, seconds without a group.
+#: Change, declared groups, hosts of two fabric domains, and maximum seconds without a
+#: serving group.
 CASES = {
     "version, hosts for a second group": (_new_version, 1, (4, 4), 0.0),
     "version, two groups and no free host": (_new_version, 2, (4, 4), 0.0),
@@ -73,13 +74,13 @@
 def test_change_is_confirmed_before_the_old_group_ends(
     change: _Change, n_groups: int, hosts: tuple[int, int], seconds_down: float
 ) -> None:
-    """Change what a group serves.
+    """Change a model's declaration.
 
-    Symptom: the model is gone while the new version loads.  Sequence: an operator
-    publishes a change.  Cause: the old group was dissolved at once.
+    Guards against a model that is not served while its new version loads, because the
+    old group is dissolved as soon as an operator publishes the change.
     """
-    zone = _zone(n_groups=n_groups, a=hosts[0], b=hosts[1])
-    _declare(zone, change)
+    zone = _make_zone(n_groups=n_groups, a=hosts[0], b=hosts[1])
+    _change_models(zone, change)
     model = zone.configuration.models["m"]
     assert zone.seconds_down(60) <= seconds_down
     groups = list(zone.truth.groups_by_name.values())
@@ -88,39 +89,39 @@
     assert all(len(group.members) == model.hosts_per_group for group in groups)
 
 
-def _busy(zone: Zone, n_running: int) -> None:
+def _set_running(zone: Zone, n_running: int) -> None:
     for group in zone.truth.groups_by_name.values():
         zone.engines_by_host[group.members[0]].running = n_running
 
 
-@pytest.mark.parametrize(("busy_for", "cut"), [(8.0, False), (60.0, True)])
+@pytest.mark.parametrize(("running_for", "is_cut_off"), [(8.0, False), (60.0, True)])
 def test_requests_in_flight_finish_within_a_deadline(
-    busy_for: float, cut: bool
+    running_for: float, is_cut_off: bool
 ) -> None:
     """Drain a group that has requests in flight.
 
-    Symptom: a caller's answer breaks off at a planned change.  Sequence: a new
-    version is declared while the old group generates.  Cause: the group ends before
-    its requests do; or it never ends, for one that never does.
+    Guards against answers that are cut off by a planned change, because the old group
+    is ended while it still generates after a new version is declared.  Also guards
+    against a group that is never ended because one of its requests never finishes.
     """
-    zone = _zone(a=4, b=4)
+    zone = _make_zone(a=4, b=4)
     old = next(iter(zone.truth.groups_by_name))
-    _busy(zone, 3)
-    _declare(zone, _new_version)
+    _set_running(zone, 3)
+    _change_models(zone, _new_version)
     zone.run_until(lambda: _versions(zone) == ["v2"], at_most=10)
     started = zone.now
-    zone.later(busy_for, lambda: _busy(zone, 0))
+    zone.later(running_for, lambda: _set_running(zone, 0))
     zone.run_until(lambda: old not in zone.truth.groups_by_name, at_most=30)
     ended_after = zone.now - started
-    assert (ended_after < busy_for) is cut
+    assert (ended_after < running_for) is is_cut_off
     dissolved = [row for row in zone.truth.changes if row.kind == "dissolved"]
-    expected = "its time to finish" if cut else "its requests have finished"
+    expected = "its time to finish" if is_cut_off else "its requests have finished"
     assert expected in dissolved[0].reason
 
 
-def test_draining_group_gets_no_new_work_and_still_counts_as_whole() -> None:
-    """Choose targets while a group drains."""
-    zone = _draining_zone()
+def test_draining_group_gets_no_new_requests_and_still_counts_as_complete() -> None:
+    """Select targets while a group is draining."""
+    zone = _zone_with_draining_group()
     process = zone.planners[0]
     zone.advance()
     group = next(iter(process.fold.groups_by_name.values()))
@@ -138,13 +139,13 @@
     assert targets.for_arrival(arrival, zone.now) == []
 
 
-def test_member_that_dies_while_its_group_drains_ends_it() -> None:
+def test_death_of_a_member_ends_its_draining_group() -> None:
     """Lose a member of a draining group: two faults.
 
-    Symptom: the hosts of a draining group stay bound until the deadline.  Sequence:
-    a group drains, a member dies.  Cause: only the count of requests is looked at.
+    Guards against hosts of the group that stay claimed until the drain deadline,
+    because the planner only checks the group's number of requests.
     """
-    zone = _draining_zone()
+    zone = _zone_with_draining_group()
     zone.engines_by_host["a-3"].refuses = True
     zone.run(3)
     group = next(iter(zone.truth.groups_by_name.values()), None)
@@ -154,29 +155,31 @@
 
 
 def test_model_that_is_no_longer_declared_ends_after_its_requests() -> None:
-    """Withdraw a model."""
-    zone = _zone(a=4)
-    _busy(zone, 1)
+    """Remove a model from the configuration while a request is in flight."""
+    zone = _make_zone(a=4)
+    _set_running(zone, 1)
     zone.configuration = Configuration()
     zone.run(5)
     assert len(zone.truth.groups_by_name) == 1
-    _busy(zone, 0)
+    _set_running(zone, 0)
     zone.run_until(lambda: not zone.truth.groups_by_name, at_most=5)
 
 
-def test_slow_log_gets_each_decision_once() -> None:
-    """Take a second for each append.
+def test_each_decision_is_appended_once_to_a_slow_log() -> None:
+    """Let each append take almost a second.
 
-    Symptom: the log is flooded by one decision, all but the first ignored.
-    Sequence: the log is slow, the planner looks on.  Cause: a decision that was not
-    read back counts as not made.
+    Guards against a log that is flooded with repetitions of one decision, of which
+    all but the first are ignored.  This happens if the planner repeats a decision at
+    each tick until a slow log returns it.
     """
-    zone = _zone(a=4, b=4)
+    zone = _make_zone(a=4, b=4)
     zone.append_fate = lambda _: (0.9,)
-    n_known = len(zone.entries)
-    _declare(zone, _new_version)
+    n_entries_before = len(zone.entries)
+    _change_models(zone, _new_version)
     zone.run(30)
-    kinds = Counter(type(entry.record).__name__ for entry in zone.entries[n_known:])
+    kinds = Counter(
+        type(entry.record).__name__ for entry in zone.entries[n_entries_before:]
+    )
     del kinds["LeaseTaken"]
     assert kinds == {
         "GroupFormed": 1,
--- a/tests/test_coordination/test_planner/test_planner_claims.py
+++ b/tests/test_coordination/test_planner/test_planner_claims.py
@@ -1,4 +1,4 @@
-"""Test which records of placement take effect."""
+"""Test which placement records take effect and which are ignored."""
 
 from __future__ import annotations
 
@@ -24,35 +24,47 @@
     return HostReleased(group="g", host=host, lease=0, evidence="left")
 
 
-G = formed("g", "h1", "h2")
-TAKEN_OVER = formed("n", "h1", "h3", replaces="g")
+FORMED = formed("g", "h1", "h2")
+REPLACED = formed("n", "h1", "h3", replaces="g")
 
 ROWS = [
-    ("one host in two groups", [G, formed("n", "h2", "h3")], "belongs to group g"),
+    ("one host in two groups", [FORMED, formed("n", "h2", "h3")], "belongs to group g"),
     ("a host twice in one group", [formed("g", "h1", "h1")], "named twice"),
-    ("name used again", [G, formed("g", "h3")], "exists already"),
+    ("name used again", [FORMED, formed("g", "h3")], "exists already"),
     (
         "old lease",
-        [G, LeaseTaken(holder="b", term=6.0, previous=0), DISSOLVED],
+        [FORMED, LeaseTaken(holder="b", term=6.0, previous=0), DISSOLVED],
         "lease",
     ),
     ("racing lease", [LeaseTaken(holder="b", term=6.0, previous=-1)], "lease 0"),
-    ("released while it serves", [G, _released("h1")], "not dissolved"),
-    ("used before its release", [G, DISSOLVED, formed("n", "h1")], "belongs to"),
-    ("used after its release", [G, DISSOLVED, _released("h1"), formed("n", "h1")], ""),
-    ("released twice", [G, DISSOLVED, _released("h1"), _released("h1")], "not claimed"),
-    ("taken over", [G, TAKEN_OVER], ""),
+    ("released while it serves", [FORMED, _released("h1")], "not dissolved"),
+    ("used before its release", [FORMED, DISSOLVED, formed("n", "h1")], "belongs to"),
+    (
+        "used after its release",
+        [FORMED, DISSOLVED, _released("h1"), formed("n", "h1")],
+        "",
+    ),
+    (
+        "released twice",
+        [FORMED, DISSOLVED, _released("h1"), _released("h1")],
+        "not claimed",
+    ),
+    ("taken over", [FORMED, REPLACED], ""),
     (
         "taken over twice",
-        [G, TAKEN_OVER, formed("o", "h2", replaces="g")],
+        [FORMED, REPLACED, formed("o", "h2", replaces="g")],
         "not there",
     ),
-    ("survivor released", [G, TAKEN_OVER, _released("h1")], "not claimed"),
-    ("third group's host", [G, formed("o", "h3"), TAKEN_OVER], "belongs to group o"),
-    ("dead member released", [G, TAKEN_OVER, _released("h2"), formed("o", "h2")], ""),
-    ("drained", [G, DRAINING], ""),
-    ("drained twice", [G, DRAINING, DRAINING], "not there"),
-    ("drained after its end", [G, DISSOLVED, DRAINING], "not there"),
+    ("survivor released", [FORMED, REPLACED, _released("h1")], "not claimed"),
+    ("third group's host", [FORMED, formed("o", "h3"), REPLACED], "belongs to group o"),
+    (
+        "dead member released",
+        [FORMED, REPLACED, _released("h2"), formed("o", "h2")],
+        "",
+    ),
+    ("drained", [FORMED, DRAINING], ""),
+    ("drained twice", [FORMED, DRAINING, DRAINING], "not there"),
+    ("drained after its end", [FORMED, DISSOLVED, DRAINING], "not there"),
 ]
 
 
@@ -62,8 +74,9 @@
 ) -> None:
     """Fold the row's records after a lease at offset 0.
 
-    Symptom: one host in two groups, by the log itself.  Sequence: two planners
-    decide on what each has read.  Cause: a record takes effect unchecked.
+    Guards against one host being in two groups according to the log.  This happens if
+    two planners decide on different states of the log and their records take effect
+    without a check.
     """
     fold = PlacementFold()
     reasons = [
--- a/tests/test_coordination/test_planner/test_planner_machine.py
+++ b/tests/test_coordination/test_planner/test_planner_machine.py
@@ -1,6 +1,6 @@
-"""Test invariants of planner and placement under drawn sequences of faults.
+"""Test invariants of planner and placement under generated sequences of faults.
 
-The sequences are drawn by hypothesis, derandomized: every run draws the same.
+Hypothesis generates the sequences, derandomized: every run generates the same ones.
 """
 
 from __future__ import annotations
@@ -28,18 +28,31 @@
 STEP = 0.25
 MAX_AGE = 2.0
 
-#: A decision may be this much younger than the report that it rests on, and its
-#: record this much younger than the decision.
+#: Maximum seconds between the report that a decision is based on and the decision's
+#: record in the log: the age of the report plus the delay of the append.
 MAX_DECISION_AGE = 2 * MAX_AGE + 12.0
 
 DELAYS = st.sampled_from([(0.0,), (), (0.0, 2.0), (2.5,), (0.0, 6.0), (12.0,)])
 
-LIMITS_DEAD_AFTER = 10.0
+DEAD_AFTER = 10.0
 
 
 @dataclass(slots=True, kw_only=True)
 class Invariants:
-    """Watch a zone from outside, with a memory of its own."""
+    """Check a zone against a separate record of its engines and leases.
+
+    Attributes
+    ----------
+    tenure : int
+        Log offset at which the current lease tenure began.
+    holder : str
+        Entry host that holds the lease according to the log.
+    in_group_at : dict of (str, str, int) to float
+        Latest time at which a host was ready in a group, by group, host and fencing
+        number.
+    out_of_group_at : dict of (str, str) to float
+        Latest time at which a host was not in a group, by group and host.
+    """
 
     zone: Zone
     tenure: int = -1
@@ -48,7 +61,7 @@
     out_of_group_at: dict[tuple[str, str], float] = field(default_factory=dict)
 
     def obeyed(self, engine: Engine, order: SendOrder, before: str) -> None:
-        """Check that no engine leaves its present group for an older one."""
+        """Check that no engine leaves its current live group for another one."""
         claimed_by = self.zone.group_of(engine.host)
         group = self.zone.truth.groups_by_name.get(claimed_by)
         live = group is not None and not group.dissolved
@@ -58,7 +71,7 @@
             )
 
     def folded(self, entry: Entry, reason: str | None) -> None:
-        """Check a record that took effect."""
+        """Check a record that took effect; pass over a record that was ignored."""
         record = entry.record
         if reason is not None:
             return
@@ -84,10 +97,10 @@
         )
         heard_at = decider.heard_at_by_host.get(record.host, 0.0)
         silent_for = self.zone.now - heard_at
-        assert silent_for >= LIMITS_DEAD_AFTER or record.host in self._answering()
+        assert silent_for >= DEAD_AFTER or record.host in self._answering_hosts()
 
-    def _answering(self) -> set[str]:
-        # The decision may have lingered while the host came back.
+    def _answering_hosts(self) -> set[str]:
+        # The append of the decision may have been delayed while the host returned.
         return {
             host
             for host, engine in self.zone.engines_by_host.items()
@@ -95,18 +108,18 @@
         }
 
     def check(self) -> None:
-        """Check what must hold at every step."""
-        self._remember()
-        self._one_group_a_host()
+        """Check the invariants that must hold at every step."""
+        self._record_membership()
+        self._check_one_group_per_host()
         holders = [
             process.name for process in self.zone.planners if self._holds(process)
         ]
         assert len(holders) <= 1, f"{holders} hold the lease at once"
         for process in self.zone.planners:
             if not process.paused:
-                self._whole_groups_are_whole(process)
+                self._check_complete_groups(process)
 
-    def _remember(self) -> None:
+    def _record_membership(self) -> None:
         now = self.zone.now
         for host, engine in self.zone.engines_by_host.items():
             if engine.alive and engine.state == "ready":
@@ -115,7 +128,7 @@
                 if engine.group != name:
                     self.out_of_group_at[(name, host)] = now
 
-    def _one_group_a_host(self) -> None:
+    def _check_one_group_per_host(self) -> None:
         claims = [
             host
             for group in self.zone.truth.groups_by_name.values()
@@ -127,7 +140,7 @@
     def _holds(self, process: PlannerProcess) -> bool:
         return process.planner.lease.holds(process.fold, now=self.zone.now)
 
-    def _whole_groups_are_whole(self, process: PlannerProcess) -> None:
+    def _check_complete_groups(self, process: PlannerProcess) -> None:
         now = self.zone.now
         for group in process.fold.groups_by_name.values():
             if not process.confirmations.is_complete(group, now=now):
@@ -135,10 +148,12 @@
             for host in group.members:
                 seen = self.in_group_at.get((group.name, host, group.fencing), 0.0)
                 assert now - seen <= MAX_AGE + STEP, (
-                    f"{group.name} counts as whole without {host}"
+                    f"{group.name} counts as complete without {host}"
                 )
 
 
+# Hypothesis derives the generated sequences from the source of the machine classes
+# below, without comments.  Any other edit of these classes changes the sequences.
 class _Machine(RuleBasedStateMachine):
     checks_fencing = True
 
@@ -252,13 +267,13 @@
 
 
 @pytest.mark.parametrize("machine", [_Machine, _IgnoringMachine])
-def test_invariants_hold_under_drawn_faults(
+def test_invariants_hold_under_generated_faults(
     machine: type[RuleBasedStateMachine],
 ) -> None:
-    """Draw kills, cuts, pauses, log outages, and lost, late or repeated messages.
+    """Generate kills, cuts, pauses, log outages, and lost, late or repeated messages.
 
-    Symptom: any of the assertions above.  Sequence: printed by hypothesis, the
-    shortest that it finds.  Cause: two faults meet that no table has a row for.
+    Guards against combinations of faults that no table of cases contains.  When an
+    assertion above fails, hypothesis prints the shortest sequence that it finds.
     """
     run_state_machine_as_test(
         machine,
--- a/tests/test_coordination/test_planner/test_planner_repair.py
+++ b/tests/test_coordination/test_planner/test_planner_repair.py
@@ -1,4 +1,4 @@
-"""Test repair: a table of faults, and what the zone looks like afterwards."""
+"""Test repair: a table of faults, and the groups of the zone afterwards."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 import pytest
 
-from ryelever.coordination.planner.repairs import Repairs
+from ryelever.coordination.planner.placement_history import Repairs
 from ryelever.state.configuration import Configuration, Model
 
 from ...zone import Zone, new_zone
 
-WHOLE = ("a-0", "a-1", "a-2", "a-3")
-WITH_SPARE = ("a-0", "a-1", "a-2", "a-4")
-ELSEWHERE = ("b-0", "b-1", "b-2", "b-3")
-DOMAIN_A = (*WHOLE, "a-4", "a-5")
+ORIGINAL_MEMBERS = ("a-0", "a-1", "a-2", "a-3")
+WITH_SPARE_HOST = ("a-0", "a-1", "a-2", "a-4")
+OTHER_DOMAIN = ("b-0", "b-1", "b-2", "b-3")
+DOMAIN_A = (*ORIGINAL_MEMBERS, "a-4", "a-5")
 
 
-def _zone(**fields: object) -> Zone:
+def _make_zone(**fields: object) -> Zone:
     return new_zone(serves_within=30, **fields)
 
 
-def _in_domain_a(zone: Zone) -> Zone:
-    assert zone.groups() == [WHOLE], zone.groups()
+def _assert_formed_in_domain_a(zone: Zone) -> Zone:
+    assert zone.groups() == [ORIGINAL_MEMBERS], zone.groups()
     return zone
 
 
@@ -37,7 +37,7 @@
         zone.engines_by_host[host].answers = False
 
 
-def _wake(zone: Zone, *hosts: str) -> None:
+def _answer_again(zone: Zone, *hosts: str) -> None:
     for host in hosts:
         zone.engines_by_host[host].answers = True
 
@@ -46,7 +46,7 @@
     zone.engines_by_host[host].restart()
 
 
-def _unlist(zone: Zone, host: str) -> None:
+def _remove_from_list(zone: Zone, host: str) -> None:
     _silence(zone, host)
     del zone.listed_by_host[host]
 
@@ -58,14 +58,14 @@
 def _pause_and_return(zone: Zone, seconds: float) -> None:
     _silence(zone, "a-3")
     zone.run(seconds)
-    _wake(zone, "a-3")
+    _answer_again(zone, "a-3")
 
 
 def _pause_often(zone: Zone) -> None:
     for _ in range(4):
         _silence(zone, "a-3")
         zone.run(1.8)
-        _wake(zone, "a-3")
+        _answer_again(zone, "a-3")
         zone.run(4.0)
 
 
@@ -78,16 +78,16 @@
     a: int = 6,
     b: int = 7,
 ) -> tuple[Callable[[Zone], object], tuple[str, ...], float, int, dict[str, int]]:
-    """Return a fault, the members of the one group in the end, and bounds.
+    """Return a fault, the members of the only group after its repair, and bounds.
 
     Parameters
     ----------
     within : float
-        Seconds in which the zone must get there, loading included.
+        Maximum seconds until this group serves, including loading.
     n_formed : int
-        Groups formed over all.
+        Total number of groups formed, including the original one.
     a, b : int
-        Hosts of the fabric domains; a domain without hosts is left out.
+        Numbers of hosts of the fabric domains; a domain without hosts is left out.
     """
     domains = {"a": a} | ({"b": b} if b else {})
     return cause, groups, within, n_formed, domains
@@ -95,16 +95,16 @@
 
 CASES = {
     "killed member, spare in its domain": _case(
-        lambda zone: _refuse(zone, "a-3"), WITH_SPARE, within=3.0
+        lambda zone: _refuse(zone, "a-3"), WITH_SPARE_HOST, within=3.0
     ),
     "silent member, spare in its domain": _case(
-        lambda zone: _silence(zone, "a-3"), WITH_SPARE, within=5.0
+        lambda zone: _silence(zone, "a-3"), WITH_SPARE_HOST, within=5.0
     ),
     "member unlisted and gone": _case(
-        lambda zone: _unlist(zone, "a-3"), WITH_SPARE, within=5.0
+        lambda zone: _remove_from_list(zone, "a-3"), WITH_SPARE_HOST, within=5.0
     ),
     "member restarted within the detection time": _case(
-        lambda zone: _restart(zone, "a-3"), WHOLE, within=3.0
+        lambda zone: _restart(zone, "a-3"), ORIGINAL_MEMBERS, within=3.0
     ),
     "member restarted, then paused: two faults": _case(
         lambda zone: (_restart(zone, "a-3"), _silence(zone, "a-2")),
@@ -119,7 +119,7 @@
     ),
     "engine reports its group broken": _case(
         lambda zone: setattr(zone.engines_by_host["a-1"], "state", "broken"),
-        WHOLE,
+        ORIGINAL_MEMBERS,
         within=3.0,
     ),
     "member lost, then its replacement: two faults": _case(
@@ -129,10 +129,10 @@
         n_formed=3,
     ),
     "member lost without a spare, free domain elsewhere": _case(
-        lambda zone: _refuse(zone, "a-3"), ELSEWHERE, within=4.0, a=4, b=5
+        lambda zone: _refuse(zone, "a-3"), OTHER_DOMAIN, within=4.0, a=4, b=5
     ),
     "whole fabric domain dark": _case(
-        lambda zone: _silence(zone, *DOMAIN_A), ELSEWHERE, within=6.0
+        lambda zone: _silence(zone, *DOMAIN_A), OTHER_DOMAIN, within=6.0
     ),
     "domain dark and the other one loses a host: two faults": _case(
         lambda zone: (_silence(zone, *DOMAIN_A), _refuse(zone, "b-0")),
@@ -141,18 +141,18 @@
     ),
     "member leaves by its own report, a whole group is free elsewhere": _case(
         lambda zone: setattr(zone.engines_by_host["a-3"], "leaving", True),
-        ELSEWHERE,
+        OTHER_DOMAIN,
         within=8.0,
     ),
     "member leaves by the list, spare in its domain only": _case(
-        lambda zone: _list_as_leaving(zone, "a-3"), WITH_SPARE, within=8.0, b=3
+        lambda zone: _list_as_leaving(zone, "a-3"), WITH_SPARE_HOST, within=8.0, b=3
     ),
     "member paused again and again": _case(
-        _pause_often, WITH_SPARE, within=8.0, a=5, b=0
+        _pause_often, WITH_SPARE_HOST, within=8.0, a=5, b=0
     ),
     "short pause without a spare": _case(
         lambda zone: _pause_and_return(zone, 6.0),
-        WHOLE,
+        ORIGINAL_MEMBERS,
         within=2.0,
         n_formed=1,
         a=4,
@@ -173,10 +173,10 @@
 ) -> None:
     """Cause each fault of the table.
 
-    Symptom: a group stays down, or is dissolved for nothing.  Sequence: the row's
-    fault.  Cause: the planner misjudges what the reports show.
+    Guards against a group that stays down, or is dissolved needlessly, because the
+    planner misinterprets the hosts' reports after the row's fault.
     """
-    zone = _in_domain_a(_zone(**domains))
+    zone = _assert_formed_in_domain_a(_make_zone(**domains))
     cause(zone)
     zone.run_until(lambda: zone.groups() == [group], at_most=within)
     zone.run(20)
@@ -192,43 +192,43 @@
 def test_planned_replacement_costs_no_downtime(
     leave: Callable[[Zone], object],
 ) -> None:
-    """Replace a member that still serves, where hosts for a second group are free.
+    """Replace a member that still serves, while hosts for a second group are free.
 
-    Symptom: a planned replacement stops the model.  Sequence: a member is about to
-    leave.  Cause: the old group ends before the new one is confirmed.
+    Guards against downtime of the model when a member is about to leave, because the
+    old group is ended before the new group is complete.
     """
-    zone = _in_domain_a(_zone(a=6, b=7))
+    zone = _assert_formed_in_domain_a(_make_zone(a=6, b=7))
     leave(zone)
     assert zone.seconds_down(20) == 0.0
-    assert zone.groups() == [ELSEWHERE]
+    assert zone.groups() == [OTHER_DOMAIN]
 
 
 def test_returning_member_is_not_counted_and_leaves() -> None:
-    """Let a replaced member return as if nothing had happened.
+    """Let a paused member return after it was replaced.
 
-    Symptom: one host in two groups.  Sequence: a member is paused, replaced, and
-    returns with its old boot, group and number.  Cause: it never heard of it.
+    Guards against one host in two groups: the member returns with its old boot id,
+    group and fencing number, since it received no message about its replacement.
     """
-    zone = _in_domain_a(_zone(a=5))
+    zone = _assert_formed_in_domain_a(_make_zone(a=5))
     _silence(zone, "a-3")
-    zone.run_until(lambda: zone.groups() == [WITH_SPARE], at_most=8)
+    zone.run_until(lambda: zone.groups() == [WITH_SPARE_HOST], at_most=8)
     zone.run(15)
     assert zone.group_of("a-3") == ""
-    _wake(zone, "a-3")
+    _answer_again(zone, "a-3")
     assert zone.engines_by_host["a-3"].group == "m-e0.1"
     zone.run(3)
     assert zone.engines_by_host["a-3"].state == "idle"
-    assert zone.groups() == [WITH_SPARE]
+    assert zone.groups() == [WITH_SPARE_HOST]
 
 
 def test_dead_host_does_not_keep_its_claim() -> None:
-    """Lose a host for good.
+    """Lose a host permanently.
 
-    Symptom: a replaced host under the same name is never used again.  Sequence: a
-    member dies, its group is replaced, the host stays on the list for hours.  Cause:
-    the claim waits for a word of the dead.
+    Guards against a host that is never used again, even when a new host takes its
+    name.  A member dies, its group is replaced, and the host stays in the hosts list
+    for hours, while its claim waits for a report from the dead host.
     """
-    zone = _in_domain_a(_zone(a=5))
+    zone = _assert_formed_in_domain_a(_make_zone(a=5))
     _silence(zone, "a-3")
     zone.run(8)
     assert zone.group_of("a-3") == "m-e0.1"
@@ -240,31 +240,31 @@
     ]
 
 
-def test_released_host_is_used_only_after_its_own_word() -> None:
-    """Reach a host that was shown dead only after its claim is free.
+def test_released_host_is_used_only_after_its_own_report() -> None:
+    """Let a host that was released as dead return while a group lacks a member.
 
-    Symptom: a host serves in two groups.  Sequence: the host is cut off, released as
-    dead and back, still in its old group, while a group lacks a member.  Cause: the
-    log alone calls it free.
+    Guards against a host that serves in two groups.  The host was cut off and returns
+    still in its old group, after its claim was released.  The fault occurs if the
+    host counts as free by the log alone.
     """
-    zone = _in_domain_a(_zone(a=5))
+    zone = _assert_formed_in_domain_a(_make_zone(a=5))
     _silence(zone, "a-3")
     zone.run(20)
     _refuse(zone, "a-4")
-    _wake(zone, "a-3")
+    _answer_again(zone, "a-3")
     zone.run_until(lambda: "a-3" in (zone.groups() or [()])[0], at_most=8)
     orders = [order for order in zone.planners[0].sent if order.host == "a-3"]
     assert [order.kind for order in orders][-2:] == ["leave", "join"]
 
 
-def test_more_groups_than_declared_are_ended() -> None:
-    """Lower the declared number.
+def test_surplus_groups_are_ended() -> None:
+    """Lower the declared number of groups.
 
-    Symptom: hosts stay bound to groups nobody declared.  Sequence: an operator
-    lowers the number, or an append whose answer was lost formed one twice.  Cause:
-    only missing groups were looked for.
+    Guards against hosts that stay claimed by undeclared groups.  Such groups remain
+    after an operator lowers the number, or when an append whose answer was lost forms
+    a group twice, if the planner only checks for missing groups.
     """
-    zone = _zone(n_groups=2, a=4, b=5)
+    zone = _make_zone(n_groups=2, a=4, b=5)
     models = {"m": Model(version="v1", n_groups=1)}
     zone.configuration = replace(zone.configuration, models=models)
     zone.run(60)
@@ -272,10 +272,11 @@
 
 
 def test_repeated_and_lost_appends_form_one_group() -> None:
-    """Take each append twice and late, or lose the first.
+    """Lose each append at its first attempt, then execute it twice and late.
 
-    Symptom: two groups where one is declared.  Sequence: the answer to an append is
-    lost after it took effect.  Cause: a decision not read back counts as not made.
+    Guards against two groups where one is declared.  The answer to an append is lost
+    after the append took effect, and the planner treats a decision that was not read
+    back as not made.
     """
     configuration = Configuration(models={"m": Model(version="v1")})
     zone = Zone(domains={"a": 4, "b": 4}, configuration=configuration)
@@ -291,9 +292,9 @@
     assert zone.kinds().count("formed") == 1 and len(zone.groups()) == 1
 
 
-def test_every_repair_leaves_a_line_for_operators() -> None:
-    """Tell cause, decision and outcome."""
-    zone = _in_domain_a(_zone(a=5))
+def test_every_repair_is_listed_for_operators() -> None:
+    """Check cause, decision and outcome of the lines for a repair."""
+    zone = _assert_formed_in_domain_a(_make_zone(a=5))
     process = zone.planners[0]
     repairs = Repairs(
         placements_by_zone={"z": process.fold}, confirmations=process.confirmations
@@ -303,13 +304,16 @@
     for _ in range(200):
         zone.advance()
         repairs.observe(now=zone.now)
-    replaced, freed = repairs.lines[1:]
+    replaced, released = repairs.lines[1:]
     assert replaced.cause == "a-3 refuses connections"
     assert replaced.decision.startswith("replaced m-e0.1 by m-e0.")
     assert replaced.decision.endswith("on a-0, a-1, a-2, a-4")
     assert replaced.outcome.startswith("serves since ")
-    assert freed.cause == "dead" and freed.decision == "freed a-3 without its word"
-    assert freed.outcome.startswith("all its hosts were free after")
+    assert (
+        released.cause == "dead"
+        and released.decision == "released a-3 without its confirmation"
+    )
+    assert released.outcome.startswith("all its hosts were free after")
 
 
 def _lose_orders_to_leave(zone: Zone) -> None:
@@ -319,46 +323,46 @@
 def test_host_that_has_not_left_stays_claimed() -> None:
     """Lose every order to leave.
 
-    Symptom: a host is free by the log while it serves its old group.  Sequence: a
-    model is withdrawn, the orders to leave are lost.  Cause: a host counts as gone
-    because it was told to go.
+    Guards against a host that is free according to the log while it serves its old
+    group.  A model is removed from the configuration and the orders to leave are
+    lost.  The fault occurs if a host counts as gone once it was ordered to leave.
     """
-    zone = _in_domain_a(_zone(a=4))
+    zone = _assert_formed_in_domain_a(_make_zone(a=4))
     _lose_orders_to_leave(zone)
     zone.configuration = Configuration()
     zone.run(30)
-    assert sorted(zone.truth.group_by_host) == list(WHOLE)
+    assert sorted(zone.truth.group_by_host) == list(ORIGINAL_MEMBERS)
     zone.order_fate = lambda _: (0.0,)
     zone.run(3)
     assert zone.truth.group_by_host == {}
 
 
 def test_host_that_still_reports_a_group_is_not_chosen() -> None:
-    """Lose the order to leave to a host that was shown dead and is back.
+    """Lose the orders to leave to a host that was released as dead and has returned.
 
-    Symptom: a host serves in two groups.  Sequence: a member is cut off, freed as
-    dead, and back in its old group; a group lacks a member.  Cause: free by the log
-    is taken for free.
+    Guards against a host that serves in two groups.  A member is cut off, released as
+    dead, and returns in its old group while another group lacks a member.  The fault
+    occurs if the host counts as free by the log alone.
     """
-    zone = _in_domain_a(_zone(a=5))
+    zone = _assert_formed_in_domain_a(_make_zone(a=5))
     _silence(zone, "a-3")
     zone.run(20)
     _lose_orders_to_leave(zone)
     _refuse(zone, "a-4")
-    _wake(zone, "a-3")
+    _answer_again(zone, "a-3")
     zone.run(20)
     assert zone.group_of("a-3") == "" and zone.groups() == []
     zone.order_fate = lambda _: (0.0,)
     zone.run_until(lambda: zone.groups() == [("a-0", "a-1", "a-2", "a-3")], at_most=9)
 
 
-def test_restart_is_told_by_the_boot_id_alone() -> None:
-    """Restart a host whose group has no other member to miss it.
+def test_restart_is_detected_by_the_boot_id_alone() -> None:
+    """Restart the only host of a group.
 
-    Symptom: operators see a group reload for no cause.  Sequence: an engine restarts
-    between two reports.  Cause: it was never missing, only new.
+    Guards against a group that reloads without a cause shown to operators.  An engine
+    that restarts between two reports is never missing and has only a new boot id.
     """
-    zone = _zone(a=1, hosts_per_group=1)
+    zone = _make_zone(a=1, hosts_per_group=1)
     zone.engines_by_host["a-0"].restart()
     zone.run_until(lambda: zone.kinds() == ["formed", "formed"], at_most=2)
     assert zone.truth.changes[-1].reason == "a-0 was restarted"
