--- a/ryelever/coordination/admission/__init__.py
+++ b/ryelever/coordination/admission/__init__.py
@@ -1,6 +1,7 @@
-"""Decide which request is taken up next, and which is refused.
+"""Decide which requests are admitted, queued or refused.
 
-Shares of accounts, what requests will cost, and how much the fleet can bear.
+The decisions depend on the accounts' shares and limits, the expected cost of requests,
+and the capacity of the backend servers.
 """
 
 from .admission import Admission, Queued, Refused
--- a/ryelever/coordination/admission/admission.py
+++ b/ryelever/coordination/admission/admission.py
@@ -1,4 +1,4 @@
-"""Decide which requests enter, per client account."""
+"""Define the interface and the decisions of admission."""
 
 from __future__ import annotations
 
@@ -14,35 +14,43 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Admitted:
-    """Let the request go on at once."""
+    """Decision to forward the request at once."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Queued:
-    """Keep the request until ``Admission.release`` names it."""
+    """Decision to keep the request until ``ready`` or ``expired`` returns it."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Refused:
-    """Give the request its final answer at once."""
+    """Decision to refuse the request.
+
+    Attributes
+    ----------
+    reason : str
+        Reason for the caller.
+    retry_after : float
+        Seconds after which the caller should retry.
+    """
 
     reason: str
     retry_after: float
 
 
 class Admission(Protocol):
-    """Decide over entry, order of waiting and refusal."""
+    """Decide which requests are admitted, in which order they wait, and refusals."""
 
     def admit(
         self, arrival: Arrival, account: ClientAccount, *, now: float
     ) -> Admitted | Queued | Refused:
-        """Decide over one arriving request."""
+        """Decide whether an arriving request is admitted, queued or refused."""
 
     def release(self, request_id: str, *, now: float) -> None:
-        """Take note that a request has ended, however it ended."""
+        """Record that a request has ended, for whatever reason."""
 
     def ready(self, *, now: float) -> list[str]:
-        """Return the waiting requests that may go on now, best first."""
+        """Return the queued requests that are admitted now, in order of admission."""
 
     def expired(self, *, now: float) -> list[tuple[str, Refused]]:
-        """Return the waiting requests that can no longer be met in time."""
+        """Remove and return the queued requests that cannot meet their deadlines."""
--- a/ryelever/coordination/admission/capacity.py
+++ b/ryelever/coordination/admission/capacity.py
@@ -1,8 +1,8 @@
-"""Tell how many requests the backend servers of a pool can take from this host.
+"""Compute how many requests this host may send to the backend servers of a pool.
 
 Requests should wait in this host's fair queue and not in the engines' own queues,
-which are first in, first out.  So a host grants no more than the engines' batches
-have room for.
+which are first in, first out.  A host therefore grants no more slots than the engines'
+batches have room for.
 """
 
 from __future__ import annotations
@@ -22,90 +22,95 @@
 
 __all__ = ["Capacity", "FixedCapacity", "GroupCapacity", "pool_of"]
 
-#: Seconds for which a computed capacity is kept.
-REFRESH = 0.1
+#: Seconds for which a computed capacity is reused.
+REFRESH_INTERVAL = 0.1
 
-#: Candidates judged in one look.  To judge 800 groups takes milliseconds; in turns
-#: each is judged once in 2.5 s while requests come, which is about what a report
-#: counts for.
-N_JUDGED = 32
+#: Maximum number of candidates checked in one refresh.  Checking 800 groups takes
+#: milliseconds.  While requests arrive, successive refreshes check each of 800 groups
+#: once in 2.5 s, which is about the time for which a report counts.
+N_CHECKED_PER_REFRESH = 32
 
-#: Seconds without a look after which all are judged anew.
-MAX_PAUSE = 3.0
+#: Seconds without a refresh after which all candidates are checked again at once.
+FULL_CHECK_AFTER = 3.0
 
-#: Numbers of own requests that are remembered, ``REFRESH`` apart: for longer than
-#: reports count.
-N_REMEMBERED = 50
+#: Maximum number of samples of this host's requests in flight.  The samples are
+#: ``REFRESH_INTERVAL`` apart and cover a longer time than reports count for.
+MAX_SAMPLES = 50
 
 
 class Capacity(Protocol):
-    """Give the requests that may be in flight in a pool, from this host."""
+    """Compute how many requests of this host may be in flight in a pool."""
 
     def slots(self, arrival: Arrival, *, n_in_flight: int, now: float) -> float:
-        """Return the slots of an arrival's pool; 0 when nothing serves it now."""
+        """Return this host's slots in an arrival's pool; 0 if no target serves it."""
 
 
 class CandidateView(Protocol):
-    """Name what is placed for a work, and judge one of it; ``Targets`` does."""
+    """List the candidates for a request and check single ones; see ``Targets``."""
 
     def candidates(self, work: ChatWork | ServiceWork, *, now: float) -> CandidateSet:
-        """Return everything that is placed or listed for a work."""
+        """Return all groups placed, or service hosts listed, for a request's work."""
 
     def target(self, candidate: Candidate, *, now: float) -> Target | None:
-        """Return the target of a candidate that may be used now, or else None."""
+        """Return the target of a candidate, or None if it is not usable now."""
 
 
 class FixedCapacity:
-    """Give every pool the same, for tests and measurements.
+    """Grant every pool the same number of slots, for tests and benchmarks.
 
     Parameters
     ----------
     n_slots : float
-        May be changed at any time.
+        Number of slots; the attribute may be changed at any time.
     """
 
     def __init__(self, *, n_slots: float) -> None:
         self.n_slots = n_slots
 
     def slots(self, arrival: Arrival, *, n_in_flight: int, now: float) -> float:
-        """Return the fixed number."""
+        """Return the fixed number of slots."""
         return self.n_slots
 
 
 @dataclass(slots=True, kw_only=True)
-class _Pool:
-    """Hold what was last seen of one pool.
+class _PoolState:
+    """Capacity and load of one pool at the last refresh.
 
     Attributes
     ----------
-    n_others : int
-        Requests of other hosts, by the reports.
-    own : deque of (float, int)
-        Times, and the own requests in flight up to the next one.
+    refreshed_at : float
+        Monotonic time of the last refresh.
+    n_batch : int
+        Requests that all usable groups together run at a time.
+    n_peer_requests : int
+        Requests of other entry hosts, according to the engines' reports.
+    local_samples : deque of (float, int)
+        Times, and the number of this host's requests in flight until the next time.
     """
 
-    looked_at: float = float("-inf")
+    refreshed_at: float = float("-inf")
     n_batch: int = 0
-    n_others: int = 0
-    own: deque[tuple[float, int]] = field(
-        default_factory=lambda: deque(maxlen=N_REMEMBERED)
+    n_peer_requests: int = 0
+    local_samples: deque[tuple[float, int]] = field(
+        default_factory=lambda: deque(maxlen=MAX_SAMPLES)
     )
 
-    def note(self, n_in_flight: int, now: float) -> None:
-        """Remember the own requests in flight."""
-        if self.own and now - self.own[-1][0] < REFRESH:
-            self.own[-1] = (self.own[-1][0], n_in_flight)
+    def add_sample(self, n_in_flight: int, now: float) -> None:
+        """Record the number of this host's requests in flight."""
+        if self.local_samples and now - self.local_samples[-1][0] < REFRESH_INTERVAL:
+            self.local_samples[-1] = (self.local_samples[-1][0], n_in_flight)
         else:
-            self.own.append((now, n_in_flight))
+            self.local_samples.append((now, n_in_flight))
 
-    def own_at(self, at: float) -> int:
-        """Return the own requests in flight at a time, rather too few.
+    def n_local_at(self, at: float) -> int:
+        """Return a low estimate of this host's requests in flight at a time.
 
-        Between two times that are known it may have been any number between; too
-        many would make the others' seem fewer, and the engines' queues fill up.
+        Between two samples the number may have been anything between the two.  An
+        estimate that is too high would make other hosts' requests seem fewer, and the
+        engines' queues would fill up.
         """
-        before = self.own[0][1]
-        for known_at, n_in_flight in self.own:
+        before = self.local_samples[0][1]
+        for known_at, n_in_flight in self.local_samples:
             if known_at > at:
                 return min(before, n_in_flight)
             before = n_in_flight
@@ -113,46 +118,60 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class _Reported:
-    """Hold the requests at a usable group, and when its report was asked for."""
+class _ReportedLoad:
+    """Load of a usable group, according to the report of its first host.
+
+    Attributes
+    ----------
+    n_requests : int
+        Running and waiting requests.
+    asked_at : float or None
+        Monotonic time at which the report was requested; None without a report.
+    """
 
     n_requests: int = 0
     asked_at: float | None = None
 
 
 @dataclass(slots=True, kw_only=True)
-class _Judged:
-    """Hold what was found of one zone's candidates, judged in turns.
+class _CheckedCandidates:
+    """Results of checking one zone's candidates, a few in each refresh.
 
     Attributes
     ----------
-    reports_by_name : dict of str to _Reported
-        Of the usable ones only.
+    reports_by_name : dict of str to _ReportedLoad
+        Loads of the usable candidates.
+    next_index : int
+        Index of the candidate that was checked last.
+    at : float
+        Monotonic time of the last check.
     """
 
-    reports_by_name: dict[str, _Reported] = field(default_factory=dict)
+    reports_by_name: dict[str, _ReportedLoad] = field(default_factory=dict)
     candidates: tuple[Candidate, ...] = ()
     next_index: int = 0
     at: float = float("-inf")
 
 
 class GroupCapacity:
-    """Compute the room in the batches of the groups that are confirmed whole.
+    """Compute the free room in the batches of the groups that are confirmed complete.
 
-    Each host may always use an even part of the batches; beyond that it may use its
-    part of the room that the engines' reports leave, so that what other hosts do not
-    use is lent.  A host that lends gets its part back as soon as it asks: it grants
-    at once, the borrower sees the fuller reports and grants no more.
+    Each entry host may always use an even share of the batches.  Beyond that, a host
+    may use its part of the room that is free according to the engines' reports, so
+    that it borrows capacity that other hosts don't use.  A host that lends capacity
+    gets its share back as soon as it needs it: it grants slots at once, and the
+    borrower sees the higher load in the reports and grants no more slots.
 
     Parameters
     ----------
     targets : CandidateView
-        Knows the groups and services, and which of them may serve.
+        Lists the groups and services, and checks which of them may serve.
     batch : callable
-        Return the requests that one group runs at a time.
-    n_hosts, n_hosts_waiting : callable
-        Return how many entry hosts there are, and how many have requests waiting
-        at a time; each at least 1.
+        Return the number of requests that one group runs at a time.
+    n_hosts : callable
+        Return the number of entry hosts, at least 1.
+    n_hosts_waiting : callable
+        Return the number of entry hosts with waiting requests at a time, at least 1.
     """
 
     def __init__(
@@ -169,48 +188,53 @@
         self._batch = batch
         self._n_hosts = n_hosts
         self._n_hosts_waiting = n_hosts_waiting
-        self._pools_by_name: dict[str, _Pool] = {}
-        self._judged_by_zone: dict[tuple[str, bool], _Judged] = {}
+        self._pools_by_name: dict[str, _PoolState] = {}
+        self._checked_by_zone: dict[tuple[str, bool], _CheckedCandidates] = {}
 
     def slots(self, arrival: Arrival, *, n_in_flight: int, now: float) -> float:
-        """Return the slots for this host.
+        """Return this host's slots in an arrival's pool.
 
-        A plain service reports no batch, so only the limits of accounts hold there.
+        Services other than models report no batch.  Their slots are unlimited, and
+        only the accounts' limits apply.
         """
         if not isinstance(arrival.work, ChatWork):
             return float("inf") if self._any_usable(arrival, now=now) else 0.0
-        pool = self._pools_by_name.setdefault(pool_of(arrival), _Pool())
-        pool.note(n_in_flight, now)
-        if not 0 <= now - pool.looked_at < REFRESH:
-            self._look(pool, arrival, now=now)
+        pool = self._pools_by_name.setdefault(pool_of(arrival), _PoolState())
+        pool.add_sample(n_in_flight, now)
+        if not 0 <= now - pool.refreshed_at < REFRESH_INTERVAL:
+            self._refresh(pool, arrival, now=now)
         if not pool.n_batch:
             return 0.0
-        even = max(1.0, pool.n_batch / self._n_hosts())
-        n_free = max(0, pool.n_batch - pool.n_others - n_in_flight)
-        return max(even, n_in_flight + n_free / self._n_hosts_waiting(now))
+        even_share = max(1.0, pool.n_batch / self._n_hosts())
+        n_free = max(0, pool.n_batch - pool.n_peer_requests - n_in_flight)
+        return max(even_share, n_in_flight + n_free / self._n_hosts_waiting(now))
 
-    def _look(self, pool: _Pool, arrival: Arrival, *, now: float) -> None:
-        """Take the reports, less the own requests that they count.
+    def _refresh(self, pool: _PoolState, arrival: Arrival, *, now: float) -> None:
+        """Compute the peers' load: the reported load less this host's own part of it.
 
-        The reports lag.  With the own requests of now taken off instead, each one
-        that has ended since would seem to be another host's: its slot would be idle
-        until the next report, though callers wait.
+        The reports lag, so they count this host's requests at the time of the report.
+        If its current requests were subtracted instead, each request that has ended
+        since would seem to be another host's, and its slot would be idle until the
+        next report although callers wait.
         """
         found = self._targets.candidates(arrival.work, now=now)
-        reports: list[_Reported] = []
-        for is_own, candidates in ((True, found.own_zone), (False, found.other_zones)):
-            zone = (pool_of(arrival), is_own)
-            reports = self._judge(zone, candidates, now=now)
+        reports: list[_ReportedLoad] = []
+        for is_local, candidates in (
+            (True, found.own_zone),
+            (False, found.other_zones),
+        ):
+            zone = (pool_of(arrival), is_local)
+            reports = self._check_candidates(zone, candidates, now=now)
             if reports:
                 break
-        pool.looked_at = now
+        pool.refreshed_at = now
         pool.n_batch = len(reports) * self._batch()
         asked_at = [
             report.asked_at for report in reports if report.asked_at is not None
         ]
-        mean = sum(asked_at) / len(asked_at) if asked_at else now
+        mean_asked_at = sum(asked_at) / len(asked_at) if asked_at else now
         n_reported = sum(report.n_requests for report in reports)
-        pool.n_others = max(0, n_reported - pool.own_at(mean))
+        pool.n_peer_requests = max(0, n_reported - pool.n_local_at(mean_asked_at))
 
     def _any_usable(self, arrival: Arrival, *, now: float) -> bool:
         found = self._targets.candidates(arrival.work, now=now)
@@ -220,49 +244,56 @@
             for candidate in candidates
         )
 
-    def _judge(
+    def _check_candidates(
         self,
         zone: tuple[str, bool],
         candidates: tuple[Candidate, ...],
         *,
         now: float,
-    ) -> list[_Reported]:
-        """Judge the next few candidates, or all after a pause; return the usable."""
-        judged = self._judged_by_zone.setdefault(zone, _Judged())
-        if judged.candidates is not candidates:
-            judged.candidates = candidates
+    ) -> list[_ReportedLoad]:
+        """Check the next few candidates, or after a pause all of them.
+
+        The result is the loads of the usable candidates, from this and earlier checks.
+        """
+        checked = self._checked_by_zone.setdefault(zone, _CheckedCandidates())
+        if checked.candidates is not candidates:
+            checked.candidates = candidates
             names = {candidate.name for candidate in candidates}
-            for name in judged.reports_by_name.keys() - names:
-                del judged.reports_by_name[name]
-        n_judged = N_JUDGED if 0 <= now - judged.at <= MAX_PAUSE else len(candidates)
-        judged.at = now
-        for _ in range(min(n_judged, len(candidates))):
-            judged.next_index = (judged.next_index + 1) % len(candidates)
-            candidate = candidates[judged.next_index]
+            for name in checked.reports_by_name.keys() - names:
+                del checked.reports_by_name[name]
+        n_to_check = (
+            N_CHECKED_PER_REFRESH
+            if 0 <= now - checked.at <= FULL_CHECK_AFTER
+            else len(candidates)
+        )
+        checked.at = now
+        for _ in range(min(n_to_check, len(candidates))):
+            checked.next_index = (checked.next_index + 1) % len(candidates)
+            candidate = candidates[checked.next_index]
             report = self._report(candidate, now=now)
             if report is None:
-                judged.reports_by_name.pop(candidate.name, None)
+                checked.reports_by_name.pop(candidate.name, None)
             else:
-                judged.reports_by_name[candidate.name] = report
-        return list(judged.reports_by_name.values())
+                checked.reports_by_name[candidate.name] = report
+        return list(checked.reports_by_name.values())
 
-    def _report(self, candidate: Candidate, *, now: float) -> _Reported | None:
-        """Return what a candidate reports; None if it is not usable."""
+    def _report(self, candidate: Candidate, *, now: float) -> _ReportedLoad | None:
+        """Return the reported load of a candidate, or None if it is not usable."""
         target = self._targets.target(candidate, now=now)
         if target is None:
             return None
         host = target.hosts[0]
         report = self._confirmations.fresh(host, now=now)
         if report is None:
-            return _Reported()
-        return _Reported(
+            return _ReportedLoad()
+        return _ReportedLoad(
             n_requests=report.running + report.waiting,
             asked_at=self._confirmations.reports_by_host[host].asked_at,
         )
 
 
 def pool_of(arrival: Arrival) -> str:
-    """Name the backend servers that an arrival competes for."""
+    """Return the name of the pool of backend servers that an arrival competes for."""
     if isinstance(arrival.work, ChatWork):
         return f"model/{arrival.work.model}"
     return f"service/{arrival.work.service}"
--- a/ryelever/coordination/admission/estimates.py
+++ b/ryelever/coordination/admission/estimates.py
@@ -1,4 +1,4 @@
-"""Estimate how long requests wait, and when a refused caller should come back."""
+"""Estimate how long requests wait, and when a refused caller should retry."""
 
 from __future__ import annotations
 
@@ -13,22 +13,23 @@
     from .accounts import Accounts
     from .fair_queue import FairQueue, Flow
 
-__all__ = ["announced_size", "likely_wait", "refusal", "shortest_wait"]
+__all__ = ["announced_size", "expected_wait", "min_wait", "refusal"]
 
-#: Factor by which all of a pool may go faster than measured before an estimate
-#: counts as certain.
-CERTAIN = 2.0
+#: Maximum factor by which a pool may serve faster than its mean cost so far.  A request
+#: counts as certainly late only if it would be late even at this speed.
+MAX_SPEEDUP = 2.0
 
-#: Bounds of the seconds after which a refused caller should come back.
+#: Bounds, in seconds, of the time after which a refused caller should retry, before
+#: this time is spread.
 MIN_RETRY_AFTER = 0.5
 MAX_RETRY_AFTER = 60.0
 
-#: Characters of a prompt that count as much as one generated token: a prompt is
-#: read many tokens at a time, an answer is made one after the other.
+#: Characters of a prompt that cost as much as one generated token.  A prompt is
+#: processed many tokens at a time, while an answer is generated token by token.
 PROMPT_CHARACTERS_PER_TOKEN = 40.0
 
 
-def likely_wait(
+def expected_wait(
     queue: FairQueue,
     flow: Flow,
     *,
@@ -36,20 +37,20 @@
     slots: float,
     now: float,
 ) -> float:
-    """Return the seconds that a request at the end of a flow is likely to wait."""
+    """Return the expected wait in seconds of a request at the end of a flow."""
     n_ahead = len(flow.waiting)
     name = flow.client_account
-    by_rate = accounts.wait_for_rate(name, n_ahead=n_ahead + 1, now=now)
+    wait_by_rate = accounts.wait_for_rate(name, n_ahead=n_ahead + 1, now=now)
     shares = sum(other.share for other in queue.backlogged() if other is not flow)
     part = flow.share / (flow.share + shares)
     cost = max(queue.mean_cost, 1e-3)
-    by_capacity = (n_ahead + 1) * cost / (max(slots, 1.0) * part)
+    wait_by_capacity = (n_ahead + 1) * cost / (max(slots, 1.0) * part)
     allowed = accounts.concurrency(name, now=now)
-    by_concurrency = n_ahead * cost / max(1, allowed)
-    return max(by_rate, by_capacity, by_concurrency)
+    wait_by_concurrency = n_ahead * cost / max(1, allowed)
+    return max(wait_by_rate, wait_by_capacity, wait_by_concurrency)
 
 
-def shortest_wait(
+def min_wait(
     queue: FairQueue,
     flow: Flow,
     *,
@@ -57,20 +58,25 @@
     slots: float,
     now: float,
 ) -> float:
-    """Return the seconds that the last of a flow waits if all goes its way."""
+    """Return the minimum wait in seconds of the last request of a flow.
+
+    This assumes that the flow's account gets all slots of the pool that its limits
+    allow, and that requests end ``MAX_SPEEDUP`` times faster than on average.
+    """
     n_waiting = len(flow.waiting)
     name = flow.client_account
-    by_rate = accounts.wait_for_rate(name, n_ahead=n_waiting, now=now)
+    wait_by_rate = accounts.wait_for_rate(name, n_ahead=n_waiting, now=now)
     declared = accounts.states_by_name[name].declared
-    n_at_once = min(max(slots, 1.0), max(1.0, float(declared.concurrency)))
-    n_rounds = max(0.0, n_waiting - n_at_once) / n_at_once
-    return max(by_rate, n_rounds * queue.mean_cost / CERTAIN)
+    n_parallel = min(max(slots, 1.0), max(1.0, float(declared.concurrency)))
+    n_rounds = max(0.0, n_waiting - n_parallel) / n_parallel
+    return max(wait_by_rate, n_rounds * queue.mean_cost / MAX_SPEEDUP)
 
 
 def refusal(reason: str, *, request_id: str, wait: float) -> Refused:
-    """Refuse with a time that is computed, and spread by the request's id.
+    """Return a refusal whose retry time is the wait, spread by the request's id.
 
-    Callers that are refused together and told the same come back together.
+    Without the spread, callers that are refused at the same time and get the same
+    retry time would also retry at the same time.
     """
     spread = zlib.crc32(request_id.encode()) / 2**32
     bounded = min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, wait))
@@ -78,7 +84,10 @@
 
 
 def announced_size(arrival: Arrival) -> float:
-    """Return the announced work of an arrival, in generated tokens."""
+    """Return the size of an arrival in generated tokens, from its prompt and maximum.
+
+    Every request to a service has size 1.
+    """
     work = arrival.work
     if not isinstance(work, ChatWork):
         return 1.0
--- a/ryelever/coordination/admission/fair.py
+++ b/ryelever/coordination/admission/fair.py
@@ -1,4 +1,4 @@
-"""Admit requests by account limits, and share out capacity fairly."""
+"""Admit requests within the accounts' limits, and share capacity fairly."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .accounts import Accounts
 from .admission import Admitted, Queued
 from .capacity import pool_of
-from .estimates import announced_size, likely_wait, refusal, shortest_wait
+from .estimates import announced_size, expected_wait, min_wait, refusal
 from .fair_queue import Ticket
 from .pools import Pools
 
@@ -28,28 +28,29 @@
 
 __all__ = ["FairAdmission"]
 
-#: Seconds between two looks after which the process itself must have stood still.
-STANDSTILL = 1.0
+#: Seconds between two calls after which the process itself must have been paused.
+PAUSE_THRESHOLD = 1.0
 
-#: Seconds between two looks for requests that are certain to be late.
-SURVEY = 0.25
+#: Seconds between two checks for waiting requests that are certain to be late.
+DEADLINE_CHECK_INTERVAL = 0.25
 
 
 class FairAdmission:
-    """Decide over entry with a bounded queue that is fair among accounts.
+    """Admit, queue or refuse requests, with bounded queues that are fair to accounts.
 
     Parameters
     ----------
     capacity : Capacity
-        Requests that may be in flight in each pool.
+        Computes how many requests may be in flight in each pool.
     account : callable
-        Return the account as the configuration in force declares it, or None.
+        Return an account's declaration in the active configuration, or None.
     limits : LimitsView
         This host's part of each account's limits.
     max_waiting : int
-        Requests that wait at a time in all.
+        Maximum number of waiting requests in total.  When it is reached, an account
+        may still queue requests up to an even part among the accounts that wait.
     max_waiting_per_account : int
-        Requests of one account that wait at a time.
+        Maximum number of waiting requests of one account.
     """
 
     def __init__(
@@ -66,11 +67,11 @@
         self._max_waiting_per_account = max_waiting_per_account
         self._pools = Pools(capacity=capacity)
         self._tickets_by_request: dict[str, Ticket] = {}
-        self._by_latest_start: list[tuple[float, int, Ticket]] = []
+        self._tickets_by_latest_start: list[tuple[float, int, Ticket]] = []
         self._sequence = itertools.count()
-        self._looked_at: float | None = None
-        self._surveyed_at = float("-inf")
-        self._stood_still = 0.0
+        self._last_called_at: float | None = None
+        self._deadlines_checked_at = float("-inf")
+        self._paused_time = 0.0
         self.n_refused = 0
 
     # Protocol
@@ -78,27 +79,27 @@
     def admit(
         self, arrival: Arrival, account: ClientAccount, *, now: float
     ) -> Admitted | Queued | Refused:
-        """Let the request in, let it wait, or refuse it with a computed time."""
-        self._accounts.arrived(arrival.client_account, account, now=now)
-        pool = self._pools.of_arrival(arrival)
+        """Admit the request, queue it, or refuse it with a computed retry time."""
+        self._accounts.record_arrival(arrival.client_account, account, now=now)
+        pool = self._pools.pool_for(arrival)
         flow = pool.queue.flow(
             arrival.client_account, share=account.share, priority=account.priority
         )
-        ticket = self._ticket(arrival, pool, flow)
+        ticket = self._new_ticket(arrival, pool, flow)
         slots = self._pools.slots(pool, now=now)
         if slots <= 0.0 and not pool.queue.n_waiting:
-            # Nothing serves the pool; the router says so at once.
-            return self._enter(pool, flow, ticket, slots=slots, now=now)
-        if not flow.waiting and self._fits(pool, flow, slots=slots, now=now):
-            return self._enter(pool, flow, ticket, slots=slots, now=now)
-        refused = self._refuse_now(pool, flow, ticket, slots=slots, now=now)
+            # No target serves the pool; the router refuses the request at once.
+            return self._admit(pool, flow, ticket, slots=slots, now=now)
+        if not flow.waiting and self._may_skip_queue(pool, flow, slots=slots, now=now):
+            return self._admit(pool, flow, ticket, slots=slots, now=now)
+        refused = self._refuse_on_arrival(pool, flow, ticket, slots=slots, now=now)
         if refused is not None:
             return refused
-        self._wait(pool, flow, ticket, now=now)
+        self._enqueue(pool, flow, ticket, now=now)
         return Queued()
 
     def release(self, request_id: str, *, now: float) -> None:
-        """Take back what a request held, or take it out of the queue."""
+        """Free the slot of a request that has ended, or remove it from the queue."""
         ticket = self._tickets_by_request.pop(request_id, None)
         if ticket is None:
             return
@@ -107,56 +108,65 @@
         if was_waiting:
             queue.remove(ticket)
         else:
-            used = max(0.0, now - self._stood_still - ticket.granted_at)
+            used = max(0.0, now - self._paused_time - ticket.granted_at)
             queue.end(ticket, used=used)
-        self._accounts.ended(ticket.client_account, was_waiting=was_waiting, now=now)
+        self._accounts.record_end(
+            ticket.client_account, was_waiting=was_waiting, now=now
+        )
 
     def ready(self, *, now: float) -> list[str]:
-        """Return the waiting requests that may go on now, best first."""
-        self._notice_standstill(now)
+        """Return the queued requests that are admitted now, in order of admission."""
+        self._detect_pause(now)
         granted: list[str] = []
         for pool in self._pools.backlogged():
             granted += self._grant_all(pool, now=now)
         return granted
 
     def expired(self, *, now: float) -> list[tuple[str, Refused]]:
-        """Return the waiting requests that can no longer be met in time."""
-        self._notice_standstill(now)
-        ended: list[tuple[str, Refused]] = []
-        while self._by_latest_start and self._by_latest_start[0][0] < now:
-            ticket = heapq.heappop(self._by_latest_start)[2]
-            if self._waits(ticket):
-                ended.append(self._give_up(ticket, "its deadline cannot be met", now))
-        if now - self._surveyed_at < SURVEY:
-            return ended
-        self._surveyed_at = now
-        self._accounts.reread()
+        """Remove and return the queued requests that cannot meet their deadlines.
+
+        Requests of accounts that are no longer declared are removed as well.
+        """
+        self._detect_pause(now)
+        refusals: list[tuple[str, Refused]] = []
+        while (
+            self._tickets_by_latest_start and self._tickets_by_latest_start[0][0] < now
+        ):
+            ticket = heapq.heappop(self._tickets_by_latest_start)[2]
+            if self._is_waiting(ticket):
+                refusals.append(
+                    self._refuse_waiting(ticket, "its deadline cannot be met", now)
+                )
+        if now - self._deadlines_checked_at < DEADLINE_CHECK_INTERVAL:
+            return refusals
+        self._deadlines_checked_at = now
+        self._accounts.refresh()
         for pool in self._pools.backlogged():
-            ended += self._hopeless(pool, now=now)
-        return ended
+            refusals += self._refuse_certainly_late(pool, now=now)
+        return refusals
 
-    # Counts, for the dump and for measurements
+    # Counts, for the dump and for benchmarks
 
     def describe(self) -> dict[str, dict[str, int]]:
-        """Return the requests in flight and waiting, by account."""
+        """Return the numbers of requests in flight and waiting, by account."""
         return {
             name: {"in_flight": known.n_in_flight, "waiting": known.n_waiting}
             for name, known in self._accounts.states_by_name.items()
         }
 
     def n_in_flight(self, client_account: str) -> int:
-        """Return the account's requests that were let in and not released."""
+        """Return the number of the account's requests admitted and not released."""
         known = self._accounts.states_by_name.get(client_account)
         return known.n_in_flight if known else 0
 
     @property
     def n_waiting(self) -> int:
-        """Return the requests that wait, over all accounts."""
+        """Return the number of waiting requests over all accounts."""
         return self._pools.n_waiting
 
     # Entry
 
-    def _enter(
+    def _admit(
         self,
         pool: Pool,
         flow: Flow,
@@ -165,38 +175,39 @@
         slots: float,
         now: float,
     ) -> Admitted:
-        awake = now - self._stood_still
-        pool.queue.grant(flow, ticket, capacity=slots, now=awake)
+        unpaused_now = now - self._paused_time
+        pool.queue.grant(flow, ticket, capacity=slots, now=unpaused_now)
         self._tickets_by_request[ticket.request_id] = ticket
-        self._accounts.entered(flow.client_account, has_waited=False, now=now)
+        self._accounts.record_entry(flow.client_account, has_waited=False, now=now)
         return Admitted()
 
-    def _wait(self, pool: Pool, flow: Flow, ticket: Ticket, *, now: float) -> None:
+    def _enqueue(self, pool: Pool, flow: Flow, ticket: Ticket, *, now: float) -> None:
         pool.queue.push(flow, ticket)
         self._tickets_by_request[ticket.request_id] = ticket
         heapq.heappush(
-            self._by_latest_start, (ticket.latest_start, ticket.sequence, ticket)
+            self._tickets_by_latest_start,
+            (ticket.latest_start, ticket.sequence, ticket),
         )
-        self._accounts.waits(flow.client_account, now=now)
+        self._accounts.record_wait(flow.client_account, now=now)
 
     def _grant_all(self, pool: Pool, *, now: float) -> list[str]:
         granted: list[str] = []
         slots = self._pools.slots(pool, now=now)
         queue = pool.queue
         if slots <= 0.0:
-            return self._let_go(pool, now=now)
+            return self._pass_on_all(pool, now=now)
         while queue.n_in_flight + 1 <= slots:
-            flow = self._first(queue, now=now)
+            flow = self._next_flow(queue, now=now)
             if flow is None:
                 break
             granted.append(self._pop(pool, flow, slots=slots, now=now))
         return granted
 
-    def _let_go(self, pool: Pool, *, now: float) -> list[str]:
-        """Send all that waits on when the pool has had no capacity for a while.
+    def _pass_on_all(self, pool: Pool, *, now: float) -> list[str]:
+        """Admit all waiting requests of a pool that has been without capacity too long.
 
-        The router refuses each at once and says why; kept here, they would learn
-        of it only at their deadlines.
+        The router refuses each of these requests at once with a reason.  In the queue
+        the requests would be refused only at their deadlines.
         """
         if not pool.is_lost(now=now):
             return []
@@ -207,32 +218,34 @@
         return granted
 
     def _pop(self, pool: Pool, flow: Flow, *, slots: float, now: float) -> str:
-        awake = now - self._stood_still
-        ticket = pool.queue.pop(flow, capacity=slots, now=awake)
-        self._accounts.entered(flow.client_account, has_waited=True, now=now)
+        unpaused_now = now - self._paused_time
+        ticket = pool.queue.pop(flow, capacity=slots, now=unpaused_now)
+        self._accounts.record_entry(flow.client_account, has_waited=True, now=now)
         return ticket.request_id
 
-    def _fits(self, pool: Pool, flow: Flow, *, slots: float, now: float) -> bool:
-        """Tell whether a request may enter past the queue.
+    def _may_skip_queue(
+        self, pool: Pool, flow: Flow, *, slots: float, now: float
+    ) -> bool:
+        """Return whether a request may be admitted ahead of the waiting requests.
 
-        Others may wait only if limits of their own hold them up, for slots are
-        granted until none is left.
+        This is allowed only if all waiting requests are held back by their own
+        accounts' limits, since slots are granted as long as any are free.
         """
         if pool.queue.n_in_flight + 1 > slots:
             return False
-        if not self._accounts.allow(flow.client_account, now=now):
+        if not self._accounts.may_enter(flow.client_account, now=now):
             return False
-        return not pool.queue.n_waiting or self._first(pool.queue, now=now) is None
+        return not pool.queue.n_waiting or self._next_flow(pool.queue, now=now) is None
 
-    def _first(self, queue: FairQueue, *, now: float) -> Flow | None:
-        """Return the flow whose turn it is among those that their limits let in."""
+    def _next_flow(self, queue: FairQueue, *, now: float) -> Flow | None:
+        """Return the next flow in fair order whose account's limits admit a request."""
         return queue.first(
-            lambda flow: self._accounts.allow(flow.client_account, now=now)
+            lambda flow: self._accounts.may_enter(flow.client_account, now=now)
         )
 
     # Refusal
 
-    def _refuse_now(
+    def _refuse_on_arrival(
         self,
         pool: Pool,
         flow: Flow,
@@ -241,18 +254,18 @@
         slots: float,
         now: float,
     ) -> Refused | None:
-        wait = likely_wait(
+        wait = expected_wait(
             pool.queue, flow, accounts=self._accounts, slots=slots, now=now
         )
         name = ticket.client_account
         known = self._accounts.states_by_name[name]
         if self._queue_is_full(known):
             reason = f"client account {name} has {known.n_waiting} requests waiting"
-            return self._refused(reason, ticket, wait=wait / 2.0)
+            return self._refuse(reason, ticket, wait=wait / 2.0)
         late = now + wait - ticket.latest_start
         if late > 0.0:
             reason = f"client account {name} would wait about {wait:.1f} s, too long"
-            return self._refused(reason, ticket, wait=late)
+            return self._refuse(reason, ticket, wait=late)
         return None
 
     def _queue_is_full(self, known: AccountState) -> bool:
@@ -260,51 +273,61 @@
             return True
         if self.n_waiting < self._max_waiting:
             return False
-        # The queue as a whole is full.  Only those who fill it are refused, or a
-        # burst of one account would shut all the others out.
+        # The queue is full.  Only accounts that already fill an even part of the queue
+        # are refused; otherwise a burst of one account would shut out all others.
         states = self._accounts.states_by_name.values()
         n_queues = sum(other.n_waiting > 0 for other in states)
         return known.n_waiting >= self._max_waiting / max(1, n_queues)
 
-    def _refused(self, reason: str, ticket: Ticket, *, wait: float) -> Refused:
+    def _refuse(self, reason: str, ticket: Ticket, *, wait: float) -> Refused:
         self.n_refused += 1
         return refusal(reason, request_id=ticket.request_id, wait=wait)
 
-    def _give_up(self, ticket: Ticket, reason: str, now: float) -> tuple[str, Refused]:
+    def _refuse_waiting(
+        self, ticket: Ticket, reason: str, now: float
+    ) -> tuple[str, Refused]:
         pool = self._pools.pools_by_name[ticket.pool]
         flow = pool.queue.flows_by_account[ticket.client_account]
         slots = self._pools.slots(pool, now=now)
-        wait = likely_wait(
+        wait = expected_wait(
             pool.queue, flow, accounts=self._accounts, slots=slots, now=now
         )
         self.release(ticket.request_id, now=now)
-        return ticket.request_id, self._refused(reason, ticket, wait=wait)
+        return ticket.request_id, self._refuse(reason, ticket, wait=wait)
 
-    def _hopeless(self, pool: Pool, *, now: float) -> list[tuple[str, Refused]]:
-        """Give up the last ones of each flow that are certain to be late."""
-        ended = []
+    def _refuse_certainly_late(
+        self, pool: Pool, *, now: float
+    ) -> list[tuple[str, Refused]]:
+        """Refuse the requests at the end of each flow that are certain to be late.
+
+        All requests of accounts that are no longer declared are refused too.
+        """
+        refusals = []
         slots = self._pools.slots(pool, now=now)
         for flow in list(pool.queue.backlogged()):
             name = flow.client_account
             if not self._accounts.is_declared(name):
                 reason = f"client account {name} is no longer declared"
-                ended += [
-                    self._give_up(ticket, reason, now) for ticket in list(flow.waiting)
+                refusals += [
+                    self._refuse_waiting(ticket, reason, now)
+                    for ticket in list(flow.waiting)
                 ]
                 continue
             while flow.waiting:
                 ticket = flow.waiting[-1]
-                wait = shortest_wait(
+                wait = min_wait(
                     pool.queue, flow, accounts=self._accounts, slots=slots, now=now
                 )
                 if now + wait <= ticket.latest_start:
                     break
-                ended.append(self._give_up(ticket, "its turn cannot come in time", now))
-        return ended
+                refusals.append(
+                    self._refuse_waiting(ticket, "its turn cannot come in time", now)
+                )
+        return refusals
 
     # State
 
-    def _ticket(self, arrival: Arrival, pool: Pool, flow: Flow) -> Ticket:
+    def _new_ticket(self, arrival: Arrival, pool: Pool, flow: Flow) -> Ticket:
         size = announced_size(arrival)
         cost = pool.queue.mean_cost
         if flow.cost_per_size is not None:
@@ -321,14 +344,18 @@
             size=size,
         )
 
-    def _waits(self, ticket: Ticket) -> bool:
-        held = self._tickets_by_request.get(ticket.request_id)
-        return held is ticket and ticket.granted_at is None
-
-    def _notice_standstill(self, now: float) -> None:
-        # After the process was stopped, every request in flight seems to have run
-        # for all that time.  Counted as cost, it would make the estimates so long
-        # that what could be served in time is refused for minutes.
-        if self._looked_at is not None and now - self._looked_at > STANDSTILL:
-            self._stood_still += now - self._looked_at
-        self._looked_at = now
+    def _is_waiting(self, ticket: Ticket) -> bool:
+        current_ticket = self._tickets_by_request.get(ticket.request_id)
+        return current_ticket is ticket and ticket.granted_at is None
+
+    def _detect_pause(self, now: float) -> None:
+        # After a pause of the process, every request in flight seems to have run for
+        # the whole pause.  If the pause counted as cost, the estimated waits would
+        # become so long that requests which could be served in time would be refused
+        # for minutes.
+        if (
+            self._last_called_at is not None
+            and now - self._last_called_at > PAUSE_THRESHOLD
+        ):
+            self._paused_time += now - self._last_called_at
+        self._last_called_at = now
--- a/ryelever/coordination/admission/fair_queue.py
+++ b/ryelever/coordination/admission/fair_queue.py
@@ -1,12 +1,12 @@
-"""Share out the slots of one pool among client accounts, fairly over time.
-
-Start-time fair queueing: each account has a tag, the time in seconds at which its
-next request would start if the account had exactly its own share of the capacity.
-The account with the lowest tag goes first.  An account that was idle starts at the
-queue's current virtual time, so that it neither saves up nor owes: unused share is
-lent to whoever waits, and comes back with the next slot that falls free.  Only an
-account that holds less than its share starts ``CREDIT`` seconds earlier: it may go
-over its share for a moment when several of its requests come at once.
+"""Share the slots of one pool among client accounts by start-time fair queueing.
+
+Each account has a tag: the virtual time in seconds at which its next request would
+start if the account had exactly its share of the capacity.  The account with the
+lowest tag is served first.  An account that was idle starts at the queue's current
+virtual time, so that it has neither credit nor debt.  An unused share is lent to the
+waiting accounts, and returns to its account with the next slot that becomes free.
+Only an account that uses less than its share starts ``CREDIT`` seconds earlier, so
+that it may briefly exceed its share when several of its requests arrive at once.
 """
 
 from __future__ import annotations
@@ -20,37 +20,41 @@
 
 __all__ = ["FairQueue", "Flow", "Ticket"]
 
-#: Share of an account that is given none.
+#: Minimum share, for an account that is declared with a lower one or none.
 MIN_SHARE = 0.01
 
-#: Seconds of its own share by which an account that holds less goes ahead.
+#: An account that uses less than its share is preferred by up to this many seconds'
+#: worth of its share.
 CREDIT = 4.0
 
-#: Seconds of waiting that one step of priority is worth: the ageing.
+#: Seconds of waiting that are equivalent to one step of priority.
 AGEING = 1.0
 
-#: Highest and lowest priority that counts; bounds how long the lowest waits.
+#: Maximum magnitude of a priority.  This bounds how long requests of the lowest
+#: priority wait.
 MAX_PRIORITY = 10
 
-#: Slot-seconds that a request is taken to need before any has ended.
-FIRST_COST = 1.0
+#: Expected cost of a request, in slot-seconds, before any request has ended.
+INITIAL_COST = 1.0
 
-#: Weight of the newest request in an average.
-NEWEST = 0.1
+#: Weight of the newest request in an exponential moving average.
+SMOOTHING_FACTOR = 0.1
 
 
 @dataclass(slots=True, kw_only=True)
 class Ticket:
-    """Hold one request that waits or has a slot.
+    """Request that waits for a slot or has one.
 
     Attributes
     ----------
     latest_start : float
-        Time after which starting the request is of no use.
-    granted_at : float or None
-        None while it waits.
+        Latest time at which the request may start and still meet its deadline.
+    sequence : int
+        Number of the request in the order of arrival.
     size : float
-        Work that the request announces, in any one unit for all requests.
+        Declared amount of work, in the same unit for all requests.
+    granted_at : float or None
+        Time at which the request got its slot; None while the request waits.
     """
 
     request_id: str
@@ -64,24 +68,25 @@
     granted_at: float | None = None
 
     def order(self) -> tuple[float, int]:
-        """Return the place among the account's own requests.
+        """Return the sort key among the requests of the same account.
 
-        Ageing is linear, so the order of two requests never changes: a step of
-        priority is worth ``AGEING`` seconds of waiting, once and for all.
+        A step of priority is always equivalent to ``AGEING`` seconds of waiting.
+        Because this ageing is linear, the order of two requests never changes.
         """
-        return (self.arrived_at - AGEING * clamped(self.priority), self.sequence)
+        return (self.arrived_at - AGEING * clamp_priority(self.priority), self.sequence)
 
 
 @dataclass(slots=True, kw_only=True)
 class Flow:
-    """Hold the waiting requests of one account, in order.
+    """Waiting requests of one account, in the order in which they are served.
 
     Attributes
     ----------
     tag : float
-        Virtual time at which the next request would start.
+        Virtual time at which the account's next request would start.
     cost_per_size : float or None
-        Slot-seconds of a unit of announced work; None before any request ended.
+        Moving average of the slot-seconds per unit of declared work; None before any
+        request of the account has ended.
     """
 
     client_account: str
@@ -93,16 +98,27 @@
     waiting: list[Ticket] = field(default_factory=list)
 
     def key(self) -> float:
-        """Return the tag, brought forward by the account's priority.
+        """Return the tag, reduced by the account's priority.
 
-        The lead is bounded and the tags of accounts that are served grow, so an
-        account of the lowest priority gets its turn.
+        The reduction is bounded, and the tags of accounts that are served grow.  An
+        account of the lowest priority is therefore served eventually.
         """
-        return self.tag - AGEING * clamped(self.priority)
+        return self.tag - AGEING * clamp_priority(self.priority)
 
 
 class FairQueue:
-    """Keep the flows of one pool of capacity."""
+    """Fair queue of one pool, with a flow for each account.
+
+    Attributes
+    ----------
+    virtual_time : float
+        Highest tag at which a slot was granted, or the highest tag of all flows when
+        the pool last became idle.
+    capacity : float
+        Number of the pool's slots, at least 1, when a slot was last granted.
+    mean_cost : float
+        Moving average of the slot-seconds of requests that have ended.
+    """
 
     def __init__(self) -> None:
         self.flows_by_account: dict[str, Flow] = {}
@@ -110,10 +126,10 @@
         self.capacity = 1.0
         self.n_in_flight = 0
         self.n_waiting = 0
-        self.mean_cost = FIRST_COST
+        self.mean_cost = INITIAL_COST
 
     def flow(self, client_account: str, *, share: float, priority: int) -> Flow:
-        """Return the account's flow with its current share and priority."""
+        """Return the account's flow, updated to the given share and priority."""
         flow = self.flows_by_account.get(client_account)
         if flow is None:
             flow = self.flows_by_account[client_account] = Flow(
@@ -130,14 +146,14 @@
         return (flow for flow in self.flows_by_account.values() if flow.waiting)
 
     def push(self, flow: Flow, ticket: Ticket) -> None:
-        """Let a request wait."""
+        """Add a waiting request to a flow."""
         if not flow.waiting:
-            self._rejoin(flow)
+            self._set_rejoining_tag(flow)
         insort(flow.waiting, ticket, key=Ticket.order)
         self.n_waiting += 1
 
     def first(self, eligible: Callable[[Flow], bool]) -> Flow | None:
-        """Return the flow whose turn it is among those that may go on."""
+        """Return the eligible flow with the lowest key, or None."""
         best: Flow | None = None
         best_key = float("inf")
         for flow in self.flows_by_account.values():
@@ -158,7 +174,7 @@
     def grant(self, flow: Flow, ticket: Ticket, *, capacity: float, now: float) -> None:
         """Grant a slot to a request and charge its account the expected cost."""
         if not flow.waiting:
-            flow.tag = max(flow.tag, self._earliest())
+            flow.tag = max(flow.tag, self._min_tag())
         self.capacity = max(1.0, capacity)
         self.virtual_time = max(self.virtual_time, flow.tag)
         ticket.granted_at = now
@@ -171,59 +187,62 @@
         self.n_in_flight += 1
 
     def remove(self, ticket: Ticket) -> None:
-        """Take out a request that waits."""
+        """Remove a waiting request."""
         flow = self.flows_by_account[ticket.client_account]
         place = bisect_left(flow.waiting, ticket.order(), key=Ticket.order)
         del flow.waiting[place]
         self.n_waiting -= 1
-        self._tidy(flow)
+        self._remove_idle_flows(flow)
 
     def end(self, ticket: Ticket, *, used: float) -> None:
-        """Take back a slot that was held for ``used`` seconds."""
+        """Free a slot that was used for ``used`` seconds, and update the mean costs."""
         flow = self.flows_by_account[ticket.client_account]
         flow.n_in_flight -= 1
         self.n_in_flight -= 1
-        measured = used / ticket.size
+        measured_cost = used / ticket.size
         if flow.cost_per_size is None:
-            flow.cost_per_size = measured
-        flow.cost_per_size += NEWEST * (measured - flow.cost_per_size)
-        self.mean_cost += NEWEST * (used - self.mean_cost)
-        self._tidy(flow)
-
-    def _rejoin(self, flow: Flow) -> None:
-        """Set the tag of a flow that had nothing waiting.
-
-        An account that holds fewer slots than its share owes nothing for what it
-        has used.  Otherwise one long request of a small account, whose share is a
-        few slots, would hold back its next ones for seconds.  Its credit lets several
-        that come at once go on, though together they exceed its share.
+            flow.cost_per_size = measured_cost
+        flow.cost_per_size += SMOOTHING_FACTOR * (measured_cost - flow.cost_per_size)
+        self.mean_cost += SMOOTHING_FACTOR * (used - self.mean_cost)
+        self._remove_idle_flows(flow)
+
+    def _set_rejoining_tag(self, flow: Flow) -> None:
+        """Set the tag of a flow that had no waiting requests.
+
+        An account that uses fewer slots than its share is not charged for earlier use.
+        Otherwise one long request of a small account, whose share is a few slots,
+        would delay its next requests for seconds.  The credit of such an account
+        admits several requests that arrive at once, although together they exceed its
+        share.
         """
         if flow.n_in_flight < flow.share * self.capacity:
-            flow.tag = self._earliest()
+            flow.tag = self._min_tag()
         else:
             flow.tag = max(flow.tag, self.virtual_time)
 
-    def _earliest(self) -> float:
-        """Return the tag of an account that has all its credit.
+    def _min_tag(self) -> float:
+        """Return the lowest tag, which is that of an account with its full credit.
 
-        The bound keeps a quiet hour from becoming a claim on all slots.
+        Without this bound, an account that was idle for an hour would be entitled to
+        all slots.
         """
         return self.virtual_time - CREDIT
 
-    def _tidy(self, flow: Flow) -> None:
-        # A flow that waits for nothing and has all its credit is the same as none,
-        # and nobody owes anything once the pool is idle.  Without this, accounts that
-        # left the configuration would stay for good.
+    def _remove_idle_flows(self, flow: Flow) -> None:
+        # A flow without requests and with its full credit is equivalent to no flow,
+        # and all debts of accounts expire once the pool is idle.  Without this removal,
+        # the flows of accounts that were removed from the configuration would stay
+        # permanently.
         if not self.n_waiting and not self.n_in_flight:
             flows = self.flows_by_account.values()
             self.virtual_time = max(known.tag for known in flows)
             self.flows_by_account.clear()
             return
-        idle = not flow.waiting and not flow.n_in_flight
-        if idle and flow.tag <= self._earliest():
+        is_idle = not flow.waiting and not flow.n_in_flight
+        if is_idle and flow.tag <= self._min_tag():
             del self.flows_by_account[flow.client_account]
 
 
-def clamped(priority: int) -> int:
-    """Return a priority within the bounds that keep ageing effective."""
+def clamp_priority(priority: int) -> int:
+    """Limit a priority to the bounds within which ageing is effective."""
     return max(-MAX_PRIORITY, min(MAX_PRIORITY, priority))
--- a/ryelever/coordination/admission/pools.py
+++ b/ryelever/coordination/admission/pools.py
@@ -1,4 +1,4 @@
-"""Keep one queue for each pool of backend servers, with its capacity."""
+"""Keep one fair queue for each pool of backend servers, and query its capacity."""
 
 from __future__ import annotations
 
@@ -14,67 +14,72 @@
 
 __all__ = ["Pool", "Pools"]
 
-#: Seconds for which requests wait on when a pool has lost all its capacity.
-GRACE = 2.0
+#: Seconds for which requests keep waiting after a pool has lost all its capacity.
+LOSS_GRACE_PERIOD = 2.0
 
 
 @dataclass(slots=True, kw_only=True)
 class Pool:
-    """Hold the queue of one pool.
+    """Queue of one pool, with its availability.
 
     Attributes
     ----------
-    example : Arrival
-        The newest arrival, with which the pool's capacity is asked for.
-    empty_since : float or None
-        Since when nothing has served the pool.
+    latest_arrival : Arrival
+        The newest arrival, for which the pool's capacity is queried.
+    unserved_since : float or None
+        Monotonic time since which the pool has had no capacity, or None while it has.
     """
 
     queue: FairQueue
-    example: Arrival
-    empty_since: float | None = None
+    latest_arrival: Arrival
+    unserved_since: float | None = None
 
     def is_lost(self, *, now: float) -> bool:
-        """Tell whether nothing has served the pool for a while."""
-        return self.empty_since is not None and now - self.empty_since >= GRACE
+        """Return whether the pool has had no capacity for ``LOSS_GRACE_PERIOD``."""
+        return (
+            self.unserved_since is not None
+            and now - self.unserved_since >= LOSS_GRACE_PERIOD
+        )
 
 
 class Pools:
-    """Own the pools for which requests have arrived.
+    """Manage the pools for which requests have arrived.
 
     Parameters
     ----------
     capacity : Capacity
-        Requests that may be in flight in each pool.
+        Computes how many requests may be in flight in each pool.
     """
 
     def __init__(self, *, capacity: Capacity) -> None:
         self._capacity = capacity
         self.pools_by_name: dict[str, Pool] = {}
 
-    def of_arrival(self, arrival: Arrival) -> Pool:
+    def pool_for(self, arrival: Arrival) -> Pool:
         """Return the pool that an arrival competes for."""
         name = pool_of(arrival)
         pool = self.pools_by_name.get(name)
         if pool is None:
-            pool = self.pools_by_name[name] = Pool(queue=FairQueue(), example=arrival)
-        pool.example = arrival
+            pool = self.pools_by_name[name] = Pool(
+                queue=FairQueue(), latest_arrival=arrival
+            )
+        pool.latest_arrival = arrival
         return pool
 
     def slots(self, pool: Pool, *, now: float) -> float:
-        """Return the slots of a pool, and note since when there are none."""
+        """Return the slots of a pool, and record since when it has had none."""
         slots = self._capacity.slots(
-            pool.example, n_in_flight=pool.queue.n_in_flight, now=now
+            pool.latest_arrival, n_in_flight=pool.queue.n_in_flight, now=now
         )
         if slots > 0.0:
-            pool.empty_since = None
-        elif pool.empty_since is None:
-            pool.empty_since = now
+            pool.unserved_since = None
+        elif pool.unserved_since is None:
+            pool.unserved_since = now
         return slots
 
     @property
     def n_waiting(self) -> int:
-        """Return the requests that wait, over all pools."""
+        """Return the number of waiting requests over all pools."""
         return sum(pool.queue.n_waiting for pool in self.pools_by_name.values())
 
     def backlogged(self) -> list[Pool]:
--- a/tests/test_coordination/test_admission/__init__.py
+++ b/tests/test_coordination/test_admission/__init__.py
@@ -1,1 +1,1 @@
-"""Test the family of admission decisions."""
+"""Test the admission of requests."""
--- a/tests/test_coordination/test_admission/test_admission.py
+++ b/tests/test_coordination/test_admission/test_admission.py
@@ -1,4 +1,4 @@
-"""Test admission: limits, fairness, deadlines and faults, on one host."""
+"""Test admission on one host: limits, fairness, deadlines and faults."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from ryelever.coordination.admission.admission import Admitted, Queued, Refused
 from ryelever.coordination.admission.capacity import FixedCapacity
 from ryelever.coordination.admission.fair import FairAdmission
-from ryelever.coordination.admission.pools import GRACE
+from ryelever.coordination.admission.pools import LOSS_GRACE_PERIOD
 from ryelever.state.configuration import ClientAccount
 
 DEFAULTS = ClientAccount(key_hash="", rate=1000.0, concurrency=1000, share=0.3)
 
 
 class Bench:
-    """Drive one FairAdmission by hand."""
+    """Drive one ``FairAdmission`` with given times, accounts and slots."""
 
     def __init__(self, n_slots: float = 2, **options: object) -> None:
         self.capacity = FixedCapacity(n_slots=n_slots)
@@ -65,7 +65,9 @@
     ],
     ids=["capacity", "concurrency", "rate", "slow", "no share", "closed", "no group"],
 )
-def test_limits(declared: ClientAccount, n_slots: int, n_admitted: int) -> None:
+def test_admission_stops_at_each_limit(
+    declared: ClientAccount, n_slots: int, n_admitted: int
+) -> None:
     bench = Bench(n_slots)
     bench.accounts["big"] = declared
     decisions = [bench.arrive("big", 0.0)[1] for _ in range(8)]
@@ -74,7 +76,7 @@
     ] * (8 - n_admitted)
 
 
-def test_rate_lets_waiting_requests_in_as_tokens_come() -> None:
+def test_waiting_requests_are_admitted_at_the_accounts_rate() -> None:
     bench = Bench(100)
     bench.accounts["big"] = replace(DEFAULTS, rate=2.0)
     bench.fill("big", 6, 0.0)
@@ -82,13 +84,12 @@
     assert n_granted == [0, 1, 1, 1, 1, 0]
 
 
-def test_burst_leaves_small_account_first_in_line() -> None:
-    """A burst of one account does not delay another's request.
+def test_small_account_is_served_before_the_burst_of_another() -> None:
+    """Queue a burst of a large account before one request of a small account.
 
-    Symptom: a small account waits for the whole burst of a large one.
-    Sequence: a large account fills all slots and queues 50; a small one asks; one
-    slot falls free.
-    Cause: one first-in first-out queue for all accounts.
+    Guards against the small account waiting for the whole burst, as with one first-in
+    first-out queue for all accounts.  The large account fills all slots and queues 50
+    requests, the small one sends a request, and one slot becomes free.
     """
     bench = Bench(2)
     running = bench.fill("big", 2, 0.0)
@@ -99,13 +100,13 @@
     assert bench.tick(0.2)[0] == [small]
 
 
-def test_unused_share_is_lent_and_comes_back_with_each_free_slot() -> None:
-    """A lender that asks again gets every next slot until it has its share.
+def test_lent_share_returns_with_each_free_slot() -> None:
+    """Let an account that lent its share send requests again.
 
-    Symptom: an account that was idle waits behind those who use its share.
-    Sequence: one account uses all of ten slots; the lender asks for six; slots fall
-    free one by one.
-    Cause: tags that let an account go on with what it was lent.
+    Guards against an idle account waiting behind the accounts that borrow its share.
+    One account uses all of ten slots, the lender sends 20 requests, and slots become
+    free one by one.  The lender must get the next slots until it has its share.  With
+    wrong tags, the borrower would keep the lent slots.
     """
     bench = Bench(10)
     bench.accounts["small"] = replace(DEFAULTS, share=0.3)
@@ -122,12 +123,12 @@
 
 
 @pytest.mark.parametrize("priority", [-1000, -1, 0, 1, 1000])
-def test_nobody_starves(priority: int) -> None:
-    """The lowest priority gets its turn against endless higher ones.
+def test_no_priority_starves(priority: int) -> None:
+    """Serve an account of low priority against unlimited demand of the highest one.
 
-    Symptom: a request of low priority waits until its deadline.
-    Sequence: an account of the highest priority always has ten requests waiting.
-    Cause: strict priorities, without ageing.
+    Guards against a request of low priority that waits until its deadline, while an
+    account of the highest priority always has ten requests waiting.  Strict
+    priorities without ageing have this fault.
     """
     bench = Bench(1)
     bench.accounts["big"] = replace(DEFAULTS, priority=1000)
@@ -144,10 +145,10 @@
     assert running == small
 
 
-def granted_in_turn(bench: Bench, running: str, n_turns: int, now: float) -> list[str]:
-    """End one request after another, and return what is granted in their place."""
+def end_one_by_one(bench: Bench, running: str, n_ended: int, now: float) -> list[str]:
+    """End one request after another, and return the requests granted in their place."""
     granted = []
-    for _ in range(n_turns):
+    for _ in range(n_ended):
         now += 1.0
         bench.admission.release(running, now=now)
         (running,) = bench.tick(now)[0]
@@ -156,44 +157,46 @@
 
 
 @pytest.mark.parametrize(("priority", "n_low_first"), [(0, 5), (4, 2)])
-def test_priority_is_a_head_start(priority: int, n_low_first: int) -> None:
-    """At equal shares, a step of priority brings an account 1 s forward, no more."""
+def test_priority_is_a_bounded_head_start(priority: int, n_low_first: int) -> None:
+    """At equal shares, a step of priority is worth exactly 1 s of waiting."""
     bench = Bench(1)
     bench.accounts["small"] = replace(DEFAULTS, priority=priority)
     (running,) = bench.fill("big", 1, 0.0)
     bench.fill("big", 20, 0.0)
     bench.fill("small", 20, 0.0, priority=priority)
-    granted = granted_in_turn(bench, running, 10, 0.0)
+    granted = end_one_by_one(bench, running, 10, 0.0)
     n_low = sum(name.startswith("big") for name in granted[:10])
     assert n_low <= n_low_first + 2
     assert n_low >= n_low_first - 1
 
 
-def test_unused_share_is_not_saved_up() -> None:
-    """An account that asked for little before has no claim on more than its share.
+def test_unused_share_does_not_accumulate() -> None:
+    """Give an account no more than its share after a time of low use.
 
-    Symptom: after a quiet time of one account, another one gets nothing for long.
-    Sequence: one account runs a single long request while another is served 40
-    times; then both have requests waiting.
-    Cause: a tag that stayed behind while the account had nothing waiting.
+    Guards against an account that gets no slots for a long time after another one was
+    almost idle.  One account only runs a few long requests while the other is served
+    40 times; then both have requests waiting.  The fault occurs if the tag of the
+    first account is not advanced while it has no requests waiting.
     """
     bench = Bench(10)
     bench.accounts["small"] = DEFAULTS
     bench.fill("small", 3, 0.0)
     (running, *_) = bench.fill("big", 7, 0.0)
     bench.fill("big", 100, 0.0, timeout=1000.0)
-    running = granted_in_turn(bench, running, 40, 0.0)[-1]
+    running = end_one_by_one(bench, running, 40, 0.0)[-1]
     bench.fill("small", 20, 40.0)
-    granted = granted_in_turn(bench, running, 10, 40.0)
+    granted = end_one_by_one(bench, running, 10, 40.0)
     assert 4 <= sum(name.startswith("big") for name in granted) <= 6
 
 
-def test_hopeless_request_is_refused_at_once_with_spread_times() -> None:
-    """A request whose wait would outlast its deadline is told on arrival.
+def test_request_that_cannot_meet_its_deadline_is_refused_with_spread_retry_times() -> (
+    None
+):
+    """Refuse requests on arrival that would wait beyond their deadlines.
 
-    Symptom: callers wait to the end for a refusal, then come back all together.
-    Sequence: one slot, requests of 1 s each, deadlines of 5 s, 40 arrivals at once.
-    Cause: no estimate of the wait; a constant time to come back.
+    Guards against callers that wait until their deadlines for a refusal and then all
+    retry at the same time, because the wait is not estimated and the retry time is
+    constant.  One slot, requests of 1 s each, deadlines of 5 s, 40 arrivals at once.
     """
     bench = Bench(1)
     decisions = [bench.arrive("big", 0.0, timeout=5.0)[1] for _ in range(40)]
@@ -215,12 +218,13 @@
     assert means[1] > 2.0 * means[0]
 
 
-def test_waiting_request_is_told_when_its_deadline_is_certain_to_pass() -> None:
-    """A limit that falls while requests wait ends the hopeless ones at once.
+def test_waiting_requests_are_refused_once_certainly_late() -> None:
+    """Lower an account's rate while its requests wait.
 
-    Symptom: callers hear shortly before their deadlines what was certain long ago.
-    Sequence: twenty wait at 10 a second with 8 s each; the rate falls to 1.
-    Cause: estimates made on arrival only.
+    Guards against callers that are refused only shortly before their deadlines,
+    although the refusal was certain long before, because waits are estimated only on
+    arrival.  Twenty requests with 8 s each wait at a rate of 10 per second, and the
+    rate falls to 1.
     """
     bench = Bench(100)
     bench.accounts["big"] = replace(DEFAULTS, rate=10.0)
@@ -233,7 +237,7 @@
     assert bench.tick(0.75)[1] == []
 
 
-def test_passed_deadline_is_refused_and_not_granted() -> None:
+def test_request_past_its_deadline_is_refused_and_not_granted() -> None:
     bench = Bench(1)
     (running,) = bench.fill("big", 1, 0.0)
     late, _ = bench.arrive("big", 0.0, timeout=4.0)
@@ -243,8 +247,8 @@
     assert [name for name, _ in expired] == [late]
 
 
-def test_passed_deadline_in_the_midst_of_the_queue_is_refused() -> None:
-    """A request in front of others with more time is refused when its time is over."""
+def test_request_past_its_deadline_inside_the_queue_is_refused() -> None:
+    """Refuse a request past its deadline although later ones behind it may wait."""
     bench = Bench(1)
     bench.fill("big", 1, 0.0)
     late, _ = bench.arrive("big", 0.0, timeout=4.0)
@@ -256,10 +260,10 @@
     ("max_waiting", "per_account", "n_big", "small_decision"),
     [(10, 500, 10, Queued), (100, 5, 5, Queued), (10, 5, 5, Queued)],
 )
-def test_queue_is_bounded_but_open_to_others(
+def test_queue_is_bounded_but_open_to_other_accounts(
     max_waiting: int, per_account: int, n_big: int, small_decision: type
 ) -> None:
-    """A burst fills its own part of the queue and shuts nobody out."""
+    """A burst fills only its own part of the queue; other accounts may still queue."""
     bench = Bench(1, max_waiting=max_waiting, max_waiting_per_account=per_account)
     bench.fill("big", 1, 0.0)
     decisions = [bench.arrive("big", 0.0, timeout=600.0)[1] for _ in range(50)]
@@ -268,13 +272,12 @@
     assert isinstance(decision, small_decision)
 
 
-def test_standstill_of_the_process_does_not_lengthen_estimates() -> None:
-    """After a pause, requests that can be served in time are not refused.
+def test_pause_of_the_process_does_not_lengthen_estimates() -> None:
+    """Pause the process for 30 s while requests of 1 s run; then new ones arrive.
 
-    Symptom: after an entry host was stopped for 30 s, it refuses nearly everything.
-    Sequence: requests of 1 s run; the process is stopped for 30 s; they end; new
-    ones arrive.
-    Cause: the time stood still was counted as time that requests need.
+    Guards against an entry host that refuses nearly all requests after a pause, even
+    those that it can serve in time, because the pause counts as part of the time that
+    requests need.
     """
     bench = Bench(4)
     running = bench.fill("big", 4, 0.0)
@@ -287,7 +290,7 @@
     assert not any(isinstance(decision, Refused) for decision in decisions)
 
 
-def test_standstill_earns_no_more_than_the_burst() -> None:
+def test_pause_of_the_process_adds_no_more_tokens_than_the_burst() -> None:
     bench = Bench(1000)
     bench.accounts["big"] = replace(DEFAULTS, rate=5.0)
     bench.fill("big", 5, 0.0)
@@ -297,8 +300,8 @@
     assert decisions.count(Admitted()) == 5
 
 
-def test_removed_account_ends_its_waiting_requests_only() -> None:
-    """Removing an account ends what waits at once; what runs is not cut off."""
+def test_removing_an_account_refuses_only_its_waiting_requests() -> None:
+    """Refuse a removed account's waiting requests at once; running ones continue."""
     bench = Bench(1)
     (running,) = bench.fill("big", 1, 0.0)
     waiting = bench.fill("big", 3, 0.0)
@@ -313,7 +316,7 @@
     assert "big" not in bench.admission.describe()
 
 
-def test_changed_limit_holds_for_waiting_requests() -> None:
+def test_changed_limit_applies_to_waiting_requests() -> None:
     bench = Bench(10)
     bench.accounts["big"] = replace(DEFAULTS, concurrency=1)
     bench.fill("big", 5, 0.0)
@@ -322,12 +325,12 @@
     assert bench.admission.n_in_flight("big") == 3
 
 
-def test_caller_gone_while_waiting_frees_its_place() -> None:
-    """The place of a caller that left goes to the next, and nothing is counted twice.
+def test_caller_that_disconnects_while_waiting_leaves_the_queue() -> None:
+    """Disconnect the caller of a waiting request, and free a slot.
 
-    Symptom: a slot is granted to a request that nobody waits for.
-    Sequence: two wait; the first one's caller leaves; a slot falls free.
-    Cause: a queue that keeps released requests.
+    Guards against a slot that is granted to the disconnected caller's request,
+    because the queue keeps released requests.  The next request must get the slot,
+    and a repeated release must not be counted twice.
     """
     bench = Bench(1)
     (running,) = bench.fill("big", 1, 0.0)
@@ -341,19 +344,19 @@
     assert counts == {"in_flight": 0, "waiting": 0}
 
 
-def test_lost_capacity_is_waited_for_only_briefly() -> None:
-    """Requests of a model whose groups are all gone learn it at once.
+def test_requests_wait_only_briefly_for_lost_capacity() -> None:
+    """Pass waiting requests on to the router soon after the last group has failed.
 
-    Symptom: callers wait to their deadlines for groups that are gone.
-    Sequence: three wait; the last group fails; it stays away.
-    Cause: a queue that waits for slots that nobody will free.
+    Guards against callers that wait until their deadlines for lost groups, because
+    the queue waits for slots that will not become free.  Three requests wait, the
+    last group fails, and no group returns.
     """
     bench = Bench(1)
     bench.fill("big", 1, 0.0)
     waiting = bench.fill("big", 3, 0.0)
     bench.capacity.n_slots = 0
     assert bench.tick(1.0) == ([], [])
-    granted, expired = bench.tick(1.0 + GRACE)
+    granted, expired = bench.tick(1.0 + LOSS_GRACE_PERIOD)
     assert sorted(granted) == sorted(waiting)
     assert expired == []
 
@@ -367,7 +370,7 @@
     bench.capacity.n_slots = 2
     assert bench.tick(1.5)[0] == [waiting[0]]
     bench.capacity.n_slots = 0
-    assert bench.tick(1.0 + GRACE) == ([], [])
+    assert bench.tick(1.0 + LOSS_GRACE_PERIOD) == ([], [])
 
 
 def test_pools_do_not_wait_for_each_other() -> None:
--- a/tests/test_coordination/test_admission/test_admission_capacity.py
+++ b/tests/test_coordination/test_admission/test_admission_capacity.py
@@ -1,4 +1,4 @@
-"""Test how much of the engines' batches one entry host may fill."""
+"""Test how much of the engines' batches one entry host may use."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     )
 
 
-class FewTargets:
-    """Offer usable targets, and count how often one is judged."""
+class FakeTargets:
+    """Return usable targets, and count the checks of candidates."""
 
     def __init__(self, targets: list[Target]) -> None:
         self.usable_by_name = {target.name: target for target in targets}
-        self.n_judged = 0
+        self.n_checked = 0
         candidates = tuple(
             Candidate(
                 name=target.name,
@@ -49,7 +49,7 @@
         return self._found
 
     def target(self, candidate, *, now):
-        self.n_judged += 1
+        self.n_checked += 1
         return self.usable_by_name.get(candidate.name)
 
 
@@ -64,7 +64,7 @@
         report = HostReport(host=host, boot="b", state="ready", running=running)
         confirmations.reported(report, asked_at=0.0)
     return GroupCapacity(
-        targets=FewTargets(targets),
+        targets=FakeTargets(targets),
         confirmations=confirmations,
         batch=lambda: 16,
         n_hosts=lambda: n_hosts,
@@ -76,86 +76,95 @@
     ("reported", "n_in_flight", "n_hosts_waiting", "slots"),
     [
         ([], 0, 1, 0.0),  # nothing serves
-        ([0, 0], 0, 1, 32.0),  # all of it is lent to the only one that asks
-        ([0, 0], 0, 4, 8.0),  # four share the room
-        ([8, 8], 4, 1, 20.0),  # others hold 12
-        ([16, 16], 0, 1, 8.0),  # full of others' work: the even part stays
-        ([16, 16], 32, 1, 32.0),  # full of own work: no more, and none is ended
-        ([40, 40], 12, 1, 12.0),  # queues in the engines: no more
-        ([0, 0], 20, 1, 32.0),  # reports that lag behind the own grants
+        ([0, 0], 0, 1, 32.0),  # all slots are lent to the only host with requests
+        ([0, 0], 0, 4, 8.0),  # four hosts share the room
+        ([8, 8], 4, 1, 20.0),  # peers use 12 slots
+        ([16, 16], 0, 1, 8.0),  # full of peers' requests: the even share stays
+        ([16, 16], 32, 1, 32.0),  # full of local requests: no more, and none is ended
+        ([40, 40], 12, 1, 12.0),  # requests queue in the engines: no more slots
+        ([0, 0], 20, 1, 32.0),  # reports lag behind the local grants
         ([16], 0, 1, 4.0),  # a group was lost
     ],
 )
 def test_slots(reported, n_in_flight, n_hosts_waiting, slots) -> None:
-    room = capacity(reported, n_hosts_waiting=n_hosts_waiting)
-    assert room.slots(arrival(CHAT), n_in_flight=n_in_flight, now=0.5) == slots
+    group_capacity = capacity(reported, n_hosts_waiting=n_hosts_waiting)
+    assert (
+        group_capacity.slots(arrival(CHAT), n_in_flight=n_in_flight, now=0.5) == slots
+    )
 
 
-def test_own_grants_since_the_look_count_at_once() -> None:
-    """Between two looks at the reports, granted slots are used up.
+def test_grants_since_the_last_refresh_count_at_once() -> None:
+    """Count granted slots as used between two refreshes of the capacity.
 
-    Symptom: a host sends the same free room several times over.
-    Sequence: room for 32; 30 are granted; the reports still say that nothing runs.
-    Cause: reports lag behind the host's own grants.
+    Guards against a host that grants the same free room several times, because
+    reports lag behind the host's own grants.  There is room for 32 requests, 30 slots
+    are granted, and the reports still show no running requests.
     """
-    room = capacity([0, 0], n_hosts_waiting=2)
-    assert room.slots(arrival(CHAT), n_in_flight=0, now=0.5) == 16.0
-    assert room.slots(arrival(CHAT), n_in_flight=30, now=0.55) == 31.0
+    group_capacity = capacity([0, 0], n_hosts_waiting=2)
+    assert group_capacity.slots(arrival(CHAT), n_in_flight=0, now=0.5) == 16.0
+    assert group_capacity.slots(arrival(CHAT), n_in_flight=30, now=0.55) == 31.0
 
 
 @pytest.mark.parametrize(("reported", "slots"), [([0], float("inf")), ([], 0.0)])
 def test_plain_services_have_no_batch(reported: list[int], slots: float) -> None:
-    room = capacity(reported)
-    assert room.slots(arrival(CALL), n_in_flight=5, now=0.5) == slots
+    group_capacity = capacity(reported)
+    assert group_capacity.slots(arrival(CALL), n_in_flight=5, now=0.5) == slots
 
 
-def test_large_fleet_is_judged_in_turns() -> None:
-    """Look at 800 groups again and again while 600 of them are lost.
+def test_large_fleet_is_checked_in_parts() -> None:
+    """Refresh the capacity of 800 groups repeatedly while 600 of them are lost.
 
-    Symptom: milliseconds of each request go into admission.  Sequence: requests come
-    at a large fleet, further apart than a look is kept.  Cause: each look judged all
-    groups.
+    Guards against admission that takes milliseconds per request.  In a large fleet,
+    requests arrive at longer intervals than a computed capacity is reused, and each
+    refresh would check all groups.
     """
-    view = FewTargets(
+    view = FakeTargets(
         [Target(name=f"g{n}", address="", hosts=(f"h{n}",)) for n in range(800)]
     )
-    room = GroupCapacity(
+    group_capacity = GroupCapacity(
         targets=view,
         confirmations=Confirmations(max_age=2.0),
         batch=lambda: 16,
         n_hosts=lambda: 4,
         n_hosts_waiting=lambda now: 1,
     )
-    assert room.slots(arrival(CHAT), n_in_flight=0, now=0.0) == 800 * 16
+    assert group_capacity.slots(arrival(CHAT), n_in_flight=0, now=0.0) == 800 * 16
     for number in range(600):
         del view.usable_by_name[f"g{number}"]
-    view.n_judged = 0
+    view.n_checked = 0
     slots = [
-        room.slots(arrival(CHAT), n_in_flight=0, now=look / 8) for look in range(1, 26)
+        group_capacity.slots(arrival(CHAT), n_in_flight=0, now=refresh / 8)
+        for refresh in range(1, 26)
     ]
-    assert view.n_judged == 25 * 32
+    assert view.n_checked == 25 * 32
     assert slots[-1] == 200 * 16
-    room.slots(arrival(CHAT), n_in_flight=0, now=99.0)
-    assert view.n_judged == 25 * 32 + 800
+    group_capacity.slots(arrival(CHAT), n_in_flight=0, now=99.0)
+    assert view.n_checked == 25 * 32 + 800
 
 
 @pytest.mark.parametrize(
-    ("reported", "courses", "slots"),
+    ("reported", "samples", "slots"),
     [
-        ([16, 16], [(0.0, 32), (0.1, 32), (0.3, 20)], 32.0),  # 12 have ended
-        ([16, 16], [(0.0, 20), (0.3, 20)], 20.0),  # 12 are others'
-        ([5, 5], [(-10.0, 5), (0.3, 0)], 22.0),  # the own ones had ended long before
-        ([5, 5], [(-0.05, 0), (0.0, 10), (0.3, 30)], 32.0),  # 20 granted since
+        # 12 local requests have ended since the reports.
+        ([16, 16], [(0.0, 32), (0.1, 32), (0.3, 20)], 32.0),
+        # 12 of the reported requests are peers'.
+        ([16, 16], [(0.0, 20), (0.3, 20)], 20.0),
+        # The local requests had ended long before the reports.
+        ([5, 5], [(-10.0, 5), (0.3, 0)], 22.0),
+        # 20 slots were granted since the reports.
+        ([5, 5], [(-0.05, 0), (0.0, 10), (0.3, 30)], 32.0),
     ],
 )
-def test_own_requests_are_told_from_others(reported, courses, slots) -> None:
-    """Requests that the host has ended since the reports are not taken for others'.
-
-    Symptom: 6% of the slots are idle while callers wait at the only busy host.
-    Sequence: the host has requests in flight; the reports count them; some end.
-    Cause: reports of some time ago were compared with the own requests of now.
+def test_local_requests_are_distinguished_from_those_of_peers(
+    reported, samples, slots
+) -> None:
+    """End local requests after the reports that count them.
+
+    Guards against counting these requests as other hosts' requests, so that 6% of the
+    slots are idle while callers wait at the only busy host.  This happens if older
+    reports are compared with the current number of local requests.
     """
-    room = capacity(reported)
-    for at, n_in_flight in courses:
-        found = room.slots(arrival(CHAT), n_in_flight=n_in_flight, now=at)
+    group_capacity = capacity(reported)
+    for at, n_in_flight in samples:
+        found = group_capacity.slots(arrival(CHAT), n_in_flight=n_in_flight, now=at)
     assert found == slots
--- a/tests/test_coordination/test_admission/test_admission_table.py
+++ b/tests/test_coordination/test_admission/test_admission_table.py
@@ -1,4 +1,4 @@
-"""Test fair admission as the request table uses it."""
+"""Test fair admission as part of the request table."""
 
 from __future__ import annotations
 
@@ -80,7 +80,9 @@
     assert sent.arrival.request_id == "second"
 
 
-def test_caller_gone_while_waiting_leaves_nothing_behind(table: RequestTable) -> None:
+def test_caller_that_disconnects_while_waiting_leaves_no_state(
+    table: RequestTable,
+) -> None:
     (sent,) = arrive(table, "first")
     arrive(table, "second")
     assert table.caller_disconnected("second", now=0.5) == []
@@ -91,7 +93,7 @@
 
 
 def test_late_request_gets_one_final_answer(table: RequestTable) -> None:
-    """A request whose time is over while it waits is answered once, as limited."""
+    """A request whose deadline passes while it waits is answered once, as limited."""
     arrive(table, "first")
     arrive(table, "second", deadline=3.0)
     (answer,) = table.tick(now=3.5)
@@ -102,13 +104,12 @@
     assert table.tick(now=4.0) == []
 
 
-def test_freed_slot_is_given_on_before_the_next_tick(table: RequestTable) -> None:
-    """A request that waits goes on as soon as another one ends.
+def test_freed_slot_is_granted_before_the_next_tick(table: RequestTable) -> None:
+    """Admit a waiting request as soon as another request ends.
 
-    Symptom: slots are idle for up to 50 ms after each request while callers wait.
-    Sequence: one request has the only slot, two wait; the first ends, then the
-    caller of the second goes away.
-    Cause: the queue was looked at with each tick only.
+    Guards against slots that are idle for up to 50 ms after each request while callers
+    wait, because the queue is only checked at each tick.  One request has the only
+    slot and two wait; the first ends, then the caller of the second disconnects.
     """
     (sent,) = arrive(table, "first")
     for name in ("second", "third"):
--- a/tests/test_coordination/test_admission/test_fair_queue.py
+++ b/tests/test_coordination/test_admission/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""Test the order in which a pool's slots are given to accounts."""
+"""Test the order in which a pool's slots are granted to accounts."""
 
 from __future__ import annotations
 
@@ -20,16 +20,18 @@
 
 
 @pytest.mark.parametrize(
-    ("n_held", "turn"), [(0, "small"), (1, "big"), (2, "big")], ids=str
+    ("n_in_flight", "expected_account"), [(0, "small"), (1, "big"), (2, "big")], ids=str
 )
-def test_account_below_its_share_owes_nothing(n_held: int, turn: str) -> None:
-    """A small account's next request does not pay for its earlier ones.
+def test_account_below_its_share_has_no_debt(
+    n_in_flight: int, expected_account: str
+) -> None:
+    """Serve the next request of an account that uses less than its share.
 
-    Symptom: a small account that asks now and then waits for seconds in a burst of
-    another one.
-    Sequence: a small account, whose share is one slot, is granted two requests, of
-    which it still holds some; both accounts have a request waiting.
-    Cause: the charge for ended requests kept its tag ahead, though it holds nothing.
+    Guards against a small account with occasional requests that waits for seconds
+    during a burst of another account.  The small account, whose share is one slot, was
+    granted two requests, some of which are still in flight, and both accounts have a
+    request waiting.  The fault occurs if the charge for ended requests keeps the
+    account's tag high although it has no requests in flight.
     """
     queue = FairQueue()
     small = queue.flow("small", share=0.1, priority=0)
@@ -39,26 +41,27 @@
     held = [ticket("small", index) for index in range(2)]
     for granted in held:
         queue.grant(small, granted, capacity=10, now=0.0)
-    for granted in held[n_held:]:
+    for granted in held[n_in_flight:]:
         queue.end(granted, used=1.0)
     queue.push(big, ticket("big", 9))
     queue.push(small, ticket("small", 9))
-    assert queue.first(lambda flow: True).client_account == turn
+    assert queue.first(lambda flow: True).client_account == expected_account
 
 
 @pytest.mark.parametrize(
-    ("n_asked", "n_first"), [(3, 3), (100, 2 * CREDIT + 1)], ids=["few", "many"]
+    ("n_requests", "n_max_first"), [(3, 3), (100, 2 * CREDIT + 1)], ids=["few", "many"]
 )
-def test_account_below_its_share_may_exceed_it_for_a_moment(
-    n_asked: int, n_first: float
+def test_account_below_its_share_may_exceed_it_briefly(
+    n_requests: int, n_max_first: float
 ) -> None:
-    """Requests of a small account that come at once go ahead, up to a bound.
+    """Serve several simultaneous requests of a small account first, up to a bound.
 
-    Symptom: a small account that uses half of its share on average waits for seconds
-    in a burst of another one, whenever several of its requests come at once.
-    Sequence: a large account holds nine slots of ten and has a hundred requests
-    waiting; a small one, whose share is two slots, asks for few or for many.
-    Cause: after its first request the small account waited its turn at its share.
+    Guards against a small account that uses half of its share on average and still
+    waits for seconds during a burst of another account, whenever several of its
+    requests arrive at once.  A large account uses nine slots of ten and has a hundred
+    requests waiting; a small account, whose share is two slots, sends few or many
+    requests.  The fault occurs if the small account is limited to its share after its
+    first request.
     """
     queue = FairQueue()
     big = queue.flow("big", share=0.8, priority=0)
@@ -67,15 +70,15 @@
         queue.grant(big, ticket("big", index), capacity=10, now=0.0)
     for index in range(100):
         queue.push(big, ticket("big", 10 + index))
-    for index in range(n_asked):
+    for index in range(n_requests):
         queue.push(small, ticket("small", 200 + index))
     accounts = []
     while len(accounts) < 20:
         flow = queue.first(lambda flow: True)
         accounts.append(queue.pop(flow, capacity=10, now=0.0).client_account)
     n_ahead = accounts.index("big")
-    assert n_ahead >= min(n_asked, 3)
-    assert n_ahead <= n_first
+    assert n_ahead >= min(n_requests, 3)
+    assert n_ahead <= n_max_first
 
 
 @pytest.mark.parametrize(
