--- a/ryelever/coordination/planner/host_allocator.py
+++ b/ryelever/coordination/planner/host_allocator.py
@@ -27,7 +27,7 @@
     taken : set of str
         Hosts of groups whose append was not read back yet.
     held_since : float
-        Monotonic time at which this planner's lease tenure began.
+        Monotonic time at which this planner first saw its current lease tenure.
     """
 
     def __init__(
--- a/ryelever/coordination/planner/release.py
+++ b/ryelever/coordination/planner/release.py
@@ -53,7 +53,7 @@
         taken : set of str
             Hosts of groups whose append was not read back yet.
         held_since : float
-            Monotonic time at which this planner's lease tenure began.
+            Monotonic time at which this planner first saw its current lease tenure.
         """
         actions: list[Action] = []
         for group in list(view.placement.groups_by_name.values()):
--- a/tests/test_coordination/test_admission/test_admission.py
+++ b/tests/test_coordination/test_admission/test_admission.py
@@ -103,7 +103,7 @@
 def test_lent_share_returns_with_each_free_slot() -> None:
     """Let an account that lent its share send requests again.
 
-    Guards against an idle account waiting behind the accounts that borrow its share.
+    Guards against an account that was idle and waits behind the borrowers of its share.
     One account uses all of ten slots, the lender sends 20 requests, and slots become
     free one by one.  The lender must get the next slots until it has its share.  With
     wrong tags, the borrower would keep the lent slots.
@@ -158,7 +158,7 @@
 
 @pytest.mark.parametrize(("priority", "n_low_first"), [(0, 5), (4, 2)])
 def test_priority_is_a_bounded_head_start(priority: int, n_low_first: int) -> None:
-    """At equal shares, a step of priority is worth exactly 1 s of waiting."""
+    """At equal shares, a step of priority is worth 1 s of waiting and no more."""
     bench = Bench(1)
     bench.accounts["small"] = replace(DEFAULTS, priority=priority)
     (running,) = bench.fill("big", 1, 0.0)
@@ -189,9 +189,7 @@
     assert 4 <= sum(name.startswith("big") for name in granted) <= 6
 
 
-def test_request_that_cannot_meet_its_deadline_is_refused_with_spread_retry_times() -> (
-    None
-):
+def test_late_arrivals_are_refused_with_spread_retry_times() -> None:
     """Refuse requests on arrival that would wait beyond their deadlines.
 
     Guards against callers that wait until their deadlines for a refusal and then all
