--- a/ryelever/coordination/actions.py
+++ b/ryelever/coordination/actions.py
@@ -1,4 +1,4 @@
-"""Define what decisions ask the process to do, one class an action."""
+"""Define the actions that decisions return for the process to carry out."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ChatWork:
-    """Hold what a model is asked."""
+    """Represent a chat completion request to a model."""
 
     model: str
     messages: list[dict]
@@ -40,13 +40,13 @@
 
     @property
     def name(self) -> str:
-        """Return the model as callers name it: ``model`` or ``model:adapter``."""
+        """Return the model name used by callers: ``model`` or ``model:adapter``."""
         return f"{self.model}:{self.adapter}" if self.adapter else self.model
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ServiceWork:
-    """Hold a call to a plain service, passed on as it came."""
+    """Represent a call to a plain service, which is forwarded unchanged."""
 
     service: str
     method: str
@@ -57,16 +57,16 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Arrival:
-    """Hold one accepted caller's request.
+    """Represent an accepted request of a caller.
 
     Attributes
     ----------
     deadline : float
-        Monotonic time at which the answer is of no use any more.
+        Monotonic time after which the caller has no use for an answer.
     idempotency_key : str
         Set when the request must run at most once.
     fingerprint : str
-        Digest of the work, the same for a resend.
+        Digest of the work; a repeated request has the same digest.
     """
 
     request_id: str
@@ -80,13 +80,13 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether the request may run more than once."""
+        """Return whether the request may run more than once."""
         return not self.idempotency_key
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Target:
-    """Name the backend server of one attempt.
+    """Identify the backend server of an attempt.
 
     Attributes
     ----------
@@ -95,7 +95,7 @@
     fencing : int
         Fencing number of the group; -1 for a plain service.
     hosts : tuple of str
-        The hosts that die with the attempt.
+        Hosts of the backend server, which fail together with the attempt.
     """
 
     name: str
@@ -125,7 +125,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class CancelAttempt:
-    """Stop an attempt whose answer nobody waits for."""
+    """Cancel an attempt whose answer is no longer needed."""
 
     attempt_id: str
 
@@ -140,7 +140,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class AnswerComplete:
-    """End a chat request with its whole answer."""
+    """End a chat request with its complete answer."""
 
     request_id: str
     tokens: tuple[str, ...]
@@ -150,7 +150,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class AnswerService:
-    """End a service call with the service's own answer."""
+    """End a service call with the answer of the service."""
 
     request_id: str
     status: int
@@ -161,7 +161,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class StreamTokens:
-    """Pass tokens on to a caller that asked for a stream."""
+    """Forward tokens to a caller that requested a stream."""
 
     request_id: str
     tokens: tuple[str, ...]
@@ -191,7 +191,8 @@
     Attributes
     ----------
     kept_for : float
-        Seconds for which the append is repeated; 0 leaves it to the writer.
+        Seconds during which the append may be retried; 0 selects the default
+        deadline of appends.
     """
 
     stream: str
@@ -202,13 +203,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class SendOrder:
-    """Order one host to join or to leave a group.
+    """Order a host to join or leave a group.
 
     Attributes
     ----------
     expires_ms : int
-        Reading of the engine's own clock, as its reports give it, after which it
-        must not begin to obey; 0 when the engine gave none.
+        Time on the engine's clock, in milliseconds, after which the engine must not
+        start to execute the order.  The clock is taken from the engine's reports;
+        0 when they contain no clock.
     """
 
     host: str
--- a/ryelever/coordination/backoff.py
+++ b/ryelever/coordination/backoff.py
@@ -1,4 +1,4 @@
-"""Pause after failures of the log, longer after each one."""
+"""Compute exponentially growing pauses after failed calls to the log."""
 
 from __future__ import annotations
 
@@ -6,28 +6,30 @@
 
 __all__ = ["Backoff"]
 
-#: Shortest and longest pause, in seconds, before they are spread.
+#: Shortest and longest pause in seconds, before jitter.
 MIN_PAUSE = 0.2
 MAX_PAUSE = 3.0
 
-#: Failures in a row after which the pause grows no more; it is the longest by then.
+#: Consecutive failures after which the pause no longer doubles; it has reached
+#: ``MAX_PAUSE`` by then.
 MAX_DOUBLINGS = 8
 
-#: Part of a pause that is certain; the jitter adds up to one whole pause.
-CERTAIN_PART = 0.5
+#: Fraction of a pause that is fixed; the jitter adds at most one full pause.
+FIXED_SHARE = 0.5
 
 
 class Backoff:
-    """Tell when to try again; each failure in a row doubles the pause.
+    """Schedule retries; each consecutive failure doubles the pause.
 
-    A service that comes back is asked by all hosts at once and goes down again,
-    which shows as an outage that does not end.  Growing pauses, spread over the
-    hosts, leave it room.
+    If all hosts called a restarted service at once, the service would fail again and
+    the outage would never end.  Growing pauses with jitter spread the calls of the
+    hosts over time.
 
     Parameters
     ----------
     jitter : callable
-        Return a number from 0 to 1 that spreads the pauses of many hosts.
+        Return a number from 0 to 1; different values on different hosts spread
+        their retries.
     """
 
     def __init__(self, *, jitter: Callable[[], float]) -> None:
@@ -36,15 +38,15 @@
         self._pause_until = float("-inf")
 
     def is_due(self, *, now: float) -> bool:
-        """Tell whether the pause is over; ``now`` is in monotonic seconds."""
+        """Return whether the pause is over; ``now`` is in monotonic seconds."""
         return now >= self._pause_until
 
     def failed(self, *, now: float) -> None:
-        """Begin a pause."""
+        """Record a failed call and start a pause."""
         pause = min(MAX_PAUSE, MIN_PAUSE * 2 ** min(self._n_failures, MAX_DOUBLINGS))
         self._n_failures += 1
-        self._pause_until = now + pause * (CERTAIN_PART + self._jitter())
+        self._pause_until = now + pause * (FIXED_SHARE + self._jitter())
 
     def succeeded(self) -> None:
-        """Let the next failure begin with the shortest pause again."""
+        """Record a successful call; the next pause is the shortest one again."""
         self._n_failures = 0
--- a/ryelever/coordination/change_history.py
+++ b/ryelever/coordination/change_history.py
@@ -1,4 +1,4 @@
-"""Keep what changed last in a topic, for hosts that missed a part of it."""
+"""Keep the latest changes of a topic for hosts that missed some of them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 
 __all__ = ["ChangeHistory"]
 
-#: Changed records kept: some seconds of a large fleet whose groups form.
+#: Changed records that are kept: some seconds of changes while the groups of a large
+#: fleet form.
 MAX_RECORDS = 6000
 
 
@@ -23,10 +24,10 @@
 
 
 class ChangeHistory:
-    """Hold the newest parts of a topic, each of which follows the one before.
+    """Store the newest consecutive parts of a topic.
 
-    A part has only the records that say anything new, so that what is missed is a
-    fraction of what the store would give.
+    A part contains only records with changed values, which are a fraction of the
+    records that the store would return for the same range of offsets.
     """
 
     __slots__ = ("_era", "_n_records", "_parts")
@@ -39,14 +40,14 @@
     def add(
         self, records: list[KeyedRecord], *, start: int, end: int, era: int
     ) -> None:
-        """Take a part; one that doesn't follow the last begins anew.
+        """Append a part, or start a new history if the part is not consecutive.
 
         Parameters
         ----------
         start, end : int
-            Offsets of its first record, and after its last one.
+            Offset of the part's first record and offset after its last record.
         era : int
-            Era of the store that the offsets belong to.
+            Era of the store to which the offsets belong.
         """
         if era != self._era or (self._parts and start != self._parts[-1].end):
             self._parts.clear()
@@ -63,13 +64,13 @@
 
     @property
     def end(self) -> int:
-        """Return the offset up to which it reaches."""
+        """Return the offset after the last part, or -1 if the history is empty."""
         return self._parts[-1].end if self._parts else -1
 
     def since(self, offset: int, *, era: int) -> list[KeyedRecord] | None:
-        """Return what changed from an offset on, or None where that isn't known.
+        """Return the newest record of each key that changed at or after an offset.
 
-        Of each key the newest record is enough.
+        Return None if the history doesn't cover the offset.
         """
         if era != self._era or not self._parts:
             return None
@@ -80,7 +81,7 @@
             if part.end > offset:
                 for record in part.records:
                     if record.offset >= offset:
-                        # In the order of the newest ones.
+                        # Insert the key again to sort keys by their newest records.
                         newest_by_key.pop(record.key, None)
                         newest_by_key[record.key] = record
         return list(newest_by_key.values())
--- a/ryelever/coordination/confirmation.py
+++ b/ryelever/coordination/confirmation.py
@@ -1,4 +1,4 @@
-"""Judge which groups are whole, from what their hosts report themselves."""
+"""Decide from the reports of hosts which groups are complete."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class FreshReport:
-    """Hold a host's report and when it was asked for.
+    """Represent a host's report and the time at which it was requested.
 
     Attributes
     ----------
     asked_at : float
-        Monotonic time, on the judge's clock, from before the question was sent.
-        Counting from the answer would call a report fresh that a paused host
-        composed long ago.
+        Monotonic time on this entry host's clock, taken before the request was sent.
+        If age were counted from the answer, a report that a paused host composed
+        long ago would count as fresh.
     """
 
     report: HostReport
@@ -29,12 +29,12 @@
 
 
 class Confirmations:
-    """Keep the newest report of each host and judge groups by them.
+    """Keep the newest report of each host and check groups against the reports.
 
     Parameters
     ----------
     max_age : float
-        Seconds after the question for which a report counts.
+        Seconds after its request during which a report is valid.
     """
 
     def __init__(self, *, max_age: float) -> None:
@@ -43,7 +43,7 @@
         self.n_refused_by_host: dict[str, int] = {}
 
     def reported(self, report: HostReport, *, asked_at: float) -> None:
-        """Take a report, unless one that was asked for later is known."""
+        """Record a report unless a report that was requested later is known."""
         known = self.reports_by_host.get(report.host)
         if known is not None and known.asked_at > asked_at:
             return
@@ -53,23 +53,26 @@
         self.n_refused_by_host.pop(report.host, None)
 
     def unreachable(self, host: str) -> None:
-        """Forget the report of a host that refused or broke a connection."""
+        """Drop the report of a host that refused or broke a connection."""
         self.reports_by_host.pop(host, None)
         self.n_refused_by_host[host] = self.n_refused_by_host.get(host, 0) + 1
 
     def n_refused(self, host: str) -> int:
-        """Return how often in a row the host refused a connection."""
+        """Return the number of consecutive connections that the host refused."""
         return self.n_refused_by_host.get(host, 0)
 
     def fresh(self, host: str, *, now: float) -> HostReport | None:
-        """Return the host's report if it still counts."""
+        """Return the host's report if the report is not older than ``max_age``."""
         known = self.reports_by_host.get(host)
         if known is None or now - known.asked_at > self.max_age:
             return None
         return known.report
 
     def confirms(self, host: str, group: Group, *, now: float) -> bool:
-        """Tell whether the host itself says it serves in this very group."""
+        """Return whether the host reports that it serves in this group.
+
+        The report must bear the group's name and fencing number.
+        """
         report = self.fresh(host, now=now)
         return (
             report is not None
@@ -79,7 +82,7 @@
         )
 
     def is_complete(self, group: Group, *, now: float) -> bool:
-        """Tell whether the group may serve: every member confirms it."""
+        """Return whether the group may serve because every member confirms it."""
         return not group.dissolved and all(
             self.confirms(host, group, now=now) for host in group.members
         )
--- a/ryelever/coordination/evacuations.py
+++ b/ryelever/coordination/evacuations.py
@@ -1,4 +1,4 @@
-"""Know the availability zones that the operator has asked to evacuate."""
+"""Track the availability zones that the operator requested to evacuate."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class OperatorPosition(msgspec.Struct, frozen=True, order=True):
-    """Say up to where the operator's topic was read; later ones compare as greater.
+    """Represent a read position in the operator's topic; positions are ordered.
 
     Attributes
     ----------
     era : int
-        Era of the store that the offset belongs to.
+        Era of the store to which the offset belongs.
     offset : int
-        Offset after the last record.
+        Offset after the last record that was read.
     """
 
     era: int = 0
@@ -28,22 +28,23 @@
 
 
 class Evacuations:
-    """Hold the zones whose backend servers are to get no new requests.
+    """Keep the set of zones whose backend servers receive no new requests.
 
-    Hosts that leave the reading to others, or that the store turns away, take what is
-    newer from the others' words.
+    Hosts that don't read the operator's topic, because other hosts of the zone read
+    it or because the store doesn't answer their calls, receive newer sets in the
+    heartbeats of other hosts.
 
     Parameters
     ----------
     log : callable
-        Take one line about a change: its name and its fields.
+        Write a log line about a change, given its event name and its fields.
 
     Attributes
     ----------
     zones : frozenset of str
         The evacuated zones.
     as_of : OperatorPosition
-        Up to where the operator's topic was read for this.
+        Position in the operator's topic up to which ``zones`` is current.
     """
 
     __slots__ = ("_log", "as_of", "zones")
@@ -54,10 +55,11 @@
         self.as_of = OperatorPosition()
 
     def listed(self, zones: Iterable[str], *, as_of: OperatorPosition) -> None:
-        """Take all requests that the store holds.
+        """Apply a listing of all evacuation requests in the store.
 
-        A store that has come back from an older copy may lack some until the operator
-        writes them again, so none that is known ends by a listing of a later era.
+        A store that was restored from an older copy may lack requests until the
+        operator writes them again.  A listing of a later era therefore ends no known
+        evacuation.
         """
         if as_of < self.as_of:
             return
@@ -65,18 +67,19 @@
         self._set(known.union(zones), as_of=as_of)
 
     def requested(self, zone: str, *, as_of: OperatorPosition) -> None:
-        """Take a request to evacuate a zone."""
+        """Apply a request to evacuate a zone."""
         self._set(self.zones | {zone}, as_of=as_of)
 
     def ended(self, zone: str, *, as_of: OperatorPosition) -> None:
-        """Take word that a zone is used again."""
+        """Apply the end of a zone's evacuation."""
         self._set(self.zones - {zone}, as_of=as_of)
 
     def heard(self, zones: Iterable[str], *, as_of: OperatorPosition) -> None:
-        """Take what another host knows, if it is newer.
+        """Apply the evacuated zones from another host's heartbeat unless out of date.
 
-        What it has read in a later era may be an older copy, and of two hosts at the
-        same place one may know of a request that the copy lacks.
+        Only a later position of the same era ends a known evacuation.  In a later
+        era the other host may have read an older copy of the store, and of two hosts
+        at the same position one may know a request that the copy lacks.
         """
         if as_of < self.as_of:
             return
--- a/ryelever/coordination/fan_out.py
+++ b/ryelever/coordination/fan_out.py
@@ -1,4 +1,4 @@
-"""Divide the hosts that one host has something to tell among some of them."""
+"""Distribute a datagram to many hosts through a few hosts that forward it."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 __all__ = ["MAX_RECEIVERS", "Relayer", "fan_out"]
 
-#: Hosts that one host sends a datagram to itself.  With more of them, some send it on:
-#: a link of 20 Mbit/s doesn't carry a copy for each of a hundred hosts while the groups
-#: of a large fleet form.
+#: Hosts to which the sender sends a datagram directly.  With more receivers, these
+#: hosts forward the datagram: a link of 20 Mbit/s can't carry a copy for each of a
+#: hundred hosts while the groups of a large fleet form.
 MAX_RECEIVERS = 12
 
 
 class Relayer(msgspec.Struct, kw_only=True, frozen=True):
-    """Name a host that is sent something, and those to whom it sends it on.
+    """Represent a direct receiver and the hosts to which it forwards the datagram.
 
     Attributes
     ----------
     hosts : tuple of str
-        Empty where it keeps it to itself.
+        Hosts that receive the datagram from this one; empty if it forwards nothing.
     """
 
     host: str
@@ -26,24 +26,25 @@
 
 
 def fan_out(hosts: list[str], *, living: set[str], turn: int) -> list[Relayer]:
-    """Return to whom something is sent.
+    """Return the direct receivers of a datagram, each with its forwarding targets.
 
     Parameters
     ----------
     hosts : list of str
-        All that are to hear of it.
+        All hosts that are to receive the datagram.
     living : set of str
-        Those that are heard; one that isn't may be lost, and what it had to send on
-        as well.
+        Hosts whose heartbeats are received.  The others may be lost, together with
+        the datagrams that they were to forward, and are not chosen to forward.
     turn : int
-        Another number picks others to send it on, so that one whose loss has not
-        shown yet costs the same hosts one datagram and not all.
+        Number that differs from datagram to datagram and selects other forwarding
+        hosts each time.  A lost host that is not detected yet then costs the same
+        receivers one datagram instead of all datagrams.
     """
     if len(hosts) <= MAX_RECEIVERS:
         return [Relayer(host=host) for host in hosts]
-    able = [host for host in hosts if host in living] or hosts
-    first = turn % len(able)
-    relayers = (able[first:] + able[:first])[:MAX_RECEIVERS]
+    candidates = [host for host in hosts if host in living] or hosts
+    first = turn % len(candidates)
+    relayers = (candidates[first:] + candidates[:first])[:MAX_RECEIVERS]
     chosen = set(relayers)
     others = [host for host in hosts if host not in chosen]
     return [
--- a/ryelever/coordination/host_heartbeats.py
+++ b/ryelever/coordination/host_heartbeats.py
@@ -1,4 +1,4 @@
-"""Keep what the other entry hosts said last, and decide who plans for a zone."""
+"""Keep the newest heartbeats of other entry hosts and decide on roles in a zone."""
 
 from __future__ import annotations
 
@@ -17,38 +17,42 @@
 
 __all__ = ["HostAddress", "HostHeartbeat", "HostHeartbeats", "urgent_state"]
 
-#: Least seconds of silence after which an entry host counts as gone.  The words of
-#: those that others rely on come every 0.2 s, and four in a row are not lost by
-#: chance.
-HOST_SILENCE = 0.9
+#: Minimum seconds without a heartbeat after which an entry host counts as gone.  Hosts
+#: on which others rely send heartbeats every 0.2 s, and four consecutive heartbeats
+#: are not lost by chance.
+HOST_TIMEOUT = 0.9
 
-#: The same in intervals of a host's own words, where these are longer.  Words of it
-#: are missed by nobody for two of them; its requests count on meanwhile.
-SILENT_INTERVALS = 2.5
+#: Timeout of an entry host in multiples of its own heartbeat interval, if longer than
+#: ``HOST_TIMEOUT``.  Hosts on which no other host relies send less often; two lost
+#: heartbeats of such a host do no harm, and its requests in flight count meanwhile.
+TIMEOUT_INTERVALS = 2.5
 
-#: Seconds by which sums of times may be off.
+#: Maximum rounding error of sums of times, in seconds.
 ROUNDING = 1e-6
 
-#: Hosts of a zone up to which each tells each other of its requests in every tick.
-#: Of more of them each does so less often, so that a host hears no more than of as
-#: many: 70 words a second, each of which takes a tenth of a millisecond to read.
+#: Maximum number of hosts in a zone that send heartbeats to each other in every tick.
+#: In a larger zone each host sends less often, so that a host receives no more
+#: heartbeats than in a zone of this size: 70 a second, each of which takes a tenth of
+#: a millisecond to read.
 FREQUENT_HOSTS = 15
 
-#: Seconds without a word for another zone after which it counts as cut off.  They come
-#: every 0.6 s, and 0.9 s later where the host that speaks for it is lost.
-ZONE_SILENCE = 2.0
+#: Seconds without a heartbeat from another zone after which the zone counts as
+#: unreachable.  Zone heartbeats arrive every 0.6 s, and 0.9 s later if the zone's
+#: representative is lost.
+ZONE_TIMEOUT = 2.0
 
-#: Hosts of a zone that read what is rarely written.  While one of two is silent and
-#: not yet missed, the other goes on; more would only cost more calls.
+#: Hosts of a zone that read rarely written records from the store.  If one of two
+#: readers is lost and not detected yet, the other one continues; more readers would
+#: only cost more calls.
 READERS = 2
 
-#: Seconds without a host of its own after which others plan for a zone: hosts that
-#: are restarted are back sooner.
-ORPHANED = 5.0
+#: Seconds without a host in a zone after which hosts of other zones plan for the zone.
+#: Restarted hosts return sooner.
+ORPHANED_ZONE_DELAY = 5.0
 
 
 class HostAddress(msgspec.Struct, kw_only=True, frozen=True):
-    """Say where an entry host is reached, as it has written into the store."""
+    """Represent the address that an entry host has written into the store."""
 
     host: str
     address: str
@@ -56,52 +60,56 @@
 
 
 class HostHeartbeat(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold what one entry host says of itself.
+    """Represent a heartbeat: the state that an entry host reports to other hosts.
 
     Attributes
     ----------
     boot : int
         Distinguishes the incarnations of a host.
     reads_store : bool
-        True while its reads of the store are answered.
+        True while the store answers the host's reads.
     configuration_size : int
-        Bytes of the configuration in force there.
+        Size in bytes of the configuration in force at the host.
     in_flight_by_server : dict of str to int
-        Its requests at each backend server.
+        The host's requests in flight at each backend server.
     demand_by_model : dict of str to float
-        Work that arrives there, in replica groups kept busy.
+        Work that arrives at the host, in the number of replica groups it keeps busy.
     still : tuple of str
-        Heads whose groups stand still as it sees them.
+        Heads of groups that are stalled according to the host.
     plans : tuple of str
-        Availability zones that it plans for.
+        Availability zones that the host plans for.
     reshapes : tuple of str
-        Those in which it takes a group apart for another model, or wants to.
+        Zones in which the host disbands a group for another model, or wants to.
     moving : tuple of str
-        Heads that others saw stand still, and whose streams go on there.
+        Heads that other hosts reported as stalled and whose streams progress at this
+        host.
     suspicions : tuple of SuspicionRow
-        Requests that were in crashes of backend servers there, or completed since.
+        Requests of the host that were in flight when a backend server crashed, or
+        that completed since.
     rate_limits : tuple of RateLimitRow
-        What answers that it got said of backend servers' rate limits.
+        Rate limits of backend servers, from the answers that the host received.
     wanted_servers : tuple of str
-        Backend servers with a rate limit that it has requests for.
+        Backend servers with a rate limit for which the host has requests.
     address : str
-        Where the host is reached; a word that is passed on comes from elsewhere.
+        Address of the host; a forwarded heartbeat is sent from another address.
     interval : float
-        Seconds until its next word.
+        Seconds until the host's next heartbeat.
     for_zone : bool
-        True where it speaks for its zone, so that sums and sets are the zone's.
+        True if the host represents its zone: counts and sets are those of the zone.
     n_hosts : int
-        Hosts that it speaks for.
+        Number of hosts that the heartbeat covers.
     evacuated_zones : tuple of str
-        Zones that are evacuated, as far as it knows.
+        Evacuated zones that the host knows.
     operator_position : OperatorPosition
-        Up to where the operator's topic was read for that.
+        Position in the operator's topic up to which ``evacuated_zones`` is current.
     store_era : int
-        Highest era of the store that it has seen or heard of; 0 before any.
+        Highest era of the store that the host has seen in answers or heartbeats; 0
+        if it has seen none.
     passed_on : bool
-        True where another host passes it on within its own zone; it goes no further.
+        True if another host forwards the heartbeat within that host's zone; a
+        forwarded heartbeat is not forwarded again.
     knows_servers : bool
-        True once it knows all backend servers.
+        True once the host knows all backend servers.
     """
 
     host: str
@@ -133,10 +141,11 @@
 
 
 def urgent_state(heartbeat: HostHeartbeat) -> tuple[object, ...]:
-    """Return the part of a word that others act on at once when it changes.
+    """Return the fields whose changes other hosts act on immediately.
 
-    Each host notices by itself that a group stands still, but in a large zone a host
-    has a stream there only now and then: it would send requests there for seconds.
+    They include the stalled groups.  Each host detects stalls by itself, but in a
+    large zone a host has a stream at a given group only now and then and would send
+    requests to a stalled group for seconds.
     """
     return (
         heartbeat.interval,
@@ -157,29 +166,29 @@
 
 
 class _Received(msgspec.Struct, kw_only=True):
-    """Hold the newest word of one host and when it came."""
+    """Represent the newest heartbeat of a host and its time of receipt."""
 
     heartbeat: HostHeartbeat
-    heard_at: float
+    received_at: float
 
     @property
-    def patience(self) -> float:
-        """Return the seconds of silence after which the host counts as gone."""
-        return max(HOST_SILENCE, SILENT_INTERVALS * self.heartbeat.interval)
+    def silence_timeout(self) -> float:
+        """Return the seconds without a heartbeat after which the host times out."""
+        return max(HOST_TIMEOUT, TIMEOUT_INTERVALS * self.heartbeat.interval)
 
     @property
-    def lapses_after(self) -> float:
-        """Return a monotonic time until which the host doesn't count as gone."""
-        return self.heard_at + self.patience - ROUNDING
+    def no_timeout_before(self) -> float:
+        """Return a monotonic time before which the host doesn't time out."""
+        return self.received_at + self.silence_timeout - ROUNDING
 
 
 class HostHeartbeats:
-    """Hold the words of all other entry hosts.
+    """Store the newest heartbeat of each of the other entry hosts.
 
     Parameters
     ----------
     host, zone : str
-        This host and its availability zone.
+        Name of this host and its availability zone.
     """
 
     def __init__(self, *, host: str, zone: str) -> None:
@@ -188,41 +197,45 @@
         self.addresses_by_host: dict[str, HostAddress] = {}
         self._heard_by_host: dict[str, _Received] = {}
         self._zone_received_at: dict[str, float] = {}
-        self._zone_asked_at: dict[str, float] = {}
+        self._zone_first_checked_at: dict[str, float] = {}
         self._representative_by_zone: dict[str, str] = {}
         self._n_hosts_by_zone: dict[str, int] = {}
-        # Who is heard is asked a hundred times a second.  No word lapses before this
-        # moment, so that until then no word has to be looked at for that.
-        self._none_lapses_before = float("-inf")
-        # The words of this zone; None once one has come or lapsed since they were
-        # picked.
-        self._near: list[HostHeartbeat] | None = None
-        # Words come hundreds of times a second in a large fleet, and summing over all
-        # hosts at each would cost more than all else; so the sum is kept.
+        # No heartbeat times out before this monotonic time.  The check for silent
+        # hosts runs a hundred times a second and doesn't scan the heartbeats earlier.
+        self._no_timeout_before = float("-inf")
+        # Cached heartbeats of this zone's other hosts; None if a heartbeat was
+        # received or removed since they were selected.
+        self._zone_heartbeats: list[HostHeartbeat] | None = None
+        # The sum over all hosts is updated with each heartbeat.  In a large fleet
+        # hundreds of heartbeats are received a second, and summing over all hosts for
+        # each of them would cost more than everything else.
         self._in_flight: Counter[str] = Counter()
 
     def take(self, heartbeat: HostHeartbeat, *, address: str, now: float) -> bool:
-        """Take a word; tell whether it is newer than the one that is known.
+        """Record a heartbeat and return whether it is newer than the recorded one.
 
         Parameters
         ----------
         address : str
-            Where it came from, and where its host is asked.  A host that was started
-            anew while the store is away learns of the others only this way.
+            Sender's address, which becomes the host's address for requests unless the
+            heartbeat contains one.  A host that restarts while the store is
+            unreachable learns the addresses of other hosts only from heartbeats.
         """
         if heartbeat.host == self._host:
             return False
-        heard = self._heard_by_host.get(heartbeat.host)
-        same = heard is not None and heard.heartbeat.boot == heartbeat.boot
-        if same and heartbeat.sequence <= heard.heartbeat.sequence:
+        received = self._heard_by_host.get(heartbeat.host)
+        same_boot = received is not None and received.heartbeat.boot == heartbeat.boot
+        if same_boot and heartbeat.sequence <= received.heartbeat.sequence:
             return False
-        self._forget(heartbeat.host)
+        self._remove(heartbeat.host)
         if heartbeat.for_zone:
             self._record_representative(heartbeat)
-        heard = _Received(heartbeat=heartbeat, heard_at=now)
-        self._heard_by_host[heartbeat.host] = heard
-        self._near = None
-        self._none_lapses_before = min(self._none_lapses_before, heard.lapses_after)
+        received = _Received(heartbeat=heartbeat, received_at=now)
+        self._heard_by_host[heartbeat.host] = received
+        self._zone_heartbeats = None
+        self._no_timeout_before = min(
+            self._no_timeout_before, received.no_timeout_before
+        )
         self._in_flight.update(heartbeat.in_flight_by_server)
         self._zone_received_at[heartbeat.availability_zone] = now
         self.addresses_by_host[heartbeat.host] = HostAddress(
@@ -233,22 +246,23 @@
         return True
 
     def _record_representative(self, heartbeat: HostHeartbeat) -> None:
-        """Let a word for a zone take the place of the former speaker's."""
+        """Replace the heartbeat of a zone's former representative."""
         zone = heartbeat.availability_zone
         former = self._representative_by_zone.get(zone)
         if former is not None and former != heartbeat.host:
-            self._forget(former)
+            self._remove(former)
         self._representative_by_zone[zone] = heartbeat.host
         self._n_hosts_by_zone[zone] = heartbeat.n_hosts
 
     def zone_representative(self, zone: str) -> str | None:
-        """Return the host that spoke last for another zone, if one ever did."""
+        """Return the last known representative of another zone, or None."""
         return self._representative_by_zone.get(zone)
 
     def hosts_of(self, zone: str) -> list[str]:
-        """Return the known hosts of a zone by name, this one included if it is known.
+        """Return the sorted names of the known hosts of a zone.
 
-        A host that is cut off or lost is known, as the store lists it.
+        This host is included if its address is known.  An unreachable or lost host
+        is known as long as the store lists it.
         """
         return sorted(
             address.host
@@ -257,28 +271,28 @@
         )
 
     def near(self, *, now: float) -> list[HostHeartbeat]:
-        """Return the newest words of the other hosts of this zone.
+        """Return the newest heartbeats of the other hosts of this zone.
 
-        The list is not to be changed by who asks.
+        Hosts that have timed out are left out.  The caller must not change the list.
         """
-        self._forget_silent(now=now)
-        if self._near is None:
-            self._near = [
-                heard.heartbeat
-                for heard in self._heard_by_host.values()
-                if heard.heartbeat.availability_zone == self._zone
+        self._remove_silent(now=now)
+        if self._zone_heartbeats is None:
+            self._zone_heartbeats = [
+                received.heartbeat
+                for received in self._heard_by_host.values()
+                if received.heartbeat.availability_zone == self._zone
             ]
-        return self._near
+        return self._zone_heartbeats
 
     def ticks_between_heartbeats(self, *, now: float) -> int:
-        """Return how many ticks lie between two words to the hosts of this zone."""
+        """Return the number of ticks between two heartbeats to hosts of this zone."""
         return math.ceil((1 + len(self.near(now=now))) / FREQUENT_HOSTS)
 
     def represents_zone(self, *, planning: bool, now: float) -> bool:
-        """Tell whether this host speaks for its zone to the others.
+        """Return whether this host represents its zone to the other zones.
 
-        The zone's planner does, as what it announces is what others wait for; else
-        the first by name.
+        The zone's planner is the representative, since other zones wait for its
+        announcements.  Without a planner it is the first host by name.
 
         Parameters
         ----------
@@ -294,87 +308,90 @@
         return all(self._host < heartbeat.host for heartbeat in near)
 
     def living(self, *, now: float) -> list[HostHeartbeat]:
-        """Return the newest words of the hosts that are heard."""
-        self._forget_silent(now=now)
-        return [heard.heartbeat for heard in self._heard_by_host.values()]
+        """Return the newest heartbeats of all other hosts that have not timed out."""
+        self._remove_silent(now=now)
+        return [received.heartbeat for received in self._heard_by_host.values()]
 
-    def _forget_silent(self, *, now: float) -> None:
-        """Forget the hosts whose words have lapsed."""
-        if now < self._none_lapses_before:
+    def _remove_silent(self, *, now: float) -> None:
+        """Remove the heartbeats of hosts that have timed out."""
+        if now < self._no_timeout_before:
             return
-        next_lapse = math.inf
-        for host, heard in list(self._heard_by_host.items()):
-            if now - heard.heard_at > heard.patience:
-                self._forget(host)
+        next_timeout = math.inf
+        for host, received in list(self._heard_by_host.items()):
+            if now - received.received_at > received.silence_timeout:
+                self._remove(host)
             else:
-                next_lapse = min(next_lapse, heard.lapses_after)
-        self._none_lapses_before = next_lapse
+                next_timeout = min(next_timeout, received.no_timeout_before)
+        self._no_timeout_before = next_timeout
 
-    def _forget(self, host: str) -> None:
-        heard = self._heard_by_host.pop(host, None)
-        if heard is None:
+    def _remove(self, host: str) -> None:
+        received = self._heard_by_host.pop(host, None)
+        if received is None:
             return
-        self._near = None
-        for server_id, count in heard.heartbeat.in_flight_by_server.items():
+        self._zone_heartbeats = None
+        for server_id, count in received.heartbeat.in_flight_by_server.items():
             self._in_flight[server_id] -= count
             if not self._in_flight[server_id]:
                 del self._in_flight[server_id]
 
     def n_hosts(self, *, now: float) -> int:
-        """Return how many entry hosts there may be, this one included.
+        """Return an upper estimate of the number of entry hosts, including this one.
 
-        Those that are only cut off go on serving, so the ones that the store lists
-        count though they are not heard.
+        Hosts that are only unreachable continue to serve.  Hosts that the store lists
+        therefore count even if no heartbeats are received from them.
         """
-        n_near = 1 + len(self.near(now=now))
-        n_told = n_near + sum(self._n_hosts_by_zone.values())
-        return max(len(self.addresses_by_host), n_told)
+        n_in_zone = 1 + len(self.near(now=now))
+        n_reported = n_in_zone + sum(self._n_hosts_by_zone.values())
+        return max(len(self.addresses_by_host), n_reported)
 
     def in_flight(self, *, now: float) -> Counter[str]:
-        """Return the other hosts' requests at each backend server.
+        """Return the other hosts' requests in flight at each backend server.
 
-        It changes with later words, and is not to be changed by who asks.
+        Later heartbeats change the counter in place; the caller must not change it.
         """
-        self._forget_silent(now=now)
+        self._remove_silent(now=now)
         return self._in_flight
 
     def demand(self, *, now: float) -> Counter[str]:
-        """Return the work that arrives at the other hosts, by model."""
+        """Return the work that arrives at the other hosts by model, in busy groups."""
         total: Counter[str] = Counter()
         for heartbeat in self.living(now=now):
             total.update(heartbeat.demand_by_model)
         return total
 
     def still(self, *, now: float) -> set[str]:
-        """Return the heads whose groups stand still as other hosts see them."""
+        """Return the heads of groups that other hosts report as stalled."""
         return {head for heartbeat in self.living(now=now) for head in heartbeat.still}
 
     def moving(self, *, now: float) -> set[str]:
-        """Return the heads whose streams go on at other hosts, of those in doubt."""
+        """Return the heads in doubt whose streams progress at other hosts.
+
+        Heads in doubt are those that some host reported as stalled.
+        """
         return {head for heartbeat in self.living(now=now) for head in heartbeat.moving}
 
     def unreachable_zones(self, *, now: float) -> set[str]:
-        """Return the other zones whose hosts were heard once and are no more."""
+        """Return the other zones from which heartbeats are no longer received."""
         return {
             zone
-            for zone, heard_at in self._zone_received_at.items()
-            if zone != self._zone and now - heard_at > ZONE_SILENCE
+            for zone, received_at in self._zone_received_at.items()
+            if zone != self._zone and now - received_at > ZONE_TIMEOUT
         }
 
     def reshaping(self, *, now: float) -> set[str]:
-        """Return the zones in which other planners take groups apart."""
+        """Return the zones in which other planners disband groups, or want to."""
         return {
             zone for heartbeat in self.living(now=now) for zone in heartbeat.reshapes
         }
 
     def reads_for_zone(self, *, reads_store: bool, now: float) -> bool:
-        """Tell whether this host is one of those that read the store for their zone.
+        """Return whether this host is one of the hosts that read for their zone.
 
-        Each call to the store is paid for, and with each host waiting on each topic
-        calls grow with the number of hosts.  The first by name of the zone's hosts
-        that reach the store read for it; the next one takes over when a word of one
-        of them is missing.  A host that doesn't reach the store goes on trying, or
-        nobody would notice that it is back.
+        Each call to the store is charged, and if every host waited on every topic the
+        number of calls would grow with the number of hosts.  The first hosts by name
+        that reach the store read for their zone; when one of them times out, the
+        next host takes over.  A host that doesn't reach the store continues to try,
+        since otherwise no host would notice the return of the store.
         """
         if not reads_store:
             return True
@@ -383,11 +400,14 @@
         )
 
     def is_among_first(self, *, now: float) -> bool:
-        """Tell whether this host would read for its zone if none reached the store."""
+        """Return whether this host is a reader when no host reaches the store."""
         return self._is_among_first(self.near(now=now))
 
     def _is_among_first(self, heartbeats: Iterable[HostHeartbeat]) -> bool:
-        """Tell whether fewer than two of some hosts that stay come before this one."""
+        """Return whether fewer than ``READERS`` hosts precede this one by name.
+
+        Stopping hosts are not counted.
+        """
         before = [
             heartbeat
             for heartbeat in heartbeats
@@ -398,15 +418,19 @@
     def plans_for(
         self, zone: str, *, planning: bool, reads_store: bool, now: float
     ) -> bool:
-        """Tell whether this host is the one to plan for a zone.
+        """Return whether this host is to plan for a zone.
 
-        Who plans goes on unless it doesn't reach the store and another does that
-        plans already: a change of planner costs a second in which nothing is mended,
-        and while the store is away groups that lost a member are still to be ended.
-        That another could plan isn't enough: it may lose the store before it begins,
-        and nobody would plan.  Else it is the first by name of the zone's hosts that
-        reach the store, and where the zone has had none for a while, the first of
-        all.  Two may believe so at once; the store takes the decisions of one only.
+        A host that plans already continues, unless another host also plans and
+        either this host doesn't reach the store or the other one precedes it by name.
+        A change of planner costs a second without repairs, and groups that lost a
+        member must also be ended while the store is unreachable.  A host that could
+        plan but doesn't yet is no reason to stop: it may lose the store before it
+        starts, and the zone would have no planner.
+
+        A host that doesn't plan yet starts if no other host plans and it is the first
+        by name of the zone's hosts that reach the store.  If the zone has had no host
+        for ``ORPHANED_ZONE_DELAY``, the first host of all zones plans for it.  Two
+        hosts may plan at the same time; the store accepts the decisions of only one.
 
         Parameters
         ----------
@@ -415,20 +439,24 @@
         """
         if not (reads_store or planning):
             return False
-        heard = self.near(now=now)
+        heartbeats = self.near(now=now)
         if zone != self._zone:
-            first_asked_at = self._zone_asked_at.setdefault(zone, now)
-            heard_at = self._zone_received_at.get(zone, first_asked_at)
-            if now - heard_at < ORPHANED:
+            first_checked_at = self._zone_first_checked_at.setdefault(zone, now)
+            received_at = self._zone_received_at.get(zone, first_checked_at)
+            if now - received_at < ORPHANED_ZONE_DELAY:
                 return False
-            heard = self.living(now=now)
-        able = [
+            heartbeats = self.living(now=now)
+        candidates = [
             heartbeat
-            for heartbeat in heard
+            for heartbeat in heartbeats
             if heartbeat.reads_store and not heartbeat.stopping
         ]
-        rivals = [heartbeat for heartbeat in able if zone in heartbeat.plans]
+        other_planners = [
+            heartbeat for heartbeat in candidates if zone in heartbeat.plans
+        ]
         if not planning:
-            return not rivals and all(self._host < heartbeat.host for heartbeat in able)
-        comes_first = all(self._host < heartbeat.host for heartbeat in rivals)
-        return not rivals or (reads_store and comes_first)
+            return not other_planners and all(
+                self._host < heartbeat.host for heartbeat in candidates
+            )
+        comes_first = all(self._host < heartbeat.host for heartbeat in other_planners)
+        return not other_planners or (reads_store and comes_first)
--- a/ryelever/schema/host_words.capnp
+++ b/ryelever/schema/host_words.capnp
@@ -1,86 +1,92 @@
 @0xc3f6b0d27a914e58;
-# What entry hosts that relay requests tell each other over UDP, several times a second.
+# Messages that entry hosts on the platform send to each other over UDP.
 
-# What differs from one word of a host to the next.
+# Heartbeat, sent several times a second.  Fields that often change are in the struct
+# itself, all other fields in the packed HostState.
 struct HostHeartbeat {
   sequence @0 :UInt32;
-  # Requests in flight from the sender: backend servers, and as many numbers.  Columns
-  # are read in a quarter of the time of a list of pairs.
+  # Requests in flight from the sender: backend servers and, in a list of the same
+  # length, their numbers of requests.  Two columns are read in a quarter of the time of
+  # a list of pairs.
   loadedServers @1 :List(Text);
   inFlight @2 :List(UInt16);
-  # Work that arrives at the sender, in replica groups kept busy, by model.
+  # Work that arrives at the sender by model, in the number of replica groups that it
+  # keeps busy.
   demands @3 :List(Demand);
-  # A packed HostState.  It stays the same for seconds, and is read once for each time
-  # that it changes.
+  # A packed HostState.  It stays the same for seconds, and receivers decode it only
+  # when it has changed.
   state @4 :Data;
-  # What answers at the sender said of backend servers' rate limits.
+  # Rate limits of backend servers, from the answers that the sender received.
   rateLimits @5 :List(RateLimit);
-  # Backend servers with a rate limit that the sender has requests for.
+  # Backend servers with a rate limit for which the sender has requests.
   wantedServers @6 :List(Text);
 }
 
+# Part of a heartbeat that rarely changes.
 struct HostState {
   host @0 :Text;
   availabilityZone @1 :Text;
   # Distinguishes the incarnations of a host.
   boot @2 :UInt64;
-  # True while the sender's reads of the store are answered.
+  # True while the store answers the sender's reads.
   readsStore @3 :Bool;
   # True while the sender is stopping.
   stopping @4 :Bool;
   configurationVersion @5 :Int64;
-  # Heads whose groups stand still for the sender.
+  # Heads of groups that are stalled according to the sender.
   still @6 :List(Text);
   # Availability zones that the sender plans for.
   plans @7 :List(Text);
-  # Zones in which the sender takes a group apart, or wants to.
+  # Zones in which the sender disbands a group for another model, or wants to.
   reshapes @8 :List(Text);
-  # Heads that others saw stand still, and whose streams go on at the sender.
+  # Heads that other hosts reported as stalled and whose streams progress at the sender.
   moving @9 :List(Text);
-  # Bytes of the configuration in force at the sender.
+  # Size in bytes of the configuration in force at the sender.
   configurationSize @10 :UInt32;
-  # Requests that were in crashes at the sender a short while ago.
+  # Requests of the sender that were recently in flight when a backend server crashed.
   suspicions @11 :List(Suspicion);
-  # Where the sender is reached; a word that is passed on comes from elsewhere.
+  # Address of the sender; a forwarded heartbeat arrives from another address.
   address @12 :Text;
-  # Seconds until the sender's next word.
+  # Seconds until the sender's next heartbeat.
   interval @13 :Float32;
-  # True where the sender speaks for its zone, and for how many hosts.
+  # True if the sender represents its zone, and the number of hosts that are covered.
   forZone @14 :Bool;
   nHosts @15 :UInt16;
-  # True where another host passes the word on.
+  # True if another host forwards the heartbeat.
   passedOn @16 :Bool;
-  # Highest era of the store that the sender has seen or heard of.
+  # Highest era of the store that the sender has seen in answers or heartbeats.
   storeEra @17 :UInt32;
-  # Zones that are evacuated as the sender knows, and up to where the operator's topic
-  # was read for that.
+  # Evacuated zones that the sender knows, and the position (era and offset) in the
+  # operator's topic up to which this set is current.
   evacuatedZones @18 :List(Text);
   operatorEra @19 :UInt32;
   operatorOffset @20 :UInt64;
-  # True where the sender knows all backend servers.
+  # True once the sender knows all backend servers.
   knowsServers @21 :Bool;
 }
 
-# What one host has read of the backend servers' topic, for the others.
+# Part of the backend servers' topic that one host has read, sent to the other hosts.
 struct ServerUpdates {
+  # Offset of the first record, and offset after the last one.
   start @0 :UInt64;
   end @1 :UInt64;
   records @2 :List(Record);
-  # The host that has read it.
+  # Host that read the records.
   reader @3 :Text;
-  # True where the servers said so themselves, while the store was away.
+  # True if the servers reported the records themselves while the store was unreachable.
   reported @4 :Bool;
-  # True where another host passes it on; such updates go no further.
+  # True if another host forwards the updates; these are not forwarded again.
   passedOn @5 :Bool;
-  # Era of the store that the offsets belong to.
+  # Era of the store to which the offsets belong.
   era @6 :UInt32;
-  # True where the sender is to be asked for the records, as they are many.
+  # True if the receiver must fetch the records from the sender because they are too
+  # many for a datagram.
   toFetch @7 :Bool;
 }
 
-# A datagram that a host takes, and sends on to some hosts of its zone.
+# Datagram that the receiver handles and forwards to some hosts of its zone.
 struct Relayed {
-  # Names of these hosts.
+  # Names of the hosts to which the datagram is forwarded.
   hosts @0 :List(Text);
   datagram @1 :Data;
 }
@@ -91,6 +97,7 @@
   offset @2 :UInt64;
 }
 
+# Evidence against a request that may crash backend servers.
 struct Suspicion {
   fingerprint @0 :Text;
   nCrashes @1 :UInt32;
@@ -106,10 +113,10 @@
 
 struct RateLimit {
   server @0 :Text;
-  # Requests a second; negative where the server names no limit any more.
+  # Requests a second; negative if the server no longer reports a limit.
   rate @1 :Float64;
-  # Seconds since the answer came.
+  # Seconds since the answer was received.
   age @2 :Float32;
-  # Tells the server's incarnations apart; negative where it doesn't say.
+  # Distinguishes the server's incarnations; negative if the server doesn't report it.
   startedAt @3 :Int64;
 }
--- a/tests/test_coordination/test_backoff.py
+++ b/tests/test_coordination/test_backoff.py
@@ -1,4 +1,4 @@
-"""Test the pauses after failures of the log."""
+"""Test the pauses after failed calls to the log."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 def test_pause_grows_to_its_longest(
     n_failures: int, jitter: float, pause: float
 ) -> None:
-    """Double the pause at each failure in a row, up to a longest one."""
+    """Check that each consecutive failure doubles the pause up to ``MAX_PAUSE``."""
     backoff = Backoff(jitter=lambda: jitter)
     for _ in range(n_failures):
         backoff.failed(now=10.0)
@@ -30,8 +30,8 @@
     assert backoff.is_due(now=10.0 + pause + 0.01)
 
 
-def test_success_begins_anew() -> None:
-    """Begin with the shortest pause after a success, and with none at all."""
+def test_success_resets_the_pause() -> None:
+    """Check that the first call has no pause and that a success resets the pause."""
     backoff = Backoff(jitter=lambda: 0.5)
     assert backoff.is_due(now=0.0)
     for _ in range(5):
--- a/tests/test_coordination/test_change_history.py
+++ b/tests/test_coordination/test_change_history.py
@@ -1,4 +1,4 @@
-"""Test what is kept for hosts that missed a part of a topic."""
+"""Test the changes that are kept for hosts that missed a part of a topic."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     parts=st.lists(st.lists(st.booleans(), max_size=6), max_size=30),
     offset=st.integers(0, 200),
 )
-def test_all_that_changed_since_an_offset_is_given_or_nothing(
+def test_all_changes_since_an_offset_or_none_are_returned(
     parts: list[list[bool]], offset: int
 ) -> None:
-    """Guard against a gap that is closed by a part of what was missed."""
+    """Guard against closing a gap with only some of the missed changes."""
     history = ChangeHistory()
     changed = []
     end = 0
--- a/tests/test_coordination/test_confirmation.py
+++ b/tests/test_coordination/test_confirmation.py
@@ -1,4 +1,4 @@
-"""Test which groups count as whole."""
+"""Test which groups count as complete."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    ("second", "asked_at", "whole"),
+    ("second_report", "asked_at", "complete"),
     [
         (READY, 0.0, True),
         (None, 0.0, False),
@@ -29,23 +29,23 @@
         (READY, -1.1, False),
     ],
 )
-def test_group_is_whole_only_by_a_fresh_word_of_each_member(
-    second: HostReport | None, asked_at: float, whole: bool
+def test_group_is_complete_only_with_a_fresh_report_of_each_member(
+    second_report: HostReport | None, asked_at: float, complete: bool
 ) -> None:
-    """Judge a group by its second member's report, 1 s after the first one's.
+    """Vary the second member's report, 1 s after the first member's report.
 
-    Symptom: a group serves with a member missing.  Sequence: the row's.  Cause: the
-    placement, or an old report, is taken for the host's own present word.
+    Guards against a group that serves with a member missing because the placement
+    or an old report is used instead of the member's current report.
     """
     confirmations = Confirmations(max_age=2.0)
     confirmations.reported(READY, asked_at=0.0)
-    if second is not None:
-        confirmations.reported(replace(second, host="h2"), asked_at=asked_at)
-    assert confirmations.is_complete(GROUP, now=1.0) is whole
+    if second_report is not None:
+        confirmations.reported(replace(second_report, host="h2"), asked_at=asked_at)
+    assert confirmations.is_complete(GROUP, now=1.0) is complete
 
 
-def test_late_answer_does_not_outrank_a_newer_one() -> None:
-    """Take the answer to an older question last."""
+def test_late_answer_does_not_replace_a_newer_report() -> None:
+    """Record the answer to an earlier request after the answer to a later one."""
     confirmations = Confirmations(max_age=2.0)
     confirmations.reported(replace(READY, state="broken"), asked_at=1.0)
     confirmations.reported(READY, asked_at=0.5)
@@ -53,7 +53,7 @@
 
 
 def test_refusals_count_until_the_host_reports() -> None:
-    """Count refused connections in a row."""
+    """Check that a report resets the number of consecutive refused connections."""
     confirmations = Confirmations(max_age=2.0)
     confirmations.reported(READY, asked_at=0.0)
     confirmations.unreachable("h1")
--- a/tests/test_coordination/test_evacuations.py
+++ b/tests/test_coordination/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Test which availability zones are known to be evacuated."""
+"""Test which availability zones count as evacuated."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
     return Evacuations(log=lambda event, **fields: None)
 
 
-def test_the_newest_word_holds(evacuations: Evacuations) -> None:
-    """Guard against a host that reads nothing and follows an older word."""
+def test_the_newest_position_wins(evacuations: Evacuations) -> None:
+    """Guard against a host that doesn't read the topic and applies an old heartbeat."""
     evacuations.heard(["x"], as_of=OperatorPosition(1, 5))
     evacuations.heard([], as_of=OperatorPosition(1, 4))
     assert evacuations.zones == {"x"}
@@ -23,7 +23,7 @@
     assert evacuations.zones == frozenset()
 
 
-def test_zones_come_and_go_by_themselves(evacuations: Evacuations) -> None:
+def test_zones_are_evacuated_independently(evacuations: Evacuations) -> None:
     evacuations.listed(["x"], as_of=OperatorPosition(0, 5))
     evacuations.requested("y", as_of=OperatorPosition(0, 6))
     evacuations.ended("x", as_of=OperatorPosition(0, 7))
@@ -33,30 +33,33 @@
 
 
 def test_a_copy_of_the_store_ends_no_evacuation(evacuations: Evacuations) -> None:
-    """Guard against requests to an evacuated zone that an older copy doesn't know."""
+    """Guard against sending requests to an evacuated zone.
+
+    The store was restored from an older copy that lacks the evacuation request.
+    """
     evacuations.requested("x", as_of=OperatorPosition(1, 90))
     evacuations.listed([], as_of=OperatorPosition(2, 80))
     assert evacuations.zones == {"x"}
-    # A host that was started since then has read the copy only.
+    # A host that started after the restoration has read only the copy.
     evacuations.heard([], as_of=OperatorPosition(2, 80))
     assert evacuations.zones == {"x"}
     evacuations.ended("x", as_of=OperatorPosition(2, 81))
     assert evacuations.zones == frozenset()
 
 
-def test_a_host_that_has_read_a_copy_hears_what_it_lacks(
+def test_a_host_that_read_an_older_copy_learns_evacuations_from_others(
     evacuations: Evacuations,
 ) -> None:
-    """Guard against a host that was started anew and sends to an evacuated zone."""
+    """Guard against a restarted host that sends requests to an evacuated zone."""
     evacuations.listed([], as_of=OperatorPosition(2, 80))
     evacuations.heard(["x"], as_of=OperatorPosition(2, 80))
     assert evacuations.zones == {"x"}
 
 
-def test_an_older_copy_that_is_heard_of_ends_no_evacuation(
+def test_a_heartbeat_based_on_an_older_copy_ends_no_evacuation(
     evacuations: Evacuations,
 ) -> None:
-    """Guard against the word of a host that knows the copy only."""
+    """Guard against the heartbeat of a host that has read only the older copy."""
     evacuations.requested("x", as_of=OperatorPosition(1, 90))
     evacuations.heard([], as_of=OperatorPosition(2, 80))
     assert evacuations.zones == {"x"}
--- a/tests/test_coordination/test_fan_out.py
+++ b/tests/test_coordination/test_fan_out.py
@@ -1,4 +1,4 @@
-"""Test how what one host tells reaches many."""
+"""Test how a datagram is distributed to many hosts."""
 
 from __future__ import annotations
 
@@ -15,8 +15,10 @@
     living=st.sets(st.sampled_from(HOSTS)),
     turn=st.integers(0, 10_000),
 )
-def test_each_host_is_sent_it_once(n_hosts: int, living: set[str], turn: int) -> None:
-    """Guard against hosts that hear nothing, or the same thing many times."""
+def test_each_host_receives_a_datagram_once(
+    n_hosts: int, living: set[str], turn: int
+) -> None:
+    """Guard against hosts that receive a datagram not at all or several times."""
     hosts = HOSTS[:n_hosts]
     relayers = fan_out(hosts, living=living, turn=turn)
     reached = [host for item in relayers for host in (item.host, *item.hosts)]
@@ -25,7 +27,7 @@
 
 
 @given(living=st.sets(st.sampled_from(HOSTS), min_size=1), turn=st.integers(0, 10_000))
-def test_only_hosts_that_are_heard_send_on(living: set[str], turn: int) -> None:
-    """Guard against a lost host that takes the news of others with it."""
+def test_only_live_hosts_forward_datagrams(living: set[str], turn: int) -> None:
+    """Guard against a lost host that is to forward datagrams to other hosts."""
     for relayer in fan_out(HOSTS, living=living, turn=turn):
         assert not relayer.hosts or relayer.host in living
--- a/tests/test_coordination/test_host_words.py
+++ b/tests/test_coordination/test_host_heartbeats.py
@@ -1,4 +1,4 @@
-"""Test what entry hosts that relay requests make of each other's words."""
+"""Test how entry hosts on the platform use and encode each other's messages."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from ryelever.coordination.evacuations import OperatorPosition
 from ryelever.coordination.host_heartbeats import (
     FREQUENT_HOSTS,
-    HOST_SILENCE,
-    ORPHANED,
+    HOST_TIMEOUT,
+    ORPHANED_ZONE_DELAY,
     READERS,
-    SILENT_INTERVALS,
-    ZONE_SILENCE,
+    TIMEOUT_INTERVALS,
+    ZONE_TIMEOUT,
     HostHeartbeat,
     HostHeartbeats,
 )
@@ -58,7 +58,7 @@
     return HostHeartbeats(host="b", zone="z")
 
 
-def test_a_word_survives_its_way() -> None:
+def test_a_heartbeat_is_decoded_as_it_was_encoded() -> None:
     heartbeat = _heartbeat(
         "a",
         in_flight_by_server={"i1": 3},
@@ -85,11 +85,11 @@
 @pytest.mark.parametrize(
     "data", [b"", b"\x00", b"no word at all", b"w", b"n", b"w" + b"\xff" * 64]
 )
-def test_other_datagrams_are_errors(data: bytes) -> None:
+def test_malformed_datagrams_are_errors(data: bytes) -> None:
     assert decode_datagram(data, peer="a").step == "read_host_word"
 
 
-def test_news_survive_their_way() -> None:
+def test_updates_are_decoded_as_they_were_encoded() -> None:
     records = [
         KeyedRecord(key="i1", value=b"{}", offset=5),
         KeyedRecord(key="i2", value=b"", offset=6),
@@ -101,17 +101,17 @@
     assert decode_datagram(datagram, peer="a").end == 9
     many = [KeyedRecord(key="i", value=b"x" * 100, offset=5)] * 100
     long = ServerUpdates(reader="a", start=4, end=9, records=many, reported=True)
-    # Over HTTP they have no bound.
+    # Updates that are fetched over HTTP have no size limit.
     assert decode_servers(encode_servers(long), peer="a").ok == long
 
 
 @pytest.mark.parametrize("reported", [False, True])
-def test_long_news_come_in_parts_that_follow_each_other(reported: bool) -> None:
-    """Let dozens of servers change at once.
+def test_long_updates_are_split_into_consecutive_parts(reported: bool) -> None:
+    """Guard against long updates that are not forwarded.
 
-    Symptom: all entry hosts of a large deployment read the store in the same moment,
-    and each call is paid for.  Sequence: a fabric domain goes dark, and the records
-    that one host reads don't fit into a datagram.  Cause: they were not passed on.
+    When a fabric domain fails, the records of dozens of servers change at once and
+    don't fit into a datagram.  If they were not sent, all entry hosts of a large
+    deployment would read the store at the same time, and each call is charged.
     """
     records = [
         KeyedRecord(key=f"i{offset}", value=b"x" * 500, offset=offset)
@@ -138,13 +138,13 @@
         )
 
 
-def test_news_of_many_servers_are_short() -> None:
-    """See that what is told while groups form fits through a slow link.
+def test_updates_of_many_servers_fit_a_slow_link() -> None:
+    """Guard against updates that exceed a slow link while groups form.
 
-    Symptom: hosts missed news of servers, and each read the store for them.
-    Sequence: 925 servers join groups, a hundred in a third of a second; who reads
-    them tells 38 hosts of its zone, over a link of 10 Mbit/s.
-    Cause: records are 450 bytes each, alike in all but a few: 1.7 MB in that time.
+    925 servers join groups, a hundred of them in a third of a second, and the reader
+    sends their records to 38 hosts of its zone over a link of 10 Mbit/s.  Records of
+    450 bytes, most of them identical, add up to 1.7 MB in that time.  Hosts that
+    missed updates would each read the store.
     """
     value = b'{"service": "engines", "zone": "z", "slots": 11, "state": "ready",' * 6
     records = [
@@ -160,8 +160,8 @@
     assert 38 * (len(datagram) + len(fetched)) < 0.3 * link_bytes
 
 
-def test_news_of_a_few_servers_follow_each_other() -> None:
-    """Guard against records that fall between two datagrams."""
+def test_updates_of_a_few_servers_are_consecutive() -> None:
+    """Guard against records that are lost between two datagrams."""
     records = [
         KeyedRecord(key=f"i{offset}", value=b"e" * 450, offset=offset)
         for offset in range(3, 50)
@@ -182,11 +182,11 @@
 
 
 @pytest.mark.parametrize("data", [b"no records", b"\xff" * 64])
-def test_other_answers_are_errors(data: bytes) -> None:
+def test_malformed_answers_are_errors(data: bytes) -> None:
     assert decode_servers(data, peer="a").error.step == "read_servers"
 
 
-def test_a_word_fits_into_a_datagram() -> None:
+def test_a_heartbeat_fits_into_a_datagram() -> None:
     names = {f"i-{index:08x}": 13 for index in range(400)}
     limits = [RateLimitRow(server_id=name, rate=1 / 3, age=0.1) for name in names]
     heartbeat = _heartbeat(
@@ -199,15 +199,15 @@
     assert len(encode_heartbeat(heartbeat)) <= MAX_DATAGRAM
 
 
-def test_old_words_are_dropped(heartbeats: HostHeartbeats) -> None:
+def test_old_heartbeats_are_dropped(heartbeats: HostHeartbeats) -> None:
     assert _take(heartbeats, _heartbeat("a", sequence=2), now=0.0)
     assert not _take(heartbeats, _heartbeat("a", sequence=1), now=0.1)
-    # A host that was started anew counts from the start.
+    # A restarted host starts again with its first sequence number.
     assert _take(heartbeats, _heartbeat("a", sequence=1, boot=2), now=0.2)
     assert not _take(heartbeats, _heartbeat("b"), now=0.3)
 
 
-def test_loads_of_living_hosts_add_up(heartbeats: HostHeartbeats) -> None:
+def test_loads_of_live_hosts_are_summed(heartbeats: HostHeartbeats) -> None:
     _take(heartbeats, _heartbeat("a", in_flight_by_server={"i1": 3}), now=0.0)
     _take(
         heartbeats,
@@ -215,30 +215,32 @@
         now=0.5,
     )
     assert heartbeats.in_flight(now=0.6) == {"i1": 5, "i2": 1}
-    assert heartbeats.in_flight(now=0.1 + HOST_SILENCE) == {"i1": 2, "i2": 1}
+    assert heartbeats.in_flight(now=0.1 + HOST_TIMEOUT) == {"i1": 2, "i2": 1}
 
 
-def test_words_of_the_zone_follow_each_word_and_each_silence(
+def test_zone_heartbeats_are_current_after_each_heartbeat_and_timeout(
     heartbeats: HostHeartbeats,
 ) -> None:
-    """Compare the words that are kept with those of living hosts picked anew."""
+    """Compare the cached heartbeats with a fresh selection of live hosts."""
     newest: dict[str, float] = {}
     for step in range(200):
         now = step * 0.13
         host = "acdef"[step * 7 % 5] if step % 40 < 25 else "c"
         interval = 0.2 * (1 + step % 4)
         _take(heartbeats, _heartbeat(host, sequence=step, interval=interval), now=now)
-        newest[host] = now + max(HOST_SILENCE, SILENT_INTERVALS * interval)
+        newest[host] = now + max(HOST_TIMEOUT, TIMEOUT_INTERVALS * interval)
         if step % 3:
-            living = {host for host, lapses_at in newest.items() if lapses_at > now}
+            living = {host for host, timeout_at in newest.items() if timeout_at > now}
             assert {heartbeat.host for heartbeat in heartbeats.near(now=now)} == living
             assert {
                 heartbeat.host for heartbeat in heartbeats.living(now=now)
             } == living
 
 
-def test_loads_follow_each_word_and_each_silence(heartbeats: HostHeartbeats) -> None:
-    """Compare the sum that is kept with one over the newest words of living hosts."""
+def test_loads_are_current_after_each_heartbeat_and_timeout(
+    heartbeats: HostHeartbeats,
+) -> None:
+    """Compare the incremental sum with a sum over the heartbeats of live hosts."""
     newest: dict[str, tuple[float, dict[str, int]]] = {}
     for step in range(200):
         now = step * 0.1
@@ -251,9 +253,9 @@
         )
         newest[host] = (now, loads)
         expected: dict[str, int] = {}
-        for heard_at, told in newest.values():
-            if now - heard_at <= HOST_SILENCE:
-                for server_id, count in told.items():
+        for received_at, reported_loads in newest.values():
+            if now - received_at <= HOST_TIMEOUT:
+                for server_id, count in reported_loads.items():
                     expected[server_id] = expected.get(server_id, 0) + count
         found = heartbeats.in_flight(now=now)
         assert {key: found[key] for key in expected} == expected
@@ -276,45 +278,47 @@
     assert _plans(heartbeats)
     _take(heartbeats, _heartbeat("a", sequence=2), now=0.0)
     assert not _plans(heartbeats)
-    assert _plans(heartbeats, now=0.1 + HOST_SILENCE)
+    assert _plans(heartbeats, now=0.1 + HOST_TIMEOUT)
 
 
-def test_who_plans_goes_on_planning(heartbeats: HostHeartbeats) -> None:
-    """Show that a host that comes back takes nothing over.
+def test_a_planner_continues_when_another_host_returns(
+    heartbeats: HostHeartbeats,
+) -> None:
+    """Guard against a restarted host that takes planning over.
 
-    Symptom: nothing is mended for a second after a host is back.
-    Sequence: the first host by name is killed, another plans, the first is back.
-    Cause: each change of planner costs the time to read and to settle.
+    The first host by name is killed, another host plans, and the first one returns.
+    Each change of planner costs a second without repairs, since the new planner has
+    to read and to settle first.
     """
     _take(heartbeats, _heartbeat("a"), now=0.0)
     assert _plans(heartbeats, planning=True)
     _take(heartbeats, _heartbeat("c", plans=("z",)), now=0.0)
     assert not _plans(heartbeats, planning=False)
-    # Of two that plan, the first by name goes on.
+    # Of two planners, the first by name continues.
     assert _plans(heartbeats, planning=True)
     _take(heartbeats, _heartbeat("a", sequence=2, plans=("z",)), now=0.0)
     assert not _plans(heartbeats, planning=True)
 
 
-def test_a_stopping_host_plans_no_more(heartbeats: HostHeartbeats) -> None:
+def test_a_stopping_host_does_not_plan(heartbeats: HostHeartbeats) -> None:
     _take(heartbeats, _heartbeat("a", stopping=True, plans=("z",)), now=0.0)
     assert _plans(heartbeats)
 
 
-def test_a_host_without_the_store_begins_no_planning(
+def test_a_host_without_the_store_does_not_start_planning(
     heartbeats: HostHeartbeats,
 ) -> None:
     assert not heartbeats.plans_for("z", planning=False, reads_store=False, now=0.0)
 
 
-def test_who_plans_goes_on_while_nobody_reaches_the_store(
+def test_a_planner_continues_while_no_host_reaches_the_store(
     heartbeats: HostHeartbeats,
 ) -> None:
-    """Show that groups that lost a member are ended during an outage.
+    """Guard against repairs that start a second after an outage of the store.
 
-    Symptom: it takes a second after an outage to begin mending.
-    Sequence: the store is away for eight seconds, and groups lose members.
-    Cause: nobody planned meanwhile, and whoever began after it settled first.
+    The store is unreachable for eight seconds, and groups lose members.  If no host
+    planned during the outage, a new planner would have to settle after it, and the
+    groups that lost a member would not be ended meanwhile.
     """
 
     def plans(now: float) -> bool:
@@ -326,15 +330,14 @@
     assert not plans(0.1)
 
 
-def test_who_plans_hands_over_only_to_one_that_plans(
+def test_a_planner_yields_only_to_another_planner(
     heartbeats: HostHeartbeats,
 ) -> None:
-    """Show that a zone keeps its planner when the store goes away bit by bit.
+    """Guard against a zone without a planner while hosts lose the store one by one.
 
-    Symptom: nobody plans for a zone through six seconds of an outage.
-    Sequence: the planner loses the store; a host beside it still says that it reads
-    there, and loses it before it has begun to plan.
-    Cause: the planner ended at the word of a host that might have taken over.
+    The planner loses the store first.  Another host of the zone still reports that it
+    reads the store, but loses the store before it starts to plan.  If the planner
+    stopped because of that report, no host would plan for six seconds of the outage.
     """
 
     def plans(now: float) -> bool:
@@ -353,36 +356,40 @@
         return heartbeats.plans_for("y", planning=False, reads_store=True, now=now)
 
     assert not plans(0.0)
-    assert not plans(ORPHANED - 0.1)
-    assert plans(ORPHANED)
-    _take(heartbeats, _heartbeat("a", availability_zone="y"), now=ORPHANED)
-    assert not plans(ORPHANED + 0.1)
+    assert not plans(ORPHANED_ZONE_DELAY - 0.1)
+    assert plans(ORPHANED_ZONE_DELAY)
+    _take(heartbeats, _heartbeat("a", availability_zone="y"), now=ORPHANED_ZONE_DELAY)
+    assert not plans(ORPHANED_ZONE_DELAY + 0.1)
 
 
-def test_hosts_are_known_by_their_words(heartbeats: HostHeartbeats) -> None:
-    """Show that a host that was started anew needs no store to find the others."""
+def test_addresses_of_hosts_are_learned_from_heartbeats(
+    heartbeats: HostHeartbeats,
+) -> None:
+    """Check that a restarted host finds the other hosts without the store."""
     heartbeats.take(_heartbeat("a"), address="10.0.0.7:7000", now=0.0)
     assert heartbeats.addresses_by_host["a"].address == "10.0.0.7:7000"
     heartbeats.take(_heartbeat("a", boot=2), address="10.0.0.8:7000", now=0.1)
     assert heartbeats.addresses_by_host["a"].address == "10.0.0.8:7000"
 
 
-def test_a_zone_none_of_whose_hosts_is_heard(heartbeats: HostHeartbeats) -> None:
+def test_a_zone_without_heartbeats_is_unreachable(heartbeats: HostHeartbeats) -> None:
     _take(heartbeats, _heartbeat("a", availability_zone="y"), now=0.0)
     _take(heartbeats, _heartbeat("c", availability_zone="y"), now=1.0)
-    assert heartbeats.unreachable_zones(now=1.0 + ZONE_SILENCE) == set()
-    assert heartbeats.unreachable_zones(now=1.1 + ZONE_SILENCE) == {"y"}
+    assert heartbeats.unreachable_zones(now=1.0 + ZONE_TIMEOUT) == set()
+    assert heartbeats.unreachable_zones(now=1.1 + ZONE_TIMEOUT) == {"y"}
     _take(heartbeats, _heartbeat("a", sequence=2, availability_zone="y"), now=4.0)
     assert heartbeats.unreachable_zones(now=4.0) == set()
 
 
-def test_what_other_hosts_say_of_groups_and_zones(heartbeats: HostHeartbeats) -> None:
+def test_reports_of_other_hosts_on_groups_and_zones_are_merged(
+    heartbeats: HostHeartbeats,
+) -> None:
     _take(heartbeats, _heartbeat("a", still=("h1", "h2"), reshapes=("x",)), now=0.0)
     _take(heartbeats, _heartbeat("c", moving=("h1",), reshapes=("y",)), now=0.5)
     assert heartbeats.still(now=0.6) == {"h1", "h2"}
     assert heartbeats.moving(now=0.6) == {"h1"}
     assert heartbeats.reshaping(now=0.6) == {"x", "y"}
-    assert heartbeats.reshaping(now=0.1 + HOST_SILENCE) == {"y"}
+    assert heartbeats.reshaping(now=0.1 + HOST_TIMEOUT) == {"y"}
 
 
 @pytest.mark.parametrize(
@@ -401,14 +408,14 @@
         "alone",
         "second",
         "third",
-        "one of another zone",
-        "one that the store turns away",
-        "one that stops",
-        "first of all",
-        "itself turned away",
+        "one in another zone",
+        "one without the store",
+        "one stopping",
+        "first by name",
+        "itself without the store",
     ],
 )
-def test_the_first_of_a_zone_read_for_it(
+def test_the_first_hosts_of_a_zone_read_for_it(
     heartbeats: HostHeartbeats,
     others: list[tuple[str, dict]],
     reads_store: bool,
@@ -420,33 +427,37 @@
     assert heartbeats.reads_for_zone(reads_store=reads_store, now=0.1) is reads
 
 
-def test_the_next_host_reads_when_one_that_read_falls_silent(
+def test_the_next_host_reads_when_a_reader_times_out(
     heartbeats: HostHeartbeats,
 ) -> None:
-    """Lose one of the hosts that read the store for a zone.
+    """Guard against configuration changes that become active late.
 
-    Symptom: a change of configuration is in force late.  Sequence: a host that reads
-    for its zone is killed or cut off.  Cause: the others rest and wait for its word.
+    One of the hosts that read the store for their zone is killed or cut off, and the
+    other hosts don't read but wait for its updates.
     """
     for host in ("a", "a2"):
         _take(heartbeats, _heartbeat(host), now=0.0)
-    _take(heartbeats, _heartbeat("a", sequence=2), now=HOST_SILENCE)
-    assert not heartbeats.reads_for_zone(reads_store=True, now=HOST_SILENCE)
-    assert heartbeats.reads_for_zone(reads_store=True, now=HOST_SILENCE + 0.01)
+    _take(heartbeats, _heartbeat("a", sequence=2), now=HOST_TIMEOUT)
+    assert not heartbeats.reads_for_zone(reads_store=True, now=HOST_TIMEOUT)
+    assert heartbeats.reads_for_zone(reads_store=True, now=HOST_TIMEOUT + 0.01)
 
 
-def test_a_host_that_speaks_seldom_is_missed_later(heartbeats: HostHeartbeats) -> None:
+def test_a_host_with_a_long_interval_times_out_later(
+    heartbeats: HostHeartbeats,
+) -> None:
     _take(
         heartbeats,
         _heartbeat("a", interval=2.0, in_flight_by_server={"i1": 1}),
         now=0.0,
     )
-    limit = 2.0 * SILENT_INTERVALS
+    limit = 2.0 * TIMEOUT_INTERVALS
     assert heartbeats.in_flight(now=limit) == {"i1": 1}
     assert heartbeats.in_flight(now=limit + 0.01) == {}
 
 
-def test_words_in_large_zones_are_less_frequent(heartbeats: HostHeartbeats) -> None:
+def test_heartbeats_in_large_zones_are_less_frequent(
+    heartbeats: HostHeartbeats,
+) -> None:
     intervals = []
     for n_others in range(3 * FREQUENT_HOSTS):
         intervals.append(heartbeats.ticks_between_heartbeats(now=0.0))
@@ -479,7 +490,7 @@
         "another plans for a zone without hosts",
     ],
 )
-def test_one_host_speaks_for_a_zone(
+def test_one_host_represents_a_zone(
     heartbeats: HostHeartbeats,
     others: list[tuple[str, tuple[str, ...]]],
     planning: bool,
@@ -490,22 +501,22 @@
     assert heartbeats.represents_zone(planning=planning, now=0.1) is represents_zone
 
 
-def test_the_newest_word_for_a_zone_counts_alone(heartbeats: HostHeartbeats) -> None:
-    """Change the host that speaks for a zone.
+def test_only_the_newest_heartbeat_of_a_zone_counts(heartbeats: HostHeartbeats) -> None:
+    """Guard against servers whose load is counted twice.
 
-    Symptom: servers of a zone look twice as loaded.  Sequence: another host speaks
-    for the zone while the former one's word still counts.  Cause: both were added.
+    A new representative sends the zone's heartbeat before the heartbeat of the former
+    representative has timed out, and both heartbeats are added.
     """
     far = {"availability_zone": "y", "for_zone": True, "n_hosts": 5}
     _take(heartbeats, _heartbeat("y1", in_flight_by_server={"i1": 3}, **far), now=0.0)
     _take(heartbeats, _heartbeat("y2", in_flight_by_server={"i1": 4}, **far), now=0.1)
     assert heartbeats.in_flight(now=0.2) == {"i1": 4}
     assert heartbeats.zone_representative("y") == "y2"
-    # Hosts that are not heard any more may still serve.
+    # Hosts that have timed out may still serve.
     assert heartbeats.n_hosts(now=60.0) == 6
 
 
-def test_what_is_said_for_a_zone() -> None:
+def test_a_zone_summary_merges_the_heartbeats_of_its_hosts() -> None:
     row = SuspicionRow(fingerprint="f", n_crashes=1, crash="i1")
     own = _heartbeat(
         "a", in_flight_by_server={"i1": 1}, still=("h1",), suspicions=(row,)
@@ -527,7 +538,7 @@
     assert [(item.n_crashes, item.crash) for item in summary.suspicions] == [(2, "i2")]
 
 
-def test_rate_limits_and_evacuations_are_told() -> None:
+def test_rate_limits_and_evacuations_are_encoded() -> None:
     rows = (
         RateLimitRow(server_id="i1", rate=1.5, age=0.25, started_at=7),
         RateLimitRow(server_id="i2", rate=None, age=1.0),
