--- a/ryelever/coordination/lease.py
+++ b/ryelever/coordination/lease.py
@@ -1,7 +1,8 @@
-"""Hold one availability zone's planner lease, kept in its placement stream.
+"""Manage the planner lease of an availability zone in its placement stream.
 
-The log orders the takers and the monotonic clock ends the terms; no wall clock is
-read and no two clocks are compared.
+The order of records in the log decides between competing hosts, and terms end by each
+host's monotonic clock.  No wall clock is read, and clocks of two hosts are never
+compared.
 """
 
 from __future__ import annotations
@@ -18,28 +19,29 @@
 
 __all__ = ["PlannerLease"]
 
-#: Terms that others wait before they take the lease of a silent holder.  Above 1,
-#: so that clocks may differ in rate by a tenth and the holder still stops first.
-TERMS_BEFORE_TAKING = 1.25
+#: Terms without a renewal after which other hosts take the lease.  A value above 1 lets
+#: the holder stop first even if the rates of the clocks differ by a tenth.
+TERMS_BEFORE_TAKEOVER = 1.25
 
-#: Terms without any news of the lease after which the log counts as away.
-TERMS_BEFORE_GIVING_UP = 2.0
+#: Terms without a change of the lease after which the log counts as unreachable.
+TERMS_BEFORE_LOG_IS_AWAY = 2.0
 
-#: Terms without any news of the lease before a process takes it that lacks records.
-#: Whoever lacks none takes it much sooner, and knows the groups.
-TERMS_WITH_RECORDS_MISSING = 5.0
+#: Terms without a change of the lease before a process takes it whose placement lacks
+#: records.  A process with all records takes the lease much sooner and knows the
+#: groups.
+TERMS_BEFORE_INCOMPLETE_TAKEOVER = 5.0
 
-#: Renewals in one term.
-RENEWALS_A_TERM = 3
+#: Renewals of the lease in a term.
+RENEWALS_PER_TERM = 3
 
-#: Own questions whose time is remembered until one of them is read back.
-N_REMEMBERED_QUESTIONS = 8
+#: Appended lease records whose request time is remembered until one is read back.
+MAX_REMEMBERED_APPENDS = 8
 
 _NEVER = float("-inf")
 
 
 class PlannerLease:
-    """Decide when to take, renew and return the lease, and whether it is held.
+    """Decide when to take, renew and return the lease, and whether this host holds it.
 
     Parameters
     ----------
@@ -48,13 +50,13 @@
     stream : str
         The zone's placement stream.
     term : float
-        Seconds of one lease.
+        Duration of a lease in seconds.
 
     Attributes
     ----------
     held_since : float
-        Monotonic time at which the present tenure was first seen to be held.
-        Whatever an earlier holder ordered, it ordered before this.
+        Monotonic time at which this host first saw that it holds the lease in the
+        current tenure.  All orders of earlier holders were sent before this time.
     """
 
     def __init__(
@@ -64,20 +66,20 @@
         self._stream = stream
         self._new_id = new_id
         self._term = term
-        self._seen_offset = -1
-        self._seen_at = _NEVER
-        self._asked_at = _NEVER
-        self._looked_at = _NEVER
-        self._looking_since = _NEVER
+        self._lease_offset = -1
+        self._lease_seen_at = _NEVER
+        self._append_requested_at = _NEVER
+        self._ticked_at = _NEVER
+        self._ticking_since = _NEVER
         self._complete_at = _NEVER
-        self._asked_at_by_id: dict[str, float] = {}
+        self._requested_at_by_id: dict[str, float] = {}
         self._valid_until = _NEVER
         self._tenure = -1
         self._returned = False
         self.held_since = _NEVER
 
     def holds(self, placement: PlacementFold, *, now: float) -> bool:
-        """Tell whether decisions made now are under a valid own lease."""
+        """Return whether this host holds a valid lease at the given time."""
         return (
             not self._returned
             and placement.lease is not None
@@ -93,83 +95,86 @@
         Parameters
         ----------
         wanted : bool
-            Whether this process is fit to plan; one that is not lets its lease
-            run out, and another takes it.
+            Whether this process is able to plan.  A process that isn't lets its lease
+            expire, and another one takes the lease.
         """
-        # After a pause the newest known lease is old because nobody read here.
-        if now - self._looked_at > self._term:
-            self._looking_since = now
-        self._looked_at = now
+        # After a pause of this process the known lease is old only because this
+        # process read nothing meanwhile.
+        if now - self._ticked_at > self._term:
+            self._ticking_since = now
+        self._ticked_at = now
         if placement.complete:
             self._complete_at = now
         lease = placement.lease
         offset = lease.offset if lease is not None else -1
-        if offset != self._seen_offset:
-            self._seen_offset, self._seen_at = offset, now
-            self._settle(placement, now=now)
-        if self._returned or not wanted or not self._due(placement, now=now):
+        if offset != self._lease_offset:
+            self._lease_offset, self._lease_seen_at = offset, now
+            self._update_validity(placement, now=now)
+        if self._returned or not wanted or not self._is_due(placement, now=now):
             return []
-        return [self._ask(offset, term=self._term, now=now)]
+        return [self._append_lease(offset, term=self._term, now=now)]
 
     def log_is_away(self, *, now: float) -> bool:
-        """Tell whether nothing can be agreed: the lease lapsed and none was taken.
+        """Return whether the log counts as unreachable because the lease expired.
 
-        While the log answers, the holder renews within its term, or another takes
-        the lease soon after, and either would have been read by now.
+        While the log answers, either the holder renews the lease within its term or
+        another host takes the lease soon after, and this host would have read the
+        record by now.
         """
-        if self._seen_offset < 0:
+        if self._lease_offset < 0:
             return False
-        since = max(self._seen_at, self._looking_since)
-        return now >= since + self._term * TERMS_BEFORE_GIVING_UP
+        since = max(self._lease_seen_at, self._ticking_since)
+        return now >= since + self._term * TERMS_BEFORE_LOG_IS_AWAY
 
     def give_back(self, placement: PlacementFold, *, now: float) -> list[Action]:
-        """Return the append that gives the lease back; nothing is decided after."""
+        """Return the append that returns the lease; this host never holds it again."""
         held = self.holds(placement, now=now)
         self._returned = True
         if not held:
             return []
-        return [self._ask(placement.lease.offset, term=0.0, now=now)]
+        return [self._append_lease(placement.lease.offset, term=0.0, now=now)]
 
-    def _due(self, placement: PlacementFold, *, now: float) -> bool:
-        if now < self._asked_at + self._term / RENEWALS_A_TERM:
+    def _is_due(self, placement: PlacementFold, *, now: float) -> bool:
+        if now < self._append_requested_at + self._term / RENEWALS_PER_TERM:
             return False
         lease = placement.lease
         if not placement.complete and not self.holds(placement, now=now):
-            # The current lease may be among the records that are missing.
-            since = max(self._seen_at, self._looking_since, self._complete_at)
-            return now >= since + self._term * TERMS_WITH_RECORDS_MISSING
+            # The current lease may be among the missing records.
+            since = max(self._lease_seen_at, self._ticking_since, self._complete_at)
+            return now >= since + self._term * TERMS_BEFORE_INCOMPLETE_TAKEOVER
         if lease is None:
             return True
         if lease.holder == self._holder:
-            return now >= self._seen_at + self._term / RENEWALS_A_TERM
-        return now >= self._seen_at + lease.term * TERMS_BEFORE_TAKING
+            return now >= self._lease_seen_at + self._term / RENEWALS_PER_TERM
+        return now >= self._lease_seen_at + lease.term * TERMS_BEFORE_TAKEOVER
 
-    def _ask(self, previous: int, *, term: float, now: float) -> Action:
-        self._asked_at = now
+    def _append_lease(self, previous: int, *, term: float, now: float) -> Action:
+        self._append_requested_at = now
         record_id = self._new_id()
-        self._asked_at_by_id[record_id] = now
-        while len(self._asked_at_by_id) > N_REMEMBERED_QUESTIONS:
-            del self._asked_at_by_id[next(iter(self._asked_at_by_id))]
+        self._requested_at_by_id[record_id] = now
+        while len(self._requested_at_by_id) > MAX_REMEMBERED_APPENDS:
+            del self._requested_at_by_id[next(iter(self._requested_at_by_id))]
         record = LeaseTaken(holder=self._holder, term=term, previous=previous)
         return AppendRecord(stream=self._stream, record=record, record_id=record_id)
 
-    def _settle(self, placement: PlacementFold, *, now: float) -> None:
-        # The holder counts its term from before it asked, every other host from
-        # when it read the record: the holder always stops first.  Which of several
-        # questions took effect matters, since a slow log may answer an old one.
+    def _update_validity(self, placement: PlacementFold, *, now: float) -> None:
+        # The holder counts its term from the time before it requested the append, and
+        # every other host from the time at which it read the record, so the holder
+        # always stops first.  The request time must be that of the record that took
+        # effect, which may be an old one if the log is slow.
         lease = placement.lease
         if lease is None or lease.holder != self._holder:
             return
-        asked_at = next(
+        requested_at = next(
             (
-                asked_at
-                for record_id, asked_at in self._asked_at_by_id.items()
+                requested_at
+                for record_id, requested_at in self._requested_at_by_id.items()
                 if placement.offset_of(record_id) == lease.offset
             ),
             None,
         )
-        if asked_at is None:
+        if requested_at is None:
             return
-        self._valid_until = asked_at + lease.term
+        self._valid_until = requested_at + lease.term
         if lease.tenure != self._tenure:
             self._tenure, self.held_since = lease.tenure, now
--- a/ryelever/coordination/listing_schedule.py
+++ b/ryelever/coordination/listing_schedule.py
@@ -1,4 +1,4 @@
-"""Decide which hosts list all backend servers from the store when many start."""
+"""Decide which hosts list all backend servers from the store when many hosts start."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 
 __all__ = ["LISTERS", "TURN", "UNANNOUNCED", "may_list"]
 
-#: Hosts of a zone that list at once.  The others are given the list by them: each
-#: would read two megabytes of 3,000 servers, and reads of all hosts share the store's
-#: rate.
+#: Hosts of a zone that list the servers immediately and provide the list to the other
+#: hosts.  A listing of 3,000 servers takes two megabytes, and the reads of all hosts
+#: share the store's rate.
 LISTERS = 4
 
-#: Seconds after which one host more lists, while nobody gives the list.
+#: Seconds after which one more host lists the servers if it hasn't received the list.
 TURN = 0.25
 
-#: Seconds for which a host waits to be entered among the others; the store may be away.
+#: Seconds during which a host waits until the store lists it among the zone's hosts.
+#: The wait is limited because the store may be unreachable.
 UNANNOUNCED = 1.0
 
 
@@ -29,19 +30,20 @@
     started_at: float,
     now: float,
 ) -> bool:
-    """Tell whether a host is to list the servers itself.
+    """Return whether a host may list the servers itself.
 
     Parameters
     ----------
     hosts_of_zone : iterable of str
-        The hosts of its zone that the store lists.
+        Hosts of its zone that the store lists.
     known_at : float or None
-        Monotonic time at which they were known, this host among them; None before.
+        Monotonic time at which the hosts of the zone, including this host, were read
+        from the store; None before that.
     started_at : float
-        Monotonic time of its start.
+        Monotonic time at which the host started.
     """
     if known_at is None:
         return now - started_at >= UNANNOUNCED
     n_before = sum(other < host for other in hosts_of_zone)
-    n_turns = max(0, n_before - LISTERS + 1)
-    return now - known_at >= TURN * n_turns
+    n_delays = max(0, n_before - LISTERS + 1)
+    return now - known_at >= TURN * n_delays
--- a/ryelever/coordination/log_reader.py
+++ b/ryelever/coordination/log_reader.py
@@ -1,22 +1,22 @@
-"""Decide what to read of one stream, and what a page or a failure means.
-
-A reader follows its stream from the offset after the last one applied.  It starts
-at the stream's beginning, unless that has expired or lies far back: then it
-searches backwards, page by page, for the newest whole snapshot, restores from it
-and follows from there.  If what remains holds none, the fold is told that records
-are missing; it must not pretend to know.
-
-* A read that fails, or an answer that cannot be read, proves nothing.  It is
-  repeated after a growing pause, so that hundreds of hosts do not keep a service
-  down that is coming back.
-* A page that leaves out an offset is applied up to the gap and read again from
-  there.  A service that lags shows the record the next time; if it never does, the
-  stream would stop for good, so after ``N_GAP_READS`` the record counts as lost.
-* Offsets that were applied already change nothing.
-* A record that cannot be decoded is handed to the fold (protocol/log.py).
-* A stream whose end lies before what was read of it is not the stream that was
-  read.  Nothing of it is applied, for its offsets, and so its versions and fencing
-  numbers, would contradict those in force; an operator has to look.
+"""Decide what to read from a stream of the log, and apply the pages that were read.
+
+A reader follows its stream from the offset after the last applied record.  It starts
+at the beginning of the stream.  If the beginning has expired or is far back, the
+reader searches backwards, page by page, for the newest complete snapshot, restores
+the fold from it and follows the stream from there.  If the remaining records contain
+no snapshot, the fold is notified that records are missing, so that it doesn't claim
+complete knowledge.
+
+* A failed read or an undecodable answer proves nothing.  The read is repeated after a
+  growing pause, so that hundreds of hosts don't keep a restarting service down.
+* A page that lacks an offset is applied up to the gap and read again from there.  A
+  lagging service returns the record with a later read.  If it never does, the stream
+  would stop for good, so the record counts as lost after ``MAX_GAP_READS`` reads.
+* Offsets that were already applied change nothing.
+* A record that cannot be decoded is passed to the fold (protocol/log.py).
+* A stream that ends before an offset that was already read is another stream.  None
+  of its records is applied, since its offsets, and therefore its versions and fencing
+  numbers, would contradict those in force; an operator has to intervene.
 """
 
 from __future__ import annotations
@@ -34,34 +34,34 @@
 
 __all__ = ["LONG_READ_WAIT", "READ_WAIT", "Applied", "LogReader", "Read", "ReadPage"]
 
-#: Records asked for in one read.
+#: Maximum number of records in a read.
 READ_LIMIT = 1000
 
-#: Records behind which a new reader searches for a snapshot first.
-LONG_TAIL = 2000
+#: Unread records beyond which a new reader searches for a snapshot first.
+MAX_UNREAD_WITHOUT_SNAPSHOT = 2000
 
-#: Reads at a gap within a page after which the record counts as lost.
-N_GAP_READS = 5
+#: Reads at a gap in the stream after which the missing record counts as lost.
+MAX_GAP_READS = 5
 
-#: Longest wait of one read at the stream's end, in seconds.
+#: Maximum seconds that a read at the end of a stream waits for a record.
 READ_WAIT = 1.0
 
-#: The same for streams whose silence stops nothing here.  A read returns with the
-#: first record anyway; a longer wait only spares empty answers, of which hundreds of
-#: hosts would ask thousands a second.  A connection that went silent is given up after
-#: the wait and ``progress_timeout``, which must leave time within the 8 s for a change
-#: of configuration.
+#: The same for streams on which nothing at this host has to wait.  A read returns with
+#: the first record anyway; a longer wait only avoids empty answers, of which hundreds
+#: of hosts would request thousands a second.  A silent connection times out after the
+#: wait and ``progress_timeout``, which must leave time within the 8 s for a change of
+#: the configuration.
 LONG_READ_WAIT = 4.0
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Read:
-    """Ask for records from an offset.
+    """Represent a read of records from an offset.
 
     Attributes
     ----------
     wait : float
-        Seconds to wait at the stream's end for a new record.
+        Seconds to wait for a new record at the end of the stream.
     """
 
     offset: int
@@ -71,16 +71,17 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ReadPage:
-    """Hold an answer to a read.
+    """Represent an answer to a read.
 
     Attributes
     ----------
     expired : bool
-        The offset asked for is no longer kept (HTTP 410); there are no entries.
+        True if the requested offset is no longer kept (HTTP 410); there are no
+        entries.
     first : int
-        Lowest offset still kept.
+        Lowest offset that is still kept.
     next : int
-        Offset that the next record will get.
+        Offset that the next appended record will get.
     """
 
     first: int
@@ -91,19 +92,20 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Applied:
-    """Say what became of one entry.
+    """Represent the result of applying an entry to the fold.
 
     Attributes
     ----------
     reason : str or None
-        Why the fold ignored it.
+        Reason for which the fold ignored the entry; None if the entry took effect.
     repeated : bool
-        The record stands at an earlier offset already.
+        True if the same record is also at an earlier offset.
     seen_before : bool
-        The entry is read a second time, after a return to an earlier offset.
-        Whoever acts on records must not act again.
+        True if the entry was read before, and again after a return to an earlier
+        offset.  Code that acts on records must not act on this one again.
     certain : bool
-        It took effect, and no record is missing that could have kept it from that.
+        True if the entry took effect and no record is missing that could have
+        prevented that.
     """
 
     entry: Entry
@@ -115,7 +117,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Search:
-    """Hold a backward search: pages [low, high) are read from ``cursor`` on."""
+    """Represent a backward search for a snapshot.
+
+    The offsets [low, high) are being read; ``cursor`` is the next offset to read.
+    """
 
     first: int
     next: int
@@ -123,21 +128,22 @@
     high: int
     cursor: int
     newest_time: float = float("-inf")
-    enough: bool = False
+    has_enough_history: bool = False
     best: list[SnapshotPart] | None = None
 
 
 class LogReader:
-    """Follow one stream and keep its fold current.
+    """Follow a stream and keep its fold current.
 
     Parameters
     ----------
     fold : BaseFold
-        What the entries are applied to.
+        State to which the entries are applied.
     jitter : callable
-        Return a number from 0 to 1 that spreads the pauses of many hosts.
+        Return a number from 0 to 1; different values on different hosts spread
+        their retries.
     wait : float
-        Longest wait of one read at the stream's end, in seconds.
+        Maximum seconds that a read at the end of the stream waits for a record.
     """
 
     def __init__(
@@ -157,16 +163,16 @@
         self._n_gap_reads = 0
         self._reported_up_to = 0
         self._search: _Search | None = None
-        self._searched = False
+        self._has_searched = False
         self._collector = SnapshotCollector()
 
     @property
     def searching(self) -> bool:
-        """Tell whether a snapshot is being looked for."""
+        """Return whether the reader searches for a snapshot."""
         return self._search is not None
 
     def next_read(self, *, now: float) -> Read | None:
-        """Return the read that is due, if any; at most one is in flight."""
+        """Return the read that is due, or None; at most one read is in flight."""
         if self._in_flight or not self._backoff.is_due(now=now):
             return None
         self._in_flight = True
@@ -175,35 +181,35 @@
             return Read(
                 offset=search.cursor, limit=search.high - search.cursor, wait=0.0
             )
-        # Only a reader that knows it has reached the end may wait there: a read of
-        # an empty tail would delay that knowledge by the whole wait.
-        lagging = now - self.caught_up_at > 2 * self._wait
+        # Only a reader that is known to be at the end of the stream may wait there.
+        # Otherwise a read of an empty tail would report the end only after the wait.
+        is_lagging = now - self.caught_up_at > 2 * self._wait
         return Read(
             offset=self.fold.next_offset,
             limit=READ_LIMIT,
-            wait=0.0 if lagging else self._wait,
+            wait=0.0 if is_lagging else self._wait,
         )
 
     def failed(self, reason: str, *, now: float) -> None:
-        """Take note that a read has brought nothing that can be used."""
+        """Record a failed read and pause before the next one."""
         self._in_flight = False
         self.problem = reason
         self._backoff.failed(now=now)
 
     def read(self, page: ReadPage, *, asked_at: float, now: float) -> list[Applied]:
-        """Take an answer.
+        """Process the answer to a read and return the applied entries.
 
         Parameters
         ----------
         asked_at : float
-            Monotonic time from before the question.
+            Monotonic time before the read was sent.
         """
         self._in_flight = False
         if page.next < self.fold.next_offset:
             self.failed(
                 f"the stream ends at offset {page.next}, but offset "
                 f"{self.fold.next_offset - 1} was read of it before; it was "
-                "replaced or cut: mend the log, then restart this host",
+                "replaced or cut: repair the log, then restart this host",
                 now=now,
             )
             return []
@@ -213,13 +219,13 @@
         if page.expired or page.first > self.fold.next_offset:
             self._begin_search(page)
             return []
-        long = page.next - page.first > LONG_TAIL
-        if self.fold.next_offset == 0 and long and not self._searched:
+        is_long = page.next - page.first > MAX_UNREAD_WITHOUT_SNAPSHOT
+        if self.fold.next_offset == 0 and is_long and not self._has_searched:
             self._begin_search(page)
             return []
         return self._follow(page, asked_at=asked_at, now=now)
 
-    # Following
+    # Following the stream
 
     def _follow(self, page: ReadPage, *, asked_at: float, now: float) -> list[Applied]:
         applied = []
@@ -234,10 +240,10 @@
         if end >= page.next:
             self.caught_up_at = max(self.caught_up_at, asked_at)
         if not applied and end < page.next:
-            self._stuck(page, now=now)
+            self._record_gap_read(page, now=now)
         else:
             self._n_gap_reads = 0
-            self._worked()
+            self._record_success()
         return applied
 
     def _apply(self, entry: Entry) -> Applied:
@@ -254,17 +260,17 @@
         )
 
     def _restored_by(self, entry: Entry) -> bool:
-        parts = self._collector.take(entry)
+        parts = self._collector.add(entry)
         if parts is None or not self.fold.improved_by(parts[0]):
             return False
         self._restore(parts)
         return True
 
-    def _stuck(self, page: ReadPage, *, now: float) -> None:
+    def _record_gap_read(self, page: ReadPage, *, now: float) -> None:
         self._n_gap_reads += 1
         missing = self.fold.next_offset
         self.failed(f"the page lacks the record at offset {missing}", now=now)
-        if self._n_gap_reads < N_GAP_READS:
+        if self._n_gap_reads < MAX_GAP_READS:
             return
         self._n_gap_reads = 0
         after = [entry.offset for entry in page.entries if entry.offset > missing]
@@ -273,7 +279,7 @@
             reason=f"the log does not return the record at offset {missing}",
         )
 
-    def _worked(self) -> None:
+    def _record_success(self) -> None:
         self._backoff.succeeded()
         self.problem = "" if self.fold.gap is None else self.fold.gap.reason
 
@@ -296,45 +302,45 @@
         search = self._search
         assert search is not None
         if page.expired or page.first > search.low:
-            # What was being read has expired meanwhile.
+            # Offsets of the search have expired meanwhile.
             self._begin_search(page)
             return
         entries = [e for e in page.entries if search.cursor <= e.offset < search.high]
         if not entries:
             self.failed(f"no records at offset {search.cursor}", now=now)
             self._n_gap_reads += 1
-            if self._n_gap_reads < N_GAP_READS:
+            if self._n_gap_reads < MAX_GAP_READS:
                 return
         self._n_gap_reads = 0
         for entry in entries:
-            self._take_searched(search, entry)
+            self._collect_snapshot_part(search, entry)
         search.cursor = max((e.offset + 1 for e in entries), default=search.high)
-        self._worked()
+        self._record_success()
         if search.best is not None and search.best[0].incomplete_since is None:
             self._end_search(search)
         elif search.cursor >= search.high:
             times = [entry.time for entry in entries]
-            self._search_further(search, oldest=min(times, default=search.newest_time))
+            self._extend_search(search, oldest=min(times, default=search.newest_time))
 
-    def _take_searched(self, search: _Search, entry: Entry) -> None:
+    def _collect_snapshot_part(self, search: _Search, entry: Entry) -> None:
         search.newest_time = max(search.newest_time, entry.time)
-        parts = self._collector.take(entry)
+        parts = self._collector.add(entry)
         if parts is None or parts[0].as_of < search.first:
             return
         best = search.best
-        better = (
+        is_better = (
             best is None
             or best[0].incomplete_since is not None
             or parts[0].as_of > best[0].as_of
         )
-        if better and (best is None or parts[0].incomplete_since is None):
+        if is_better and (best is None or parts[0].incomplete_since is None):
             search.best = parts
 
-    def _search_further(self, search: _Search, *, oldest: float) -> None:
-        search.enough = self.fold.enough_history(
+    def _extend_search(self, search: _Search, *, oldest: float) -> None:
+        search.has_enough_history = self.fold.enough_history(
             oldest=oldest, newest=search.newest_time
         )
-        if search.low <= search.first or search.enough:
+        if search.low <= search.first or search.has_enough_history:
             self._end_search(search)
             return
         search.high = search.low
@@ -343,9 +349,11 @@
 
     def _end_search(self, search: _Search) -> None:
         self._search = None
-        self._searched = True
+        self._has_searched = True
         best = search.best
-        if best is not None and (best[0].incomplete_since is None or not search.enough):
+        if best is not None and (
+            best[0].incomplete_since is None or not search.has_enough_history
+        ):
             self._restore(best)
         elif search.low > 0:
             self.fold.lost(
--- a/ryelever/coordination/log_snapshots.py
+++ b/ryelever/coordination/log_snapshots.py
@@ -1,4 +1,4 @@
-"""Decide when a stream's state is written again, and put snapshots together."""
+"""Schedule snapshots of a stream's state and assemble the parts of snapshots."""
 
 from __future__ import annotations
 
@@ -13,21 +13,24 @@
 
 __all__ = ["SnapshotCollector", "SnapshotSchedule"]
 
-#: Snapshots of which some parts were read and others are awaited.
-N_UNFINISHED = 16
+#: Maximum number of snapshots of which only some parts have been read.
+MAX_UNFINISHED_SNAPSHOTS = 16
 
-#: Seconds until a host looks again after it has written a snapshot itself.
-WRITE_AGAIN = 60.0
+#: Minimum seconds between two snapshots of a stream written by the same host.
+MIN_WRITE_INTERVAL = 60.0
 
 
 class SnapshotCollector:
-    """Put the parts of snapshots together, in whatever order they are read."""
+    """Assemble snapshots from their parts, which may be read in any order."""
 
     def __init__(self) -> None:
         self._parts_by_snapshot: dict[str, dict[int, SnapshotPart]] = {}
 
-    def take(self, entry: Entry) -> list[SnapshotPart] | None:
-        """Take one entry; return a snapshot's parts when the last one is here."""
+    def add(self, entry: Entry) -> list[SnapshotPart] | None:
+        """Add an entry and return the parts of the snapshot that it completes.
+
+        Return None if the entry is no part of a snapshot or other parts are missing.
+        """
         part = entry.record
         if not isinstance(part, SnapshotPart):
             return None
@@ -36,32 +39,33 @@
         if len(parts) == part.n_parts:
             del self._parts_by_snapshot[part.snapshot]
             return [parts[index] for index in sorted(parts)]
-        if len(self._parts_by_snapshot) > N_UNFINISHED:
-            # Its writer died between two parts; the rest never comes.
+        if len(self._parts_by_snapshot) > MAX_UNFINISHED_SNAPSHOTS:
+            # The writer of the oldest snapshot died before it wrote all parts.
             del self._parts_by_snapshot[next(iter(self._parts_by_snapshot))]
         return None
 
 
 @dataclass(slots=True, kw_only=True)
 class SnapshotSchedule:
-    """Decide when this host writes a snapshot of one stream.
+    """Decide when this host writes a snapshot of a stream.
 
-    A record that expires before it stands in a snapshot is lost to every host that
-    starts later.  The first host writes after a quarter of the retention, the last
-    one after three eighths, so half of it is never reached while any host runs and
-    the log takes appends.  The hosts are spread over an eighth of it: whoever reads
-    another's snapshot in the meantime starts to count anew.  Two that write at
-    once do no harm, since both carry the same original versions.
+    A record that expires before a snapshot contains it is lost to every host that
+    starts later.  The first host writes a snapshot after a quarter of the retention
+    time and the last host after three eighths, so the age of a snapshot never reaches
+    half of the retention time while any host runs and the log accepts appends.  The
+    hosts are spread over an eighth of the retention time: a host that reads the
+    snapshot of another host starts to count again.  Two snapshots written at the same
+    time do no harm, since both contain the same original versions.
 
     Attributes
     ----------
     retention : float
-        Seconds for which the log keeps a record.
+        Seconds during which the log keeps a record.
     spread : float
-        0 to 1, this host's place among all.
+        Position of this host among all hosts, from 0 to 1.
     max_tail : int or None
-        Records after which a snapshot is due at any time, so that a new host has
-        little to read; None where the fold itself bounds what must be read.
+        Records after which a snapshot is due regardless of its age, so that a new
+        host has little to read; None if the fold limits the records to be read.
     """
 
     retention: float
@@ -70,29 +74,29 @@
     written_at: float = float("-inf")
 
     def due(self, fold: BaseFold, *, wall: float, now: float) -> bool:
-        """Tell whether a snapshot is due, and take note that it is written.
+        """Return whether a snapshot is due; if so, record that it is being written.
 
         Parameters
         ----------
         wall : float
-            Wall-clock time in seconds since the epoch, to be compared with the
-            log's times; an error of minutes does not matter.
+            Wall-clock time in seconds since the epoch, compared with times of the
+            log; an error of minutes does not matter.
         now : float
             Monotonic time.
         """
-        if not fold.may_write_snapshot or now - self.written_at < WRITE_AGAIN:
+        if not fold.may_write_snapshot or now - self.written_at < MIN_WRITE_INTERVAL:
             return False
-        if not (self._old(fold, wall=wall) or self._long(fold)):
+        if not (self._is_old(fold, wall=wall) or self._has_long_tail(fold)):
             return False
         self.written_at = now
         return True
 
-    def _old(self, fold: BaseFold, *, wall: float) -> bool:
+    def _is_old(self, fold: BaseFold, *, wall: float) -> bool:
         since = fold.snapshot_time if fold.snapshot_offset >= 0 else fold.first_time
         age = max(wall, fold.log_time) - since
         return age >= self.retention * (1 / 4 + self.spread / 8)
 
-    def _long(self, fold: BaseFold) -> bool:
+    def _has_long_tail(self, fold: BaseFold) -> bool:
         if self.max_tail is None:
             return False
         tail = fold.next_offset - 1 - fold.snapshot_offset
--- a/tests/test_coordination/test_lease.py
+++ b/tests/test_coordination/test_lease.py
@@ -1,4 +1,4 @@
-"""Test the planner's lease: terms, pauses, races, return."""
+"""Test the planner lease: terms, pauses, races and the return of a lease."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 TERM = 6.0
 
 
-class _Taker:
-    """Read and append for one lease, with delays that the test sets."""
+class _Candidate:
+    """Represent a host that competes for the lease, with delays set by the test."""
 
     def __init__(self, name: str, log: list[Entry]) -> None:
         ids = itertools.count()
@@ -34,7 +34,7 @@
         for entry in self.log[self.fold.next_offset :]:
             self.fold.apply(entry)
 
-    def look(self, now: float, *, wanted: bool = True) -> None:
+    def tick(self, now: float, *, wanted: bool = True) -> None:
         self.unsent += self.lease.tick(self.fold, wanted=wanted, now=now)
 
     def send(self) -> None:
@@ -45,10 +45,10 @@
 
     def take(self, now: float) -> None:
         self.read()
-        self.look(now)
+        self.tick(now)
         self.send()
         self.read()
-        self.look(now)
+        self.tick(now)
 
     def holds(self, now: float) -> bool:
         return self.lease.holds(self.fold, now=now)
@@ -60,120 +60,119 @@
 
 
 @pytest.mark.parametrize(
-    ("read_back_at", "asked_again"),
+    ("read_back_at", "renewed"),
     [(0.1, False), (1.9, False), (5.0, False), (3.0, True), (7.0, False)],
 )
-def test_term_counts_from_before_the_question(
-    log: list[Entry], read_back_at: float, asked_again: bool
+def test_term_counts_from_before_the_append(
+    log: list[Entry], read_back_at: float, renewed: bool
 ) -> None:
-    """Read the own lease back late.
+    """Guard against two holders at the same time.
 
-    Symptom: two holders at once.  Sequence: the append takes effect, its record is
-    read back seconds later.  Cause: a term that is counted from the reading goes on
-    after others, who read it earlier, have counted it out.
+    A holder's append takes effect, and the holder reads its record back seconds later.
+    If the holder counted its term from that read, the term would end after other
+    hosts, which read the record earlier, take the lease.
     """
-    taker = _Taker("a", log)
-    taker.look(0.0)
-    taker.send()
-    if asked_again:
-        taker.look(TERM / 3)
-    taker.read()
-    taker.look(read_back_at)
-    assert taker.holds(read_back_at) is (read_back_at < TERM)
-    assert not taker.holds(TERM)
-
-
-def test_another_waits_longer_than_the_holder_may_act(log: list[Entry]) -> None:
-    """Take the lease of a silent holder.
-
-    Symptom: two holders at once.  Sequence: the holder stops; another one counts.
-    Cause: their clocks differ in rate, and both count the same term.
+    candidate = _Candidate("a", log)
+    candidate.tick(0.0)
+    candidate.send()
+    if renewed:
+        candidate.tick(TERM / 3)
+    candidate.read()
+    candidate.tick(read_back_at)
+    assert candidate.holds(read_back_at) is (read_back_at < TERM)
+    assert not candidate.holds(TERM)
+
+
+def test_other_hosts_wait_longer_than_the_term_of_the_holder(log: list[Entry]) -> None:
+    """Guard against two holders at the same time when clocks differ in rate.
+
+    A holder stops renewing, and another host waits for the end of the term.  If both
+    waited the same time, the faster clock of the other host would end the term first.
     """
-    holder, other = _Taker("a", log), _Taker("b", log)
+    holder, other = _Candidate("a", log), _Candidate("b", log)
     holder.take(0.0)
     other.read()
-    other.look(0.0)
-    other.look(TERM * 1.1)
+    other.tick(0.0)
+    other.tick(TERM * 1.1)
     assert other.unsent == [] and not holder.holds(TERM * 1.1)
     other.take(TERM * 1.3)
     assert other.holds(TERM * 1.3)
 
 
-def test_reader_that_starts_late_counts_from_its_own_reading(
+def test_reader_that_starts_late_counts_from_its_own_read(
     log: list[Entry],
 ) -> None:
-    """Start an entry host next to a living holder.
+    """Guard against taking the lease from a live holder.
 
-    Symptom: the lease is taken from a living holder.  Sequence: the holder renews
-    just after the new process has read.  Cause: the age of a record in the log says
-    nothing on the reader's clock.
+    An entry host starts, and the holder renews just after the new process has read.
+    The age of a record in the log means nothing on the reader's clock.
     """
-    holder, other = _Taker("a", log), _Taker("b", log)
+    holder, other = _Candidate("a", log), _Candidate("b", log)
     holder.take(0.0)
     other.read()
-    other.look(100.0)
-    other.look(100.0 + TERM)
+    other.tick(100.0)
+    other.tick(100.0 + TERM)
     assert other.unsent == []
 
 
-def test_first_of_racing_takers_holds_alone(log: list[Entry]) -> None:
-    """Let two take the free lease at once.
+def test_first_of_competing_hosts_is_the_only_holder(log: list[Entry]) -> None:
+    """Guard against two planners.
 
-    Symptom: both plan.  Sequence: both read that nobody holds it, both append.
-    Cause: each sees its own append succeed.
+    Two hosts read that the lease is free, both append a record, and each sees its own
+    append succeed.
     """
-    takers = [_Taker("a", log), _Taker("b", log)]
-    for taker in takers:
-        taker.look(0.0)
-    for taker in takers:
-        taker.send()
-    for taker in takers:
-        taker.read()
-        taker.look(0.1)
-    assert [taker.holds(0.1) for taker in takers] == [True, False]
+    candidates = [_Candidate("a", log), _Candidate("b", log)]
+    for candidate in candidates:
+        candidate.tick(0.0)
+    for candidate in candidates:
+        candidate.send()
+    for candidate in candidates:
+        candidate.read()
+        candidate.tick(0.1)
+    assert [candidate.holds(0.1) for candidate in candidates] == [True, False]
 
 
 def test_lost_answer_does_not_lose_the_lease(log: list[Entry]) -> None:
-    """Ask twice before the first question is read back.
+    """Guard against a lease that no host holds while the log is slow.
 
-    Symptom: with a slow log nobody ever holds the lease.  Sequence: the second
-    question is asked before the first is read back, and is ignored as stale.
-    Cause: only the newest question was remembered.
+    A host appends a second record before it reads its first one back, and the second
+    is ignored as stale.  If the host remembered only the newest append, it would not
+    recognize the first record as its own.
     """
-    taker = _Taker("a", log)
+    candidate = _Candidate("a", log)
     for now in (0.0, 2.1, 4.2):
-        taker.look(now)
-    taker.send()
-    taker.read()
-    taker.look(4.3)
-    assert taker.holds(4.3) and not taker.holds(6.0)
+        candidate.tick(now)
+    candidate.send()
+    candidate.read()
+    candidate.tick(4.3)
+    assert candidate.holds(4.3) and not candidate.holds(6.0)
 
 
-def test_returned_lease_is_taken_at_once(log: list[Entry]) -> None:
-    """Stop the holder in good order.
+def test_returned_lease_is_taken_immediately(log: list[Entry]) -> None:
+    """Guard against a zone without a planner for a term after a planned restart.
 
-    Symptom: a member dies during a planned restart and waits out a whole term.
-    Sequence: graceful shutdown of the holder.  Cause: the lease was left to lapse.
+    The holder shuts down gracefully and a member of a group dies.  If the lease were
+    left to expire, the repair would wait for a whole term.
     """
-    holder, other = _Taker("a", log), _Taker("b", log)
+    holder, other = _Candidate("a", log), _Candidate("b", log)
     holder.take(0.0)
     other.read()
-    other.look(0.0)
+    other.tick(0.0)
     holder.unsent = holder.lease.give_back(holder.fold, now=1.0)
     assert not holder.holds(1.0)
     holder.send()
     holder.read()
-    holder.look(5.0)
+    holder.tick(5.0)
     assert holder.unsent == []
     other.take(1.1)
     assert other.holds(1.1)
 
 
 def test_unfit_process_does_not_renew(log: list[Entry]) -> None:
-    """Leave the lease of a process that sees no host to a peer."""
-    holder = _Taker("a", log)
+    """Check that a process that reaches no host leaves the lease to another one."""
+    holder = _Candidate("a", log)
     holder.take(0.0)
-    holder.look(TERM / 2, wanted=False)
+    holder.tick(TERM / 2, wanted=False)
     assert holder.unsent == []
 
 
@@ -182,12 +181,12 @@
     return new_zone(a=6, n_planners=2, weights=Weights(), serves_within=20)
 
 
-def test_holder_that_wakes_after_its_term_only_looks(zone: Zone) -> None:
-    """Pause the holder beyond its term while a member dies.
+def test_holder_that_resumes_after_its_term_sends_no_orders(zone: Zone) -> None:
+    """Guard against a host that receives orders from two planners.
 
-    Symptom: a host is ordered by two planners.  Sequence: the holder is paused, the
-    other one takes over and repairs, the first wakes before it has read anything.
-    Cause: it acts on what it knew before the pause.
+    The holder is paused beyond its term while a member dies.  Another host takes the
+    lease and repairs the group.  The first host resumes and, before it reads anything,
+    acts on its state from before the pause.
     """
     paused, other = zone.planners
     paused.paused = True
@@ -209,11 +208,10 @@
 
 
 def test_decision_under_an_old_lease_has_no_effect(zone: Zone) -> None:
-    """Let a decision of a paused holder arrive after its lease is another's.
+    """Guard against dissolving a complete group for a fault of long ago.
 
-    Symptom: a whole group is dissolved for a fault of long ago.  Sequence: the
-    holder decides, its append lingers, another takes the lease, the append arrives.
-    Cause: the log takes any record.
+    The holder decides to dissolve a group, and its append is delayed until another
+    host has taken the lease.  The log accepts the record in any case.
     """
     paused, other = zone.planners
     lingering: list[AppendRecord] = []
@@ -235,12 +233,11 @@
     assert any("decided under lease" in row.reason for row in zone.truth.ignored)
 
 
-def test_planner_that_is_cut_off_from_all_hosts_gives_way(zone: Zone) -> None:
-    """Cut the holder off from every host, while a peer sees them.
+def test_planner_that_is_cut_off_from_all_hosts_loses_the_lease(zone: Zone) -> None:
+    """Guard against dissolving all groups of a zone although all of them serve.
 
-    Symptom: every group of the zone is dissolved though all serve.  Sequence: the
-    holder's own network fails towards the hosts, not towards the log.  Cause: it
-    takes its own blindness for their death.
+    The holder's network fails towards the hosts but not towards the log, while a peer
+    reaches the hosts.  The holder must not conclude that all hosts are dead.
     """
     before = zone.groups()
     holder, other = zone.planners
--- a/tests/test_coordination/test_listing_schedule.py
+++ b/tests/test_coordination/test_listing_schedule.py
@@ -1,4 +1,4 @@
-"""Test which hosts list all backend servers when many start."""
+"""Test which hosts list all backend servers when many hosts start."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @given(n_hosts=st.integers(1, 200), waited=st.floats(0.0, 10.0))
 def test_few_hosts_of_a_zone_list_at_once(n_hosts: int, waited: float) -> None:
-    """Guard against a store whose reads are filled by hosts that start together."""
+    """Guard against hosts that start together and exhaust the store's read rate."""
     hosts = [f"h{index:03}" for index in range(n_hosts)]
     due = [
         host
@@ -26,10 +26,10 @@
     assert len(due) <= LISTERS + waited / TURN + 1
 
 
-def test_a_host_lists_that_the_store_does_not_know() -> None:
-    """Guard against a host that waits for the others where the store is away."""
-    turns = [
+def test_a_host_unknown_to_the_store_lists_after_a_wait() -> None:
+    """Guard against a host that waits for others while the store is unreachable."""
+    decisions = [
         may_list("h", ["a"] * 9, known_at=None, started_at=4.0, now=4.0 + waited)
         for waited in (0.0, 0.9 * UNANNOUNCED, 1.1 * UNANNOUNCED)
     ]
-    assert turns == [False, False, True]
+    assert decisions == [False, False, True]
--- a/tests/test_coordination/test_log_reader.py
+++ b/tests/test_coordination/test_log_reader.py
@@ -1,12 +1,12 @@
-"""Test how a stream is read and restored."""
+"""Test how a stream of the log is read and restored from snapshots."""
 
 from __future__ import annotations
 
 import pytest
 
 from ryelever.coordination.log_reader import (
-    LONG_TAIL,
-    N_GAP_READS,
+    MAX_GAP_READS,
+    MAX_UNREAD_WITHOUT_SNAPSHOT,
     LogReader,
     Read,
     ReadPage,
@@ -48,8 +48,8 @@
     return log
 
 
-def _read_whole(fold: BaseFold, log: MemoryLog) -> LogReader:
-    """Return a reader that has reached the end of a log."""
+def _new_full_reader(fold: BaseFold, log: MemoryLog) -> LogReader:
+    """Return a reader that has read a log to its end."""
     reader = new_reader(fold)
     read_to_end(reader, log)
     return reader
@@ -85,7 +85,7 @@
     Outcome(key=_key("a"), owner="e1/a", run_state="run", status=201, body="ok"),
     Outcome(key=_key("b"), owner="e1/a", run_state="not_run", status=0),
 ]
-#: What comes between the state of a snapshot and its own place in the log.
+#: Record between the state of a snapshot and the snapshot's own position in the log.
 LATE = {
     ConfigurationFold: new_publication(1, "3"),
     PlacementFold: HostReleased(group="g1", host="h2", lease=0, evidence="left"),
@@ -103,15 +103,15 @@
 def test_restored_reader_is_in_the_state_of_a_full_reader(
     fold_class: type[BaseFold], records: list[Record], late: bool
 ) -> None:
-    """Restore after the first records have expired.
+    """Guard against entry hosts with different states after a restore.
 
-    Symptom: two entry hosts disagree on what is in force, or a second append of an
-    old record takes effect on one of them.  Sequence: a snapshot is taken, a record
-    is appended before the snapshot is, the log expires what came before, and a host
-    starts.  Cause: the snapshot counts at its own offset, or leaves the ids out.
+    A snapshot is taken, a record is appended before the snapshot itself, the log
+    expires the earlier records, and a host starts.  If the snapshot counted at its own
+    offset, the record in between would be lost.  If it left the record ids out, a
+    second append of an old record would take effect on one of the hosts.
     """
     log = _log(records)
-    full = _read_whole(fold_class(), log)
+    full = _new_full_reader(fold_class(), log)
     parts = full.fold.to_snapshot(snapshot="s")
     if late:
         log.append(LATE[fold_class], record_id="late")
@@ -119,7 +119,7 @@
         log.append(part, record_id=f"s-{part.part}")
     log.append(records[0], record_id="id0")
     log.expire(before=parts[0].as_of)
-    restored = _read_whole(fold_class(), log)
+    restored = _new_full_reader(fold_class(), log)
     read_to_end(full, log)
     assert restored.n_restored == 1 and restored.fold.complete
     assert state_of(restored.fold) == state_of(full.fold)
@@ -127,31 +127,31 @@
 
 
 @pytest.mark.parametrize("fold_class", [ConfigurationFold, PlacementFold, ClaimsFold])
-def test_reader_that_finds_no_snapshot_does_not_pretend_to_know(
+def test_reader_without_a_snapshot_knows_that_records_are_missing(
     fold_class: type[BaseFold],
 ) -> None:
-    """Start when the first records have expired and nobody wrote them again.
+    """Guard against a request that runs a second time.
 
-    Symptom: a key that was claimed looks free and its request runs a second time.
-    Sequence: a claim expires in the log, then a host starts.  Cause: it takes the
-    oldest record that it finds for the beginning.
+    A claim expires in the log without a snapshot of it, and then a host starts.  If
+    the host treated the oldest remaining record as the first one of the stream, the
+    claimed key would look free.
     """
     log = _log(dict(KINDS)[fold_class])
     log.expire(before=2)
-    reader = _read_whole(fold_class(), log)
+    reader = _new_full_reader(fold_class(), log)
     assert not reader.fold.complete
     assert "have expired and no snapshot" in reader.problem
 
 
 @pytest.mark.parametrize("missing", [False, True])
-def test_own_claim_is_not_the_first_for_certain_while_records_are_missing(
+def test_own_claim_is_not_certain_while_records_are_missing(
     missing: bool,
 ) -> None:
-    """Read back an own claim after a pause beyond the retention.
+    """Guard against a booking that runs twice.
 
-    Symptom: a booking runs twice.  Sequence: a host appends a claim and pauses, the
-    same key was claimed earlier at another one, both records' forerunners expire, and
-    the host wakes.  Cause: its own claim is the first that it finds.
+    A host appends a claim and pauses for longer than the retention time.  Another host
+    claimed the same key earlier, and that claim has expired when the host resumes, so
+    the host finds its own claim as the first one.
     """
     log = _log([_claim(_key("a")), _claim(_key("b"), owner="e2/b")])
     log.expire(before=1 if missing else 0)
@@ -162,15 +162,15 @@
 
 
 def test_configuration_is_kept_when_its_record_and_all_snapshots_expired() -> None:
-    """Wake up after the retention.
+    """Guard against a host that stops serving or applies a change others rejected.
 
-    Symptom: an entry host that serves stops to, or takes in a change that all others
-    refused.  Sequence: it pauses, the log expires what it had not read, and somebody
-    publishes on the base it knows.  Cause: it judges without having read what others
-    accepted in between.
+    An entry host pauses for longer than the retention time, the log expires records
+    that the host had not read, and an operator publishes a change based on the version
+    that the host knows.  The host must not judge the change, since it has not read
+    which changes the other hosts accepted in between.
     """
     log = _log(CONFIGURATION[:1])
-    reader = _read_whole(ConfigurationFold(), log)
+    reader = _new_full_reader(ConfigurationFold(), log)
     log.append(new_publication(0, "2"), record_id="lost")
     log.expire(before=2)
     log.append(new_publication(0, "rival"), record_id="rival")
@@ -179,12 +179,12 @@
     assert "not judged" in (reader.fold.reason_of("rival") or "")
 
 
-def test_gap_is_closed_by_a_snapshot_that_comes_later() -> None:
-    """Meet a snapshot while records are missing, and read again from its state."""
+def test_gap_is_closed_by_a_later_snapshot() -> None:
+    """Check that a reader with missing records restores from a later snapshot."""
     log = _log(PLACEMENT)
-    full = _read_whole(PlacementFold(), log)
+    full = _new_full_reader(PlacementFold(), log)
     log.expire(before=5)
-    late = _read_whole(PlacementFold(), log)
+    late = _new_full_reader(PlacementFold(), log)
     log.append(LATE[PlacementFold], record_id="late")
     read_to_end(late, log)
     assert not late.fold.complete
@@ -197,12 +197,11 @@
 
 
 def test_claim_read_again_after_a_restore_is_marked_as_seen() -> None:
-    """Go back to the state of a snapshot and meet an own claim again.
+    """Guard against a key that is released while its request runs.
 
-    Symptom: a key is freed while its request runs.  Sequence: the claim is read back
-    and the request sent; a gap opens and a snapshot from before the claim closes it;
-    the claim is read again.  Cause: a claim whose request is no longer waiting looks
-    like one that was given up.
+    A claim is read back and its request is sent.  Then a gap opens, a snapshot from
+    before the claim closes the gap, and the claim is read again.  A claim whose request
+    no longer waits would look like an abandoned one.
     """
     log = MemoryLog()
     reader = new_reader(ClaimsFold())
@@ -219,9 +218,9 @@
 
 
 def test_parts_of_two_snapshots_are_not_mixed() -> None:
-    """Read the first half of a snapshot whose writer died, then a whole one."""
+    """Read parts of a snapshot whose writer died, around a complete snapshot."""
     log = _log(CLAIMS)
-    full = _read_whole(ClaimsFold(), log)
+    full = _new_full_reader(ClaimsFold(), log)
     for index in range(600):
         log.append(_claim(_key(f"many-{index}")), record_id=f"many-{index}")
     read_to_end(full, log)
@@ -231,16 +230,16 @@
     _append_snapshot(log, full.fold, "whole")
     log.append(dead[2], record_id="dead-2")
     log.expire(before=dead[0].as_of)
-    restored = _read_whole(ClaimsFold(), log)
+    restored = _new_full_reader(ClaimsFold(), log)
     read_to_end(full, log)
     assert state_of(restored.fold) == state_of(full.fold)
 
 
 def test_new_reader_of_a_long_stream_starts_from_its_snapshot() -> None:
-    """Search backwards rather than read hundreds of thousands of renewals."""
+    """Check that a new reader doesn't read hundreds of thousands of renewals."""
     log = _log(PLACEMENT[:1])
-    _renew(log, 2 * LONG_TAIL)
-    full = _read_whole(PlacementFold(), log)
+    _renew(log, 2 * MAX_UNREAD_WITHOUT_SNAPSHOT)
+    full = _new_full_reader(PlacementFold(), log)
     _append_snapshot(log, full.fold)
     restored = new_reader(PlacementFold())
     n_applied = len(read_to_end(restored, log, max_reads=5))
@@ -249,24 +248,24 @@
     assert state_of(restored.fold) == state_of(full.fold)
 
 
-def test_long_stream_without_a_snapshot_is_read_whole() -> None:
-    """Search in vain, then read from the beginning, and know everything."""
+def test_long_stream_without_a_snapshot_is_read_from_its_beginning() -> None:
+    """Check that a search without result is followed by a read from the beginning."""
     log = _log(PLACEMENT[:1])
-    _renew(log, LONG_TAIL)
+    _renew(log, MAX_UNREAD_WITHOUT_SNAPSHOT)
     reader = new_reader(PlacementFold())
-    assert len(read_to_end(reader, log)) == LONG_TAIL + 1
+    assert len(read_to_end(reader, log)) == MAX_UNREAD_WITHOUT_SNAPSHOT + 1
     assert reader.fold.complete
 
 
 def test_claims_need_only_the_window_of_a_long_stream() -> None:
-    """Stop searching where the keys are too old to be claimed anyway."""
+    """Check that the search stops at keys that are too old to be claimed anyway."""
     log = MemoryLog()
-    for index in range(3 * LONG_TAIL):
+    for index in range(3 * MAX_UNREAD_WITHOUT_SNAPSHOT):
         log.time = EPOCH + index
         key = f"acme/{int(log.time * 1000)}-{index}"
         log.append(_claim(key), record_id=f"id{index}")
     reader = new_reader(ClaimsFold(window=600.0, max_ahead=30.0))
-    assert len(read_to_end(reader, log)) < 2 * LONG_TAIL
+    assert len(read_to_end(reader, log)) < 2 * MAX_UNREAD_WITHOUT_SNAPSHOT
     full = new_reader(ClaimsFold(window=600.0, max_ahead=30.0))
     for index in range(0, log.next, 1000):
         for entry in log.page(Read(offset=index, limit=1000, wait=0.0)).entries:
@@ -275,7 +274,7 @@
     assert state_of(reader.fold) == state_of(full.fold)
 
 
-# Pages that are not as they should be
+# Incomplete and inconsistent pages
 
 
 def _reader_at_one() -> tuple[LogReader, MemoryLog]:
@@ -290,7 +289,7 @@
 
 
 PAGES = [
-    # offsets in the page, offset reached, caught up
+    # offsets in the page, next offset afterwards, whether the end was reached
     ([1, 2], 3, True),
     ([2, 1], 3, True),
     ([0, 1, 1, 2], 3, True),
@@ -304,10 +303,10 @@
 def test_page_with_gaps_or_repeated_offsets(
     offsets: list[int], reached: int, caught_up: bool
 ) -> None:
-    """Apply a page up to its first gap, each offset once.
+    """Guard against readers of the same log with different states.
 
-    Symptom: two readers of one log hold two states.  Sequence: a page leaves a record
-    out, or has one twice.  Cause: the reader trusts the page rather than the offsets.
+    A page lacks a record or contains a record twice.  The reader must apply the page
+    up to its first gap, and each offset once.
     """
     reader, log = _reader_at_one()
     entries = log.page(Read(offset=0, limit=10, wait=0.0)).entries
@@ -318,17 +317,17 @@
     assert (reader.caught_up_at == 10.0) is caught_up
 
 
-def test_record_that_never_comes_does_not_stop_the_stream() -> None:
-    """Read a page that lacks a record again and again.
+def test_lost_record_does_not_stop_the_stream() -> None:
+    """Guard against a reader that waits forever for a lost record.
 
-    Symptom: an entry host never learns of a change any more.  Sequence: the log has
-    lost one record of a stream.  Cause: the reader waits for it for ever.
+    The log has lost one record of a stream, and every page lacks it.  An entry host
+    that waited for the record would learn of no further change.
     """
     reader, log = _reader_at_one()
     entry = log.page(Read(offset=2, limit=1, wait=0.0)).entries[0]
     page = ReadPage(first=0, next=3, entries=[entry])
     now = 0.0
-    for _ in range(N_GAP_READS + 1):
+    for _ in range(MAX_GAP_READS + 1):
         assert reader.fold.next_offset == 1
         now += 10.0
         reader.next_read(now=now)
@@ -341,11 +340,11 @@
     assert not reader.fold.complete
 
 
-def test_stream_that_was_cut_is_not_taken_for_the_one_read_before() -> None:
-    """Read a stream whose end lies before what was read.
+def test_truncated_stream_is_not_taken_for_the_one_read_before() -> None:
+    """Guard against repeated fencing numbers and versions.
 
-    Symptom: fencing numbers and versions repeat.  Sequence: the log service loses a
-    stream and starts it anew.  Cause: the reader goes on as if it were the same.
+    The log service loses a stream and starts a new one, which ends before the offset
+    that the reader has reached.  The reader must not continue as in the same stream.
     """
     reader, _ = _reader_at_one()
     caught_up_at = reader.caught_up_at
@@ -366,13 +365,13 @@
 
 
 @pytest.mark.parametrize(("kind", "body", "fold_class", "complete"), UNREADABLE)
-def test_unreadable_record_neither_stops_the_stream_nor_is_guessed_at(
+def test_undecodable_record_does_not_stop_the_stream(
     kind: str, body: bytes, fold_class: type[BaseFold], complete: bool
 ) -> None:
-    """Read a record that this program cannot decode.
+    """Guard against a record that stops the readers of all entry hosts.
 
-    Symptom: no change reaches any entry host any more.  Sequence: a faulty or newer
-    program appends one record.  Cause: the readers stop at it, and it stays.
+    A faulty or newer program appends a record that this program cannot decode, and the
+    record stays in the stream.
     """
     log = MemoryLog()
     log.append_raw(kind, body, record_id="odd")
@@ -383,8 +382,8 @@
     assert reader.fold.complete is complete
 
 
-def test_failed_reads_pause_longer_and_longer() -> None:
-    """Leave a service that is down alone."""
+def test_pauses_after_failed_reads_grow() -> None:
+    """Check that pauses after failed reads grow up to the longest pause."""
     reader = new_reader(ConfigurationFold())
     pauses = []
     now = 0.0
--- a/tests/test_coordination/test_log_snapshots.py
+++ b/tests/test_coordination/test_log_snapshots.py
@@ -30,7 +30,7 @@
 
 
 CASES = [
-    # records, newest snapshot at, spread, seconds since the first record, due
+    # records, time of the newest snapshot, spread, seconds since the first record, due
     (1, None, 0.0, 199.0, False),
     (1, None, 0.0, 200.0, True),
     (1, None, 1.0, 299.0, False),
@@ -48,21 +48,22 @@
 def test_snapshot_is_due_before_half_of_the_retention(
     n: int, snapshot_at: float | None, spread: float, age: float, due: bool
 ) -> None:
-    """Look at the age of the newest snapshot, or of the oldest record.
+    """Guard against a starting host that finds neither records nor a snapshot.
 
-    Symptom: a host that starts finds neither the records nor a snapshot.  Sequence:
-    nothing changes for longer than the log keeps records.  Cause: what is in force
-    stands only in records that expire.
+    Nothing changes for longer than the log keeps records, so that the state in force
+    is only in records that expire.  The snapshot is due by the age of the newest
+    snapshot or, if there is none, of the oldest record.
     """
     fold = _fold(n, snapshot_at=snapshot_at)
     assert _schedule(spread).due(fold, wall=EPOCH + age, now=1000.0) is due
 
 
 def test_hosts_do_not_all_write_at_once() -> None:
-    """Let ten hosts look every second; each reads what another wrote.
+    """Guard against a log that is flooded with equal snapshots.
 
-    Symptom: the log is flooded with equal snapshots.  Sequence: all hosts have read
-    the same records and so reach the same age together.  Cause: nothing spreads them.
+    Ten hosts check every second whether a snapshot is due, and each reads the
+    snapshots of the others.  All hosts have read the same records, so that without a
+    spread the snapshot would be due at all hosts at the same time.
     """
     schedules = [_schedule(index / 10) for index in range(10)]
     fold = _fold()
@@ -79,18 +80,18 @@
 
 
 def test_fold_with_records_missing_writes_no_snapshot() -> None:
-    """Keep what is not known whole out of the log.
+    """Guard against a snapshot that lacks records.
 
-    Symptom: a host restores and takes a claimed host for free.  Sequence: a reader
-    with records missing writes its state.  Cause: it is taken for the whole.
+    A reader with missing records writes its state.  A host that restores this snapshot
+    as the complete state would treat a claimed host as free.
     """
     fold = _fold()
     fold.lost(before=10, reason="expired")
     assert not _schedule().due(fold, wall=EPOCH + RETENTION, now=1000.0)
 
 
-def test_snapshot_is_not_written_again_while_it_is_on_its_way() -> None:
-    """Wait for one's own snapshot to be read back."""
+def test_snapshot_is_not_written_again_before_it_is_read_back() -> None:
+    """Check that a host waits until it reads its own snapshot back."""
     schedule = _schedule()
     fold = _fold()
     answers = [
