--- a/ryelever/coordination/measures.py
+++ b/ryelever/coordination/measures.py
@@ -1,8 +1,8 @@
-"""Measure group downtime and stranded accelerators as time goes by.
+"""Measure group downtime and stranded accelerators over time.
 
-Group downtime counts, for each availability zone and model, the replica groups that
-are declared and cannot serve.  Stranded accelerators are those of hosts that answer
-but belong to no group that serves.
+Group downtime counts, for each availability zone and model, the declared replica
+groups that cannot serve.  Stranded accelerators are those of hosts that answer but
+belong to no serving group.
 """
 
 from __future__ import annotations
@@ -19,30 +19,30 @@
 
 __all__ = ["Measures", "Sample"]
 
-#: Seconds between two samples that are kept, and how many are.
+#: Seconds between two samples, and the number of samples that are kept.
 SAMPLE_INTERVAL = 10.0
 N_SAMPLES = 360
 
-#: Longest time between two ticks that still counts as observed.  Beyond it this
-#: process was paused, and what the fleet did meanwhile is not known.
-MAX_GAP = 5.0
+#: Maximum seconds between two ticks that count as observed.  After a longer time this
+#: process was paused, and the state of the fleet meanwhile is unknown.
+MAX_TICK_INTERVAL = 5.0
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Sample:
-    """Hold the highest values of both measures within one interval.
+    """Represent the maxima of both measures within a sample interval.
 
-    An outage of two seconds falls between two samples of the moment alone, and the
-    plot would show that nothing happened.
+    An outage of two seconds would fall between two momentary samples, and the plot
+    would not show it.
 
     Attributes
     ----------
     at : float
-        Monotonic time at which the interval began.
+        Monotonic time at which the interval started.
     n_groups_down : int
-        Declared groups that could not serve.
+        Number of declared groups that could not serve.
     n_stranded : int
-        Accelerators of hosts that answered and served in no group.
+        Number of accelerators of hosts that answered but served in no group.
     """
 
     at: float
@@ -52,14 +52,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Downtime:
-    """Hold how one model fares in one availability zone.
+    """Represent the downtime of a model in an availability zone.
 
     Attributes
     ----------
     n_wanted, n_serving : int
-        Replica groups declared, and those that serve.
+        Number of declared replica groups and of groups that serve.
     seconds : float
-        Seconds that declared groups could not serve, summed over the groups.
+        Seconds during which declared groups could not serve, summed over the groups.
     """
 
     n_wanted: int = 0
@@ -68,13 +68,13 @@
 
     @property
     def n_down(self) -> int:
-        """Return how many declared groups cannot serve."""
+        """Return the number of declared groups that cannot serve."""
         return max(0, self.n_wanted - self.n_serving)
 
 
 @dataclass(slots=True, kw_only=True)
 class MeasuresView:
-    """Hold what both measures are computed from."""
+    """Represent the state of the fleet from which both measures are computed."""
 
     configuration: Configuration
     placements_by_zone: dict[str, PlacementFold]
@@ -84,18 +84,18 @@
 
 @dataclass(slots=True, kw_only=True)
 class Measures:
-    """Sum both measures, and keep samples of the last hour.
+    """Sum both measures over time and keep samples of the last hour.
 
     Attributes
     ----------
     downtime_by_group : dict of (str, str) to Downtime
-        By availability zone and model.
+        Downtime by availability zone and model.
     stranded_seconds : float
-        Accelerators times seconds.
+        Sum over time of stranded accelerators, in accelerator-seconds.
     removed_seconds : float
-        Downtime of models that are no longer declared.
+        Downtime in seconds of models that are no longer declared.
     observed, unobserved : float
-        Seconds that were measured, and those lost to pauses of this process.
+        Seconds that were measured, and seconds lost to pauses of this process.
     """
 
     downtime_by_group: dict[tuple[str, str], Downtime] = field(default_factory=dict)
@@ -109,41 +109,41 @@
 
     @property
     def n_groups_down(self) -> int:
-        """Return how many declared groups cannot serve."""
+        """Return the number of declared groups that cannot serve."""
         return sum(downtime.n_down for downtime in self.downtime_by_group.values())
 
     @property
     def downtime_seconds(self) -> float:
-        """Return the downtime of all groups together, in seconds."""
+        """Return the total downtime of all groups in seconds."""
         seconds = (downtime.seconds for downtime in self.downtime_by_group.values())
         return self.removed_seconds + sum(seconds)
 
     def tick(self, view: MeasuresView, *, now: float) -> None:
-        """Add the time since the last tick and look at the fleet again."""
-        self._add(now=now)
-        self._look(view, now=now)
-        self._sample(now=now)
+        """Add the time since the last tick to the measures and update their values."""
+        self._add_elapsed(now=now)
+        self._update(view, now=now)
+        self._add_sample(now=now)
 
-    def _sample(self, *, now: float) -> None:
+    def _add_sample(self, *, now: float) -> None:
         current = Sample(
             at=now, n_groups_down=self.n_groups_down, n_stranded=self.n_stranded
         )
         if not self.samples or now - self.samples[-1].at >= SAMPLE_INTERVAL:
             self.samples.append(current)
             return
-        open_ = self.samples.pop()
+        latest = self.samples.pop()
         self.samples.append(
             Sample(
-                at=open_.at,
-                n_groups_down=max(open_.n_groups_down, current.n_groups_down),
-                n_stranded=max(open_.n_stranded, current.n_stranded),
+                at=latest.at,
+                n_groups_down=max(latest.n_groups_down, current.n_groups_down),
+                n_stranded=max(latest.n_stranded, current.n_stranded),
             )
         )
 
-    def _add(self, *, now: float) -> None:
+    def _add_elapsed(self, *, now: float) -> None:
         elapsed = 0.0 if self._ticked_at is None else now - self._ticked_at
         self._ticked_at = now
-        if elapsed > MAX_GAP:
+        if elapsed > MAX_TICK_INTERVAL:
             self.unobserved += elapsed
             return
         self.observed += elapsed
@@ -151,7 +151,7 @@
         for downtime in self.downtime_by_group.values():
             downtime.seconds += downtime.n_down * elapsed
 
-    def _look(self, view: MeasuresView, *, now: float) -> None:
+    def _update(self, view: MeasuresView, *, now: float) -> None:
         serving: set[str] = set()
         n_serving: dict[tuple[str, str], int] = {}
         for zone, placement in view.placements_by_zone.items():
@@ -160,7 +160,7 @@
                     serving.update(group.members)
                     key = (zone, group.model)
                     n_serving[key] = n_serving.get(key, 0) + 1
-        self._look_at_models(view, n_serving)
+        self._update_models(view, n_serving)
         self.n_stranded = sum(
             listed.accelerators
             for name, listed in view.hosts_by_name.items()
@@ -170,7 +170,7 @@
             and view.confirmations.fresh(name, now=now) is not None
         )
 
-    def _look_at_models(
+    def _update_models(
         self, view: MeasuresView, n_serving: dict[tuple[str, str], int]
     ) -> None:
         for zone in view.placements_by_zone:
--- a/ryelever/coordination/readiness.py
+++ b/ryelever/coordination/readiness.py
@@ -1,4 +1,4 @@
-"""Decide when an entry host may tell the balancer that it is ready."""
+"""Decide when an entry host reports to the load balancer that it is ready."""
 
 from __future__ import annotations
 
@@ -6,26 +6,27 @@
 
 __all__ = ["ReadinessInputs", "Readiness"]
 
-#: Seconds, from the first look that finds configuration and list, for which placement
-#: and reports are waited for.  A host that starts while the log is away then serves
-#: what it can.
-KNOWLEDGE_TIMEOUT = 10.0
+#: Maximum seconds to wait for the placement and for reports once the configuration and
+#: the list of hosts are known.  A host that starts while the log is unreachable then
+#: serves the requests that it can.
+INPUTS_TIMEOUT = 10.0
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ReadinessInputs:
-    """Hold what an entry host knows of the fleet at a time.
+    """Represent the knowledge of an entry host about the fleet at a given time.
 
     Attributes
     ----------
     has_configuration : bool
-        A configuration is in force here.
+        True if a configuration is in force at this host.
     has_hosts : bool
-        The platform's list was read.
+        True if the platform's list of hosts was read.
     has_placement : bool
-        The own zone's placement was read to its end.
+        True if the placement stream of the host's zone was read to its end.
     n_unreported : int
-        Live engines of the own zone that neither reported nor failed to answer.
+        Number of live engines in the host's zone that neither reported nor failed to
+        answer.
     """
 
     has_configuration: bool
@@ -35,30 +36,31 @@
 
 
 class Readiness:
-    """Become ready once enough is known to serve, and stay so.
+    """Track whether an entry host knows enough to serve; once ready it stays ready.
 
-    A host that called itself ready with its configuration alone was sent requests
-    before it had confirmed any group, and refused them while other entry hosts could
-    have served.  The operator would see refusals right after each replacement.
+    A host that reported ready with its configuration alone would receive requests
+    before it had confirmed any group, and refuse them while other entry hosts could
+    have served them.  The operator would see refusals right after each replacement of
+    an entry host.
     """
 
     def __init__(self) -> None:
         self._ready = False
-        self._listed_at: float | None = None
+        self._waiting_since: float | None = None
 
     def look(self, inputs: ReadinessInputs, *, now: float) -> bool:
-        """Tell whether this host is ready, at a monotonic time.
+        """Update the state and return whether this host is ready.
 
-        Once ready it stays so: a gap in knowledge later on may be everybody's, and
-        a balancer without any ready host serves nothing.
+        A host that was ready once stays ready: knowledge that is lost later may be
+        lost at all hosts, and a load balancer without a ready host serves nothing.
         """
         if self._ready:
             return True
         if not (inputs.has_configuration and inputs.has_hosts):
             return False
-        if self._listed_at is None:
-            self._listed_at = now
+        if self._waiting_since is None:
+            self._waiting_since = now
         knows_fleet = inputs.has_placement and not inputs.n_unreported
-        waited = now - self._listed_at >= KNOWLEDGE_TIMEOUT
-        self._ready = knows_fleet or waited
+        has_timed_out = now - self._waiting_since >= INPUTS_TIMEOUT
+        self._ready = knows_fleet or has_timed_out
         return self._ready
--- a/ryelever/coordination/removals.py
+++ b/ryelever/coordination/removals.py
@@ -1,41 +1,46 @@
-"""Hold back word that backend servers are gone after the store was away.
+"""Delay the removal of backend servers after the store was unreachable.
 
-Entries lapse while the store can't be reached by those who renew them, and are back
-soon after it returns.  Taking them for gone at once would empty the fleet.
+Entries of backend servers expire while the servers can't reach the store to renew
+them, and return soon after the store does.  Removing the servers immediately would
+empty the fleet.
 """
 
 from __future__ import annotations
 
 __all__ = ["Removals"]
 
-#: Seconds after the store's return within which a living server's entry is back.
+#: Seconds after the store's return within which the entry of a live server is back.
 ENTRIES_BACK = 2.1
 
-#: Seconds without an answered read that count as an outage rather than a slip.
+#: Minimum seconds without an answered read that count as an outage of the store
+#: instead of a single failure.
 OUTAGE = 1.0
 
-#: Heartbeats for which a server is left in the list after an entry that can't be read
-#: came under its id.  A living server writes its own again within one.
-UNREADABLE_HEARTBEATS = 2.0
+#: Record renewals during which a server stays in the list after an undecodable entry
+#: with its id.  A live server writes its own entry again within one renewal interval.
+UNREADABLE_RENEWALS = 2.0
 
 
 class Removals:
-    """Decide when a removal is believed.
+    """Decide when the removal of a backend server takes effect.
 
     Parameters
     ----------
     heartbeat_interval : float
-        Seconds between two entries that a living server writes.
+        Seconds between two entries that a live server writes.
     """
 
     def __init__(self, *, heartbeat_interval: float) -> None:
-        self._unreadable_for = UNREADABLE_HEARTBEATS * heartbeat_interval
+        self._unreadable_delay = UNREADABLE_RENEWALS * heartbeat_interval
         self._due_at_by_id: dict[str, float] = {}
         self._answered_at = float("-inf")
         self._outage_until = float("-inf")
 
     def note_reads(self, *, answered_at: float, failed_at: float) -> None:
-        """Take note of when reads were answered last, and when one failed last."""
+        """Record when a read was last answered and when a read last failed.
+
+        An answer after an outage delays removals until entries are back.
+        """
         if answered_at <= self._answered_at:
             return
         failed_since = failed_at > self._answered_at > float("-inf")
@@ -44,23 +49,23 @@
         self._answered_at = answered_at
 
     def note_return(self, returned_at: float) -> None:
-        """Take note of when the store came back without entries that it had."""
+        """Record when the store returned without entries that it had before."""
         self._outage_until = max(self._outage_until, returned_at + ENTRIES_BACK)
 
     def add(self, server_id: str, *, now: float) -> None:
-        """Take word that a backend server's entry is gone."""
+        """Record that a backend server's entry is gone."""
         self._due_at_by_id[server_id] = now
 
     def add_unreadable(self, server_id: str, *, now: float) -> None:
-        """Take an entry that can't be read, and so names no server to use."""
-        self._due_at_by_id.setdefault(server_id, now + self._unreadable_for)
+        """Record that a backend server's entry is undecodable and names no server."""
+        self._due_at_by_id.setdefault(server_id, now + self._unreadable_delay)
 
     def discard(self, server_id: str) -> bool:
-        """Take word that it is there; tell whether its removal was held back."""
+        """Record that a server's entry exists; return whether a removal was pending."""
         return self._due_at_by_id.pop(server_id, None) is not None
 
     def due(self, *, now: float) -> list[str]:
-        """Return the backend servers that are to be taken for gone now."""
+        """Return the backend servers that are to be removed now."""
         if now < self._outage_until:
             return []
         due = [item for item, due_at in self._due_at_by_id.items() if due_at <= now]
--- a/tests/test_coordination/test_log_writer.py
+++ b/tests/test_coordination/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Test what is appended, when it is appended again, and when it is given up."""
+"""Test when records are appended, appended again, and abandoned."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     return [pending.record_id for pending in writer.due(now=now)]
 
 
-def test_records_that_come_during_an_append_go_together_in_the_next() -> None:
-    """Batch by what is waiting, one append in flight."""
+def test_records_added_during_an_append_form_the_next_batch() -> None:
+    """Check that one append is in flight and the next one takes all waiting records."""
     writer = _writer()
     writer.add(RECORD, record_id="a", deadline=10.0)
     assert _ids(writer, 0.0) == ["a"]
@@ -31,7 +31,7 @@
 
 
 ANSWERS = [
-    # what became of the first append, read back, appended again after two seconds
+    # answer to the first append, read back, ids appended again after two seconds
     ("answered", True, []),
     ("answered", False, ["a"]),
     ("lost", True, []),
@@ -39,15 +39,14 @@
 ]
 
 
-@pytest.mark.parametrize(("answer", "read_back", "again"), ANSWERS)
-def test_only_reading_back_settles_a_record(
-    answer: str, read_back: bool, again: list[str]
+@pytest.mark.parametrize(("answer", "read_back", "appended_again"), ANSWERS)
+def test_only_a_record_that_was_read_back_is_settled(
+    answer: str, read_back: bool, appended_again: list[str]
 ) -> None:
-    """Lose the answer to an append, or believe it.
+    """Guard against decisions that are missing in the log or appended twice.
 
-    Symptom: a decision that was answered as appended is not in the log, or one stands
-    there twice.  Sequence: the answer is lost after the append took effect, or given
-    before it was kept.  Cause: the answer is taken for the fact.
+    The answer to an append is lost after the append took effect, or is given before
+    the record is stored.  The writer must not rely on the answer.
     """
     writer = _writer()
     writer.add(RECORD, record_id="a", deadline=10.0)
@@ -58,22 +57,21 @@
         writer.failed(now=0.0)
     if read_back:
         assert writer.read_back("a")
-    assert _ids(writer, 2.0) == again
+    assert _ids(writer, 2.0) == appended_again
 
 
-def test_record_past_its_deadline_may_still_turn_up() -> None:
-    """Give a record up and read it back later.
+def test_record_past_its_deadline_may_still_be_read_back() -> None:
+    """Guard against a group that is formed although its order was abandoned.
 
-    Symptom: a group is formed that nobody remembers to have ordered.  Sequence: an
-    append is delayed beyond the record's deadline and then takes effect.  Cause: the
-    writer holds what it gave up for not appended.
+    An append is delayed beyond the record's deadline and then takes effect.  The writer
+    must not conclude that an abandoned record was not appended.
     """
     writer = _writer()
     writer.add(RECORD, record_id="sent", deadline=5.0)
     assert _ids(writer, 0.0) == ["sent"]
     writer.add(RECORD, record_id="never sent", deadline=5.0)
-    given_up = writer.give_up_late(now=5.0)
-    assert {pending.record_id: pending.sent for pending in given_up} == {
+    expired = writer.give_up_late(now=5.0)
+    assert {pending.record_id: pending.sent for pending in expired} == {
         "sent": True,
         "never sent": False,
     }
@@ -83,8 +81,8 @@
     assert writer.n_late == 1
 
 
-def test_failed_appends_pause_longer_and_longer() -> None:
-    """Leave a service that is down alone, and come back at once when it answers."""
+def test_pauses_after_failed_appends_grow() -> None:
+    """Check that pauses after failed appends grow up to the longest pause."""
     writer = _writer(jitter=lambda: 0.5)
     writer.add(RECORD, record_id="a", deadline=1000.0)
     now = 0.0
@@ -108,7 +106,7 @@
     ],
 )
 def test_batch_is_bounded_by_its_cost(costs: list[int], batches: list[int]) -> None:
-    """Send a snapshot's part, larger than a whole batch, alone."""
+    """Check that a snapshot part that exceeds the batch limit is appended alone."""
     writer = _writer()
     for index, cost in enumerate(costs):
         writer.add(RECORD, record_id=str(index), deadline=10.0, cost=cost)
@@ -120,11 +118,11 @@
 
 
 @pytest.mark.parametrize("n_streams", [1, 5])
-def test_appends_of_all_streams_share_one_bound(n_streams: int) -> None:
-    """Append as often as can be for ten seconds.
+def test_appends_of_all_streams_share_one_limit(n_streams: int) -> None:
+    """Guard against a log that refuses the appends of all hosts.
 
-    Symptom: the log refuses everybody's appends.  Sequence: one host's streams each
-    append as fast as they are answered.  Cause: no host keeps to its share.
+    The streams of a host append as often as possible for ten seconds.  Without a limit
+    over all streams the host would exceed its share of the log's appends.
     """
     budget = AppendBudget(rate=4.0, burst=2.0)
     writers = [_writer(budget=budget) for _ in range(n_streams)]
@@ -141,11 +139,11 @@
     assert max(by_writer) - min(by_writer) <= 1
 
 
-def test_writer_that_stops_asking_does_not_hold_the_others_up() -> None:
-    """Lose the turn that one waits for.
+def test_writer_that_stops_requesting_does_not_block_others() -> None:
+    """Guard against a writer that blocks the queue for ever.
 
-    Symptom: nothing is appended any more.  Sequence: a writer waits for its turn, and
-    its record is read back in the meantime.  Cause: the turn stays with it.
+    A writer waits for an append, and its record is read back in the meantime.  If the
+    writer kept its position in the queue, no other writer could append.
     """
     budget = AppendBudget(rate=1.0, burst=1.0)
     first, second, third = (_writer(budget=budget) for _ in range(3))
--- a/tests/test_coordination/test_measures.py
+++ b/tests/test_coordination/test_measures.py
@@ -22,7 +22,7 @@
 
 
 class Fleet:
-    """Hold one zone with three hosts, of which two form a group."""
+    """Represent a zone with three hosts, of which two form a group."""
 
     def __init__(self) -> None:
         self.placement = PlacementFold()
@@ -85,12 +85,12 @@
     assert fleet.measures.observed == 10
 
 
-def test_pause_of_the_judge_is_not_counted_as_downtime(fleet: Fleet) -> None:
-    """Pause this process for a minute.
+def test_pause_of_this_process_is_not_counted_as_downtime(fleet: Fleet) -> None:
+    """Guard against downtime that is counted while this process is paused.
 
-    Symptom: the status page blames the fleet for a minute that nobody saw.
-    Sequence: a group is down for two ticks, the process pauses, the group serves when
-    it returns.  Cause: the whole gap was counted with the state from before it.
+    A group is down for two ticks, the process pauses for a minute, and the group
+    serves when the process resumes.  The status page would show a minute of downtime
+    that was not observed if the pause counted with the state before it.
     """
     fleet.run("h0", start=0, stop=2)
     fleet.run("h0", "h1", start=62, stop=64)
@@ -115,10 +115,10 @@
 
 
 def test_short_outage_shows_in_the_samples(fleet: Fleet) -> None:
-    """Lose a group for two seconds.
+    """Guard against downtime that is counted but not visible in the plot.
 
-    Symptom: downtime is counted, and the plot stays flat.  Sequence: a group is down
-    between two samples.  Cause: a sample held the moment alone.
+    A group is down for two seconds between two samples, and a sample that covered only
+    its own moment would not show the outage.
     """
     fleet.run("h0", "h1", start=0, stop=3)
     fleet.run("h0", start=3, stop=8)
@@ -168,7 +168,7 @@
     ]
 
 
-def test_group_that_never_served_says_so(fleet: Fleet) -> None:
+def test_outcome_of_a_group_that_never_served(fleet: Fleet) -> None:
     fleet.run(start=0, stop=2)
     fleet.placement.groups_by_name["g"].dissolved = True
     fleet.run(start=2, stop=4)
--- a/tests/test_coordination/test_racing_operators.py
+++ b/tests/test_coordination/test_racing_operators.py
@@ -1,4 +1,4 @@
-"""Test operators that race while the log loses answers."""
+"""Test operators that publish at the same time while the log loses answers."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 
 from ..memory_log import MemoryLog, new_reader, read_to_end
 
-#: What becomes of an append: it takes effect and is answered, takes effect only, or
-#: is lost on the way.
+#: Fate of an append: it takes effect and is answered, takes effect but its answer is
+#: lost, or is lost itself.
 FATES = ("answered", "answer lost", "lost")
 
 
 @pytest.mark.parametrize(
     "fates", list(itertools.product(FATES, repeat=4)), ids="-".join
 )
-def test_one_operator_wins_and_both_learn_it(fates: tuple[str, ...]) -> None:
-    """Publish two documents on one base while answers to appends are lost.
+def test_one_operator_wins_and_both_are_notified(fates: tuple[str, ...]) -> None:
+    """Guard against two operators, or none, whose change is reported as in force.
 
-    Symptom: both operators are told that their change is in force, or neither.
-    Sequence: the first two appends of each take the row's fates; each repeats its own
-    until it is read back, so that one publication may stand in the log four times.
-    Cause: the answer is taken for the fact, or a repeated append for a rival.
+    Two documents are published on the same base version while answers to appends are
+    lost.  The first two appends of each operator have the fates of the row.  Each
+    operator repeats the append until it is read back, so that a publication may be in
+    the log four times.  An answer must not be taken for the outcome, nor a repeated
+    append for a competing change.
     """
     log = MemoryLog()
     fate_by_attempt = {
@@ -52,7 +53,7 @@
                 n_sent[name] += 1
                 if fate != "lost":
                     log.append(pending.record, record_id=pending.record_id)
-                    # The network repeats it as well.
+                    # The network duplicates the append.
                     log.append(pending.record, record_id=pending.record_id)
                 writer.answered() if fate == "answered" else writer.failed(now=now)
         for name, reader in readers.items():
--- a/tests/test_coordination/test_readiness.py
+++ b/tests/test_coordination/test_readiness.py
@@ -1,11 +1,11 @@
-"""Test when an entry host calls itself ready."""
+"""Test when an entry host reports ready."""
 
 from __future__ import annotations
 
 import pytest
 
 from ryelever.coordination.readiness import (
-    KNOWLEDGE_TIMEOUT,
+    INPUTS_TIMEOUT,
     Readiness,
     ReadinessInputs,
 )
@@ -25,19 +25,19 @@
     "no configuration": ([(0, _knows("hp")), (99, _knows("hp"))], False),
     "no list of hosts": ([(0, _knows("cp")), (99, _knows("cp"))], False),
     "placement not read": ([(0, _knows("ch"))], False),
-    "an engine not heard of": ([(0, _knows("chp", 1))], False),
+    "an engine without a report": ([(0, _knows("chp", 1))], False),
     "all is known": ([(0, _knows("chp"))], True),
     "known step by step": ([(0, _knows("ch", 4)), (1, _knows("chp"))], True),
     "just before the end of the wait": (
-        [(5, _knows("ch")), (4.9 + KNOWLEDGE_TIMEOUT, _knows("ch"))],
+        [(5, _knows("ch")), (4.9 + INPUTS_TIMEOUT, _knows("ch"))],
         False,
     ),
     "log away, waited long enough": (
-        [(5, _knows("ch", 2)), (5 + KNOWLEDGE_TIMEOUT, _knows("ch", 2))],
+        [(5, _knows("ch", 2)), (5 + INPUTS_TIMEOUT, _knows("ch", 2))],
         True,
     ),
     "the wait begins with the list": (
-        [(0, _knows("c")), (KNOWLEDGE_TIMEOUT, _knows("ch"))],
+        [(0, _knows("c")), (INPUTS_TIMEOUT, _knows("ch"))],
         False,
     ),
     "ready once, then the fleet goes dark": (
@@ -47,16 +47,16 @@
 }
 
 
-@pytest.mark.parametrize(("looks", "ready"), CASES.values(), ids=CASES)
+@pytest.mark.parametrize(("inputs_at", "ready"), CASES.values(), ids=CASES)
 def test_ready_when_enough_is_known_to_serve(
-    looks: list[tuple[float, ReadinessInputs]], ready: bool
+    inputs_at: list[tuple[float, ReadinessInputs]], ready: bool
 ) -> None:
-    """Start an entry host and look at what it tells the balancer.
+    """Guard against an entry host that reports ready too early.
 
-    Symptom: requests are refused right after each replacement of an entry host while
-    others could serve them.  Sequence: a host starts, reads configuration and list,
-    is sent requests, and has confirmed no group yet.  Cause: it said ready too early.
+    A host starts, reads the configuration and the list of hosts, and receives requests
+    before it has confirmed a group.  Right after each replacement of an entry host,
+    requests would be refused that other hosts could serve.
     """
     readiness = Readiness()
-    seen = [readiness.look(inputs, now=at) for at, inputs in looks]
-    assert seen[-1] is ready
+    results = [readiness.look(inputs, now=at) for at, inputs in inputs_at]
+    assert results[-1] is ready
