--- a/ryelever/coordination/repairs.py
+++ b/ryelever/coordination/repairs.py
@@ -1,7 +1,7 @@
-"""Tell each change of the placement as cause, decision and outcome.
+"""Record each change of the placement with its cause, decision and outcome.
 
-The records in the log say what was decided and why; whether it worked shows only in
-what the hosts report later.  Both are joined here, at every entry host alike.
+The records in the log contain the decision and its cause.  Whether the decision worked
+is only known from later reports of the hosts.  Each entry host combines both.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 __all__ = ["GroupWatch", "Repair", "RepairHistory"]
 
-#: How many repairs are kept.
+#: Maximum number of repairs that are kept.
 N_REPAIRS = 200
 
 
 @dataclass(slots=True, kw_only=True)
 class Repair:
-    """Hold one change of the placement.
+    """Represent a change of the placement.
 
     Attributes
     ----------
     at : float
-        Monotonic time at which this entry host learned of it.
+        Monotonic time at which this entry host read the change.
     ended_at : float or None
-        Monotonic time at which its outcome was known.
+        Monotonic time at which the outcome was known; None before that.
     """
 
     at: float
@@ -42,9 +42,10 @@
     ended_at: float | None = None
 
     def end(self, outcome: str, *, now: float) -> None:
-        """Settle the outcome, unless it is settled already.
+        """Set the outcome unless it is already known.
 
-        The fleet is looked at about once a second, so the time is rounded up.
+        The fleet is checked about once a second, so the duration is rounded up to
+        full seconds.
         """
         if self.ended_at is None:
             self.outcome = f"{outcome} within {math.ceil(now - self.at) or 1} s"
@@ -53,13 +54,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class GroupWatch:
-    """Hold a group's state and since when this entry host has seen it.
+    """Represent a group's state and the time since which this entry host sees it.
 
     Attributes
     ----------
     state : str
-        ``"forming"``, ``"serving"``, ``"broken"`` (served, and a member is missing)
-        or ``"dissolving"``.
+        ``"forming"``, ``"serving"``, ``"broken"`` (the group served and a member is
+        missing now) or ``"dissolving"``.
     """
 
     state: str
@@ -68,14 +69,14 @@
 
 
 class RepairHistory:
-    """Follow the groups of every availability zone, tick by tick.
+    """Track the groups of all availability zones and record their repairs.
 
     Attributes
     ----------
     watches_by_group : dict of str to GroupWatch
-        Groups that exist.
+        Existing groups by name.
     repairs : deque of Repair
-        The newest last; bounded.
+        The latest ``N_REPAIRS`` repairs, the newest last.
     """
 
     def __init__(self) -> None:
@@ -89,36 +90,36 @@
         *,
         now: float,
     ) -> None:
-        """Compare the folded placement with what was known."""
+        """Update the state of all groups from the placements and the reports."""
         present: set[str] = set()
         for zone, placement in placements_by_zone.items():
             for group in placement.groups_by_name.values():
                 present.add(group.name)
-                whole = confirmations.is_complete(group, now=now)
-                self._look(group, zone, whole=whole, now=now)
+                complete = confirmations.is_complete(group, now=now)
+                self._update(group, zone, complete=complete, now=now)
         for name in self.watches_by_group.keys() - present:
             watch = self.watches_by_group.pop(name)
             watch.repair.end("every host was released", now=now)
 
-    def _look(self, group: Group, zone: str, *, whole: bool, now: float) -> None:
+    def _update(self, group: Group, zone: str, *, complete: bool, now: float) -> None:
         watch = self.watches_by_group.get(group.name)
         if watch is None:
-            repair = self._formed(group, zone, now=now)
+            repair = self._add_formation(group, zone, now=now)
             watch = GroupWatch(state="forming", since=now, repair=repair)
             self.watches_by_group[group.name] = watch
-        state = _next_state(watch.state, group, whole=whole)
+        state = _next_state(watch.state, group, complete=complete)
         if state == watch.state:
             return
         if state == "serving":
             watch.repair.end("serves", now=now)
         if state == "dissolving":
             watch.repair.end("was dissolved before it served,", now=now)
-            watch.repair = self._dissolved(group, zone, now=now)
+            watch.repair = self._add_dissolution(group, zone, now=now)
         watch.state = state
         watch.since = now
 
-    def _formed(self, group: Group, zone: str, *, now: float) -> Repair:
-        return self._keep(
+    def _add_formation(self, group: Group, zone: str, *, now: float) -> Repair:
+        return self._add(
             Repair(
                 at=now,
                 availability_zone=zone,
@@ -132,8 +133,8 @@
             )
         )
 
-    def _dissolved(self, group: Group, zone: str, *, now: float) -> Repair:
-        return self._keep(
+    def _add_dissolution(self, group: Group, zone: str, *, now: float) -> Repair:
+        return self._add(
             Repair(
                 at=now,
                 availability_zone=zone,
@@ -144,14 +145,14 @@
             )
         )
 
-    def _keep(self, repair: Repair) -> Repair:
+    def _add(self, repair: Repair) -> Repair:
         self.repairs.append(repair)
         return repair
 
 
-def _next_state(state: str, group: Group, *, whole: bool) -> str:
+def _next_state(state: str, group: Group, *, complete: bool) -> str:
     if group.dissolved:
         return "dissolving"
-    if whole:
+    if complete:
         return "serving"
     return "broken" if state in ("serving", "broken") else "forming"
--- a/ryelever/coordination/reported_records.py
+++ b/ryelever/coordination/reported_records.py
@@ -1,4 +1,8 @@
-"""Let what backend servers say themselves go before the list for a while."""
+"""Give records that backend servers report themselves precedence over the list.
+
+The list consists of the records of all backend servers in the store.  During an outage
+of the store, entry hosts request the records from the servers themselves.
+"""
 
 from __future__ import annotations
 
@@ -13,98 +17,105 @@
 
 __all__ = ["REPORTED_FOR", "ReportedRecords"]
 
-#: Seconds after the list is read again for which what servers said themselves goes on
-#: before it.  What is read first was written before the outage, and is older; servers
-#: write their entries anew within about two seconds of the store's return.
+#: Seconds after the list is read again during which reported records keep precedence.
+#: Entries that are read first were written before the outage and are older; servers
+#: write their entries again within about two seconds of the store's return.
 REPORTED_FOR = 3.0
 
 
 class ReportedRecords:
-    """Hold what servers said while the list was silent, and what it has shown since.
+    """Store reported records and the listed records that are held back meanwhile.
 
-    A record that was written before an outage and is read after it would show a head
-    that serves as being in no group, and its members would be given to another.
+    If a record from before an outage were applied after it, the head of a serving
+    group might appear to be in no group, and its members would be assigned to another
+    group.
     """
 
     __slots__ = (
-        "_listed_by_server",
-        "_read_again_at",
+        "_held_back_by_server",
+        "_list_resumed_at",
         "_reported_by_server",
-        "_seen_by_server",
+        "_listed_before_by_server",
     )
 
     def __init__(self) -> None:
         self._reported_by_server: dict[str, bytes] = {}
-        # Each server as the list had it before it said anything itself.
-        self._seen_by_server: dict[str, BackendServer] = {}
-        self._listed_by_server: dict[str, bytes] = {}
-        self._read_again_at: float | None = None
+        # Each server as it was listed before its first reported record.
+        self._listed_before_by_server: dict[str, BackendServer] = {}
+        self._held_back_by_server: dict[str, bytes] = {}
+        self._list_resumed_at: float | None = None
 
     def add(
         self, records: list[KeyedRecord], *, seen_by_id: Mapping[str, BackendServer]
     ) -> None:
-        """Take records that go before the list until it was read again for a while.
+        """Add reported records, which keep precedence until ``due`` releases the list.
 
         Parameters
         ----------
         seen_by_id : Mapping of str to BackendServer
-            The servers as they were known until now.
+            Servers as they were known before these records.
         """
-        self._read_again_at = None
+        self._list_resumed_at = None
         for record in records:
             seen = seen_by_id.get(record.key)
             if seen is not None:
-                self._seen_by_server.setdefault(record.key, seen)
+                self._listed_before_by_server.setdefault(record.key, seen)
             self._reported_by_server[record.key] = record.value
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether nothing goes before the list."""
+        """Return whether there are no reported records."""
         return not self._reported_by_server
 
     def holds(self, server_id: str) -> bool:
-        """Tell whether a server's own word goes before its entry now."""
+        """Return whether a server's reported record has precedence over its entry."""
         return server_id in self._reported_by_server
 
-    def is_superseded(self, listed: BackendServer, said: BackendServer) -> bool:
-        """Tell whether an entry is of a later start than what its server has said.
+    def is_superseded(self, listed: BackendServer, reported: BackendServer) -> bool:
+        """Return whether a listed entry is from a later start than the reported record.
 
-        It is, where its start is neither that one's nor the one which the list showed
-        before: a start can't be told to be later by its time, since clocks step.
+        The start is later if it is neither the start of the reported record nor the
+        start that was listed before.  Times of starts are not compared, since clocks
+        step.
         """
-        seen = self._seen_by_server.get(listed.id)
-        return not listed.is_same_incarnation(said) and not (
+        seen = self._listed_before_by_server.get(listed.id)
+        return not listed.is_same_incarnation(reported) and not (
             seen is not None and listed.is_same_incarnation(seen)
         )
 
     def forget(self, server_id: str) -> None:
-        """Let the list go before what a server has said."""
+        """Drop the reported record of a server, so that its entries take effect."""
         self._reported_by_server.pop(server_id, None)
-        self._seen_by_server.pop(server_id, None)
-        self._listed_by_server.pop(server_id, None)
+        self._listed_before_by_server.pop(server_id, None)
+        self._held_back_by_server.pop(server_id, None)
 
     def before(self, record: KeyedRecord, *, now: float) -> bytes | None:
-        """Return what goes before a record of the list, which is held back then.
+        """Return the reported value with precedence over a listed record, or None.
 
-        That an entry is gone counts at once.
+        A listed record without precedence is held back until ``due`` returns it.  The
+        removal of an entry is never held back.
         """
-        said = self._reported_by_server.get(record.key)
-        if said is None or not record.value:
+        reported = self._reported_by_server.get(record.key)
+        if reported is None or not record.value:
             return None
-        if self._read_again_at is None:
-            self._read_again_at = now
-        self._listed_by_server[record.key] = record.value
-        return said
+        if self._list_resumed_at is None:
+            self._list_resumed_at = now
+        self._held_back_by_server[record.key] = record.value
+        return reported
 
     def due(self, *, now: float) -> list[KeyedRecord]:
-        """Return what was held back, once all servers have written anew."""
-        since = self._read_again_at
+        """Return the records that were held back, once precedence has ended.
+
+        Precedence ends ``REPORTED_FOR`` after the list is read again, when all live
+        servers have written their entries again.
+        """
+        since = self._list_resumed_at
         if since is None or now - since < REPORTED_FOR:
             return []
-        held_back, self._listed_by_server = self._listed_by_server, {}
+        held_back, self._held_back_by_server = self._held_back_by_server, {}
         self._reported_by_server.clear()
-        self._seen_by_server.clear()
-        self._read_again_at = None
+        self._listed_before_by_server.clear()
+        self._list_resumed_at = None
         return [
             KeyedRecord(key=server_id, value=data, offset=0)
             for server_id, data in held_back.items()
--- a/ryelever/coordination/server_reading.py
+++ b/ryelever/coordination/server_reading.py
@@ -1,8 +1,9 @@
-"""Decide from whom a host learns what backend servers write into the store.
+"""Decide whether a host reads backend servers' records from the store or from hosts.
 
-Reading it takes half of a link of 20 Mbit/s in a fleet of 3,000 servers, and reads of
-all hosts share the store's rate.  So a few hosts read; the others are told by them, are
-given what they missed by hosts nearby, and read where that doesn't help.
+In a fleet of 3,000 servers, reading the records takes half of a link of 20 Mbit/s, and
+the reads of all hosts share the store's rate.  Therefore a few hosts read the records
+and send updates to the others.  A host that missed updates fetches them from a nearby
+host, and reads from the store only if that fails.
 """
 
 from __future__ import annotations
@@ -19,50 +20,51 @@
     from .topic import TopicFollower
 
 __all__ = [
-    "GAP_PATIENCE",
-    "OTHERS_GAP_PATIENCE",
+    "GAP_TIMEOUT",
+    "OTHERS_GAP_TIMEOUT",
     "MAX_UPDATE_SILENCE",
-    "SILENT_OUTAGE",
+    "OUTAGE_SILENCE",
     "ServerReading",
 ]
 
-#: Seconds for which a host that missed a part of what another one has read waits for
-#: others to give it, before it reads the store itself: the first of a zone, and the
-#: others, which are given it by these.
-GAP_PATIENCE = 1.0
-OTHERS_GAP_PATIENCE = 4.0
+#: Seconds during which a host that missed updates tries to fetch them from other hosts
+#: before it reads the store itself: for the first hosts of a zone, and for the others,
+#: which fetch the updates from the first ones.
+GAP_TIMEOUT = 1.0
+OTHERS_GAP_TIMEOUT = 4.0
 
-#: Seconds without news for which a host leaves the reading to the readers of its zone.
-#: Where the one that reads is lost, another one of them begins within half of it.
+#: Seconds without updates after which a host no longer relies on the readers of its
+#: zone.  If the active reader is lost, another reader starts within half of this time.
 MAX_UPDATE_SILENCE = 2.0
 
-#: The same after which it takes the store for lost, as far as entries that lapse are
-#: concerned: before it reads the store itself, it can't know.
-SILENT_OUTAGE = 1.8
+#: Seconds without any read after which a suspended host assumes an outage of the store,
+#: so that expired entries are not removed.  It can't know of an outage before it reads
+#: the store itself.
+OUTAGE_SILENCE = 1.8
 
 
 class _Missed(msgspec.Struct, kw_only=True, frozen=True):
-    """Say since when this host misses news, and which host has told of them."""
+    """Represent missed updates: since when, and the host that announced them."""
 
     since: float
     provider: str
 
 
 class ServerReading:
-    """Own when a host lists and reads the backend servers' records itself.
+    """Decide when this host lists and reads the backend servers' records itself.
 
     Parameters
     ----------
     servers, hosts : TopicFollower
-        The topics of the backend servers and of the entry hosts.
+        Followers of the topics of backend servers and of entry hosts.
     started_at : float
-        Monotonic time of this host's start.
+        Monotonic time at which this host started.
 
     Attributes
     ----------
     silent_at : float
-        Monotonic time at which this host last left the reading to others, and had
-        heard nothing for as long as an outage takes to show.
+        Last monotonic time at which this host was suspended and nothing had been read
+        for longer than ``OUTAGE_SILENCE``, here or at another host.
     """
 
     __slots__ = (
@@ -70,7 +72,7 @@
         "_hosts",
         "_hosts_known_at",
         "_missed",
-        "_reached_since",
+        "_reachable_since",
         "_servers",
         "_started_at",
         "_heartbeats",
@@ -95,27 +97,28 @@
         self._hosts = hosts
         self._started_at = started_at
         self._hosts_known_at: float | None = None
-        self._reached_since: float | None = None
+        self._reachable_since: float | None = None
         self._missed: _Missed | None = None
         self.silent_at = float("-inf")
 
     # Listing
 
     def begin(self) -> None:
-        """Wait for this host's turn to list."""
+        """Defer listings until ``settle_listing`` allows them."""
         self._hosts.defers_listing = self._servers.defers_listing = True
 
     def settle_listing(self, *, acknowledged_at: float | None, now: float) -> None:
-        """Let this host list once it is its turn.
+        """Allow the listings of this host when they are due.
 
         Parameters
         ----------
         acknowledged_at : float or None
-            Monotonic time at which the store had taken this host's own record.
+            Monotonic time at which the store acknowledged this host's own record;
+            None before that.
         """
         if self._hosts_known_at is None:
-            unannounced = now - self._started_at < UNANNOUNCED
-            self._hosts.defers_listing = acknowledged_at is None and unannounced
+            may_be_unlisted = now - self._started_at < UNANNOUNCED
+            self._hosts.defers_listing = acknowledged_at is None and may_be_unlisted
             if acknowledged_at is not None and self._hosts.listed_at > acknowledged_at:
                 self._hosts_known_at = now
         if self._servers.defers_listing:
@@ -138,10 +141,10 @@
         read_at: float,
         now: float,
     ) -> None:
-        """Leave the reading to the readers of the zone, as long as they tell.
+        """Suspend reads of the servers' topic while other hosts send its updates.
 
-        After an outage each host would read all that was written meanwhile; so the
-        readers begin, and the others get what has changed.
+        After an outage of the store only the first hosts of a zone read all records
+        that were written meanwhile, and the others receive the changes from them.
 
         Parameters
         ----------
@@ -150,49 +153,49 @@
         is_reachable : bool
             Whether the store answers this host.
         last_update_at, read_at : float
-            Monotonic times at which another host told of something, and at which
-            anything was read, here or elsewhere.
+            Monotonic times of the last update from another host, and of the last read
+            by this host or another one.
         """
         if not is_reachable:
-            self._reached_since = None
+            self._reachable_since = None
             reads = self._heartbeats.is_among_first(now=now)
-        elif self._reached_since is None:
-            self._reached_since = now
-        quiet_for = now - max(last_update_at, self._reached_since or now)
+        elif self._reachable_since is None:
+            self._reachable_since = now
+        silent_for = now - max(last_update_at, self._reachable_since or now)
         self._servers.suspended = (
-            not reads and self._servers.is_current and quiet_for < MAX_UPDATE_SILENCE
+            not reads and self._servers.is_current and silent_for < MAX_UPDATE_SILENCE
         )
-        if self._servers.suspended and now - read_at > SILENT_OUTAGE:
+        if self._servers.suspended and now - read_at > OUTAGE_SILENCE:
             self.silent_at = now
 
-    # What is missed
+    # Missed updates
 
     def note_missed(self, updates: ServerUpdates, *, now: float) -> None:
-        """Take news of which this host misses something.
+        """Record updates that show that this host missed earlier ones.
 
-        The store has it too, with all that says nothing new: one host that misses a
-        datagram would read a thousand times as much, and all that missed it would fill
-        the store's link and their own.
+        The store could return them only together with all unchanged records.  A host
+        that missed a datagram would read a thousand times as much, and all hosts that
+        missed it would fill the link of the store and their own links.
         """
         since = now if self._missed is None else self._missed.since
         self._missed = _Missed(since=since, provider=updates.provider)
         if updates.reader < self._host:
-            self._servers.leave_to_others(now=now)
+            self._servers.defer_reading(now=now)
 
     def caught_up(self) -> None:
-        """Take note that some of what was missed has come."""
+        """Record that some of the missed updates were received."""
         self._missed = None
 
     def provider(self, *, now: float) -> str | None:
-        """Return who is to be asked for what is missed; None where nobody is.
+        """Return the host from which missed updates are to be fetched, or None.
 
-        Once nobody has given anything for long, this host reads the store.
+        If no host has provided them within the timeout, this host reads the store.
         """
         if self._missed is None:
             return None
         is_first = self._heartbeats.is_among_first(now=now)
-        patience = GAP_PATIENCE if is_first else OTHERS_GAP_PATIENCE
-        if now - self._missed.since <= patience:
+        timeout = GAP_TIMEOUT if is_first else OTHERS_GAP_TIMEOUT
+        if now - self._missed.since <= timeout:
             return self._missed.provider
-        self._servers.read_on()
+        self._servers.read_now()
         return None
--- a/ryelever/coordination/superseded_records.py
+++ b/ryelever/coordination/superseded_records.py
@@ -1,4 +1,4 @@
-"""Know which records of a topic its listing has overtaken."""
+"""Track which records of a topic are superseded by its listing."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 
 
 class SupersededRecords:
-    """Hold up to where the records of each key are older than its listed one.
+    """Store, for each key, the offset up to which the listing supersedes its records.
 
-    Pages of a listing are no snapshot: what was appended after the first page was made
-    may show in a later one, and is read once more from the first page's end.  Taken
-    again, an older record would show a backend server as it was before, and a planner
-    would give a member of a group that serves to another group.
+    The pages of a listing are no snapshot: a record that was appended after the first
+    page may appear in a later page, and is read again from the end offset of the first
+    page.  If older records of the key were applied then, a backend server would appear
+    in a former state, and a planner would assign a member of a serving group to another
+    group.
     """
 
     __slots__ = ("_listed_offset_by_key",)
@@ -27,23 +28,23 @@
         self._listed_offset_by_key: dict[str, int] = {}
 
     def take_listing(self, records: Iterable[KeyedRecord], *, end: int) -> None:
-        """Take a complete listing.
+        """Record a complete listing, which replaces the former one.
 
         Parameters
         ----------
         end : int
-            Offset from which the topic is read on.
+            Offset from which the topic is read after the listing.
         """
         self._listed_offset_by_key = {
             record.key: record.offset for record in records if record.offset >= end
         }
 
     def supersedes(self, record: KeyedRecord) -> bool:
-        """Tell whether the listing has shown this record, or a later one of its key."""
+        """Return whether the listing contained the record or a later one of its key."""
         listed_offset = self._listed_offset_by_key.get(record.key)
         if listed_offset is None:
             return False
         if record.offset >= listed_offset:
-            # Whatever follows is newer.
+            # All following records of the key are newer.
             del self._listed_offset_by_key[record.key]
         return record.offset <= listed_offset
--- a/ryelever/coordination/topic.py
+++ b/ryelever/coordination/topic.py
@@ -1,4 +1,4 @@
-"""Follow one partition of a keyed topic of the platform's store."""
+"""Follow a partition of a keyed topic in the platform's store."""
 
 from __future__ import annotations
 
@@ -21,33 +21,35 @@
 
 __all__ = ["TopicFollower", "TopicUpdates"]
 
-#: Seconds for which a read waits for a record where they are rare.  Longer ones cost
-#: less, and a connection that has gone silent shows only after them; until then other
-#: hosts tell of what is new.
+#: Seconds during which a read waits for a record of a topic with rare records.  Longer
+#: waits cost less, but a silent connection is detected only after the wait; until then
+#: other hosts announce new records.
 RARE_WAIT = 6.0
 
-#: The same where records come several times a second anyway.
+#: The same for a topic that gets records several times a second anyway.
 BUSY_WAIT = 0.2
 
-#: Seconds beyond the wait for an answer to come; a slow store takes a quarter.
+#: Seconds beyond the wait within which an answer must arrive; a slow store takes a
+#: quarter of this time.
 ANSWER_TIMEOUT = 1.0
 
-#: Seconds for the first byte of a page of a listing, the first time and at most.  A
-#: busy store answers late, and what it has read for a call that was given up is lost.
+#: Seconds until the first byte of a listing's page must arrive: initial and maximum
+#: timeout.  A busy store answers late, and its work for a call that timed out is lost.
 LISTING_TIMEOUT = 1.2
 MAX_LISTING_TIMEOUT = 10.0
 
-#: Seconds for which a host doesn't read what another has passed on.  When that one is
-#: lost, the next reads after this time.
-PASSED_ON = 1.0
+#: Seconds during which a host doesn't read after it received records that another host
+#: has read.  If the other host is lost, this host reads again after this time.
+FORWARDED_READ_DELAY = 1.0
 
-#: Seconds to the next call after a failure, the first time and at most.
+#: Seconds between a failure and the next call: initial and maximum pause.
 FIRST_PAUSE = 0.15
 MAX_PAUSE = 0.8
 
 
-#: Seconds for which a read that has just begun may still bring what is newer.
-PATIENCE = 0.35
+#: Minimum age in seconds of a read that is replaced when another host announces newer
+#: records; a younger read may still return them.
+MIN_READ_AGE = 0.35
 
 
 class _Phase(enum.Enum):
@@ -56,12 +58,12 @@
 
 
 class TopicUpdates(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold what an answer brought.
+    """Represent the records of an answer.
 
     Attributes
     ----------
     complete : bool
-        True where the records are all that there are: any other key is gone.
+        True if the records are a complete listing: all other keys are gone.
     start : int
         Offset of the first record; -1 for a listing.
     """
@@ -72,29 +74,29 @@
 
 
 class TopicFollower(msgspec.Struct, kw_only=True, eq=False):
-    """Decide what to ask next, and what an answer means.
+    """Decide on the next call to the store, and process the answers.
 
-    It lists the newest record of each key, then reads on from there.  Where the
-    store has dropped what would come next, or has come back from an older copy, it
-    lists again.
+    A follower lists the newest record of each key and then reads the topic from the
+    end of the listing.  It lists the topic again if the store has dropped the next
+    records or was restored from an older copy.
 
     Attributes
     ----------
     era : int
-        Era of the store that the offset belongs to.
+        Era of the store to which the offset belongs.
     interval : float
-        Least seconds between two reads, as each of them is paid for.
+        Minimum seconds between two reads, since each read is charged.
     wait : float
-        Seconds for which a read waits for a record.
-    rests : bool
-        True while other hosts tell of what is new, so that only a poke is a reason
-        to read on.
+        Seconds during which a read waits for a record.
+    suspended : bool
+        True while other hosts send new records; the follower then reads only after a
+        call of ``poke`` or ``read_now``.
     listed_at, answered_at, failed_at, asked_at : float
-        Monotonic times of the last complete listing, good answer, failure and call.
+        Monotonic times of the last complete listing, valid answer, failure and call.
     defers_listing : bool
-        True while another host is expected to give what a listing would bring.
+        True while another host is expected to provide the records of a listing.
     n_asked : int
-        Calls so far; the answer to any but the last one is out of date.
+        Number of calls so far; only the answer to the last call is current.
     """
 
     log: KeyedLogInterface
@@ -113,43 +115,47 @@
     is_waiting: bool = False
     n_asked: int = 0
     _phase: _Phase = _Phase.LISTING
-    _asked_phase: _Phase = _Phase.LISTING
-    _asked_from: int = 0
-    _asked_after: str = ""
+    _call_phase: _Phase = _Phase.LISTING
+    _call_offset: int = 0
+    _call_after: str = ""
     _due_at: float = 0.0
     _n_failures: int = 0
     _is_poked: bool = False
-    _after: str = ""
+    _after_key: str = ""
     _listed: list[KeyedRecord] = msgspec.field(default_factory=list)
 
     @property
     def is_current(self) -> bool:
-        """Tell whether all records were seen up to some moment."""
+        """Return whether all records up to some offset are known."""
         return self.listed_at != float("-inf")
 
     @property
     def is_listing(self) -> bool:
-        """Tell whether a listing has begun and has pages left."""
-        return bool(self._after)
+        """Return whether a listing has started and has pages left."""
+        return bool(self._after_key)
 
     def next_call(self, *, now: float) -> LogCall | None:
-        """Return the call that is due, if there is one."""
+        """Return the call that is due, or None."""
         if self.is_waiting or now < self._due_at:
             return None
         if self.suspended and self._phase is _Phase.READING and not self._is_poked:
             return None
-        if self.defers_listing and self._phase is _Phase.LISTING and not self._after:
+        if (
+            self.defers_listing
+            and self._phase is _Phase.LISTING
+            and not self._after_key
+        ):
             return None
         self._is_poked = False
         self.is_waiting = True
         self.n_asked += 1
         self.asked_at = now
-        self._asked_from = self.offset
-        self._asked_phase = self._phase
-        self._asked_after = self._after
+        self._call_offset = self.offset
+        self._call_phase = self._phase
+        self._call_after = self._after_key
         if self._phase is _Phase.LISTING:
             return self.log.newest(
-                self.topic, partition=self.partition, after=self._after
+                self.topic, partition=self.partition, after=self._after_key
             )
         return self.log.read(
             self.topic,
@@ -159,20 +165,19 @@
         )
 
     def poke(self, *, now: float) -> None:
-        """Ask at once, since another host knows of something newer.
+        """Read immediately, since another host announced newer records.
 
-        A read that waits may hang on a connection that has gone silent, and would
-        be given up only seconds later; so it is asked anew, unless it has only just
-        begun.
+        A waiting read may hang on a silent connection and would time out only seconds
+        later.  It is therefore replaced unless it has just started.
         """
-        if now - self.asked_at < PATIENCE:
+        if now - self.asked_at < MIN_READ_AGE:
             return
         self.is_waiting = False
         self._is_poked = True
         self._due_at = 0.0
 
-    def read_on(self) -> None:
-        """Read at once, unless a read is under way."""
+    def read_now(self) -> None:
+        """Read immediately unless a read is in flight."""
         self._is_poked = True
         if not self.is_waiting:
             self._due_at = 0.0
@@ -180,66 +185,68 @@
     @property
     def answer_timeout(self) -> float:
         """Return the seconds after which the last call counts as unanswered."""
-        if self._asked_phase is _Phase.LISTING:
+        if self._call_phase is _Phase.LISTING:
             return min(MAX_LISTING_TIMEOUT, LISTING_TIMEOUT * 2**self._n_failures)
         return self.wait + ANSWER_TIMEOUT
 
     def list_again(self) -> None:
-        """List the topic, as its place in the log says nothing any more."""
+        """List the topic again, since the offset is no longer valid."""
         self._phase = _Phase.LISTING
-        self._after = ""
+        self._after_key = ""
         self._due_at = 0.0
 
     def advance(
         self, *, start: int, end: int, era: int, yields: bool, now: float
     ) -> bool:
-        """Take word that another host has read a part of the topic.
+        """Advance past a part of the topic that another host has read.
 
         Parameters
         ----------
+        start, end : int
+            Offset of the part's first record and offset after its last record.
         era : int
-            Era of the store in which it was read.
+            Era of the store in which the part was read.
         yields : bool
-            Whether that host goes on reading for this one.
+            Whether the other host continues to read for this one.
 
         Returns
         -------
         bool
-            True where that part follows what was seen here, so that its records can
-            be taken as if they had been read.
+            True if no record is missing between the follower's offset and the part,
+            so that its records can be applied as if this host had read them.
         """
         is_comparable = self._phase is _Phase.READING and era == self.era
         follows = is_comparable and start <= self.offset <= end
         if follows:
             self.offset = end
             if yields:
-                self.leave_to_others(now=now)
+                self.defer_reading(now=now)
         return follows
 
     def is_behind(self, updates: ServerUpdates) -> bool:
-        """Tell whether another host has read what this one must be given."""
+        """Return whether this host must fetch records that another host has read."""
         if self._phase is not _Phase.READING or updates.era != self.era:
             return False
         return updates.start > self.offset or (
             updates.to_fetch and updates.end > self.offset
         )
 
-    def leave_to_others(self, *, now: float) -> None:
-        """Read nothing for a while, as what is missed comes from another host."""
-        self._due_at = max(self._due_at, now + PASSED_ON)
+    def defer_reading(self, *, now: float) -> None:
+        """Defer the next read, since another host provides the records."""
+        self._due_at = max(self._due_at, now + FORWARDED_READ_DELAY)
 
     def take_over(self, *, end: int, era: int, now: float) -> None:
-        """Go on from where another host has read, as all its records were given.
+        """Continue at another host's offset, after that host provided all records.
 
         Parameters
         ----------
         end : int
-            Offset up to which that host has read.
+            Offset up to which the other host has read.
         era : int
-            Era of the store in which it has.
+            Era of the store to which the offset belongs.
         """
         self._phase = _Phase.READING
-        self._after = ""
+        self._after_key = ""
         self.offset = end
         self.era = era
         self.listed_at = now
@@ -247,27 +254,28 @@
     def answered(
         self, status: int, body: bytes, *, era: int | None = None, now: float
     ) -> Result[TopicUpdates, RyeleverError]:
-        """Take an answer.
+        """Process an answer of the store and return its records.
 
         Parameters
         ----------
         era : int or None
-            Era of the store that it bears; None where it bears none.
+            Era of the store in the answer; None if the answer contains none.
         """
-        if era is not None and not self._belongs(era):
+        if era is not None and not self._is_current_era(era):
             self.is_waiting = False
             self.answered_at = now
             return Ok(TopicUpdates(records=[]))
-        listing = self._asked_phase is _Phase.LISTING
+        listing = self._call_phase is _Phase.LISTING
         if listing and self._phase is _Phase.READING:
-            # What another host gave meanwhile is as new as this answer.
+            # Another host has provided the records meanwhile; they are as new as this
+            # answer.
             self.is_waiting = False
             return Ok(TopicUpdates(records=[]))
         if listing:
-            outcome = self.log.newest_page(status, body).map(self._take_listing)
+            outcome = self.log.newest_page(status, body).map(self._apply_listing)
         else:
-            outcome = self.log.read_page(status, body, offset=self._asked_from).map(
-                self._take_read
+            outcome = self.log.read_page(status, body, offset=self._call_offset).map(
+                self._apply_read
             )
         if outcome.is_error():
             self.failed(now=now)
@@ -276,53 +284,56 @@
         self._n_failures = 0
         self.answered_at = now
         if self.is_listing:
-            # A host serves nobody before it knows all, and a large fleet's list has
-            # dozens of pages.
+            # Request the next page immediately: a host doesn't serve before it knows
+            # all servers, and the listing of a large fleet has dozens of pages.
             self._due_at = now
             return outcome
-        # A read that brought nothing has waited long enough by itself.
-        # Where another host has passed something on meanwhile, it goes on reading.
+        # A read without records has already waited at the store.  If another host has
+        # sent records meanwhile, that host continues to read and the next read of this
+        # one stays deferred.
         self._due_at = max(self._due_at, now, self.asked_at + self.interval)
         if listing and self._phase is _Phase.READING:
             self.listed_at = now
         return outcome
 
-    def _belongs(self, era: int) -> bool:
-        """Tell whether an answer belongs to what was seen so far, or begins anew.
+    def _is_current_era(self, era: int) -> bool:
+        """Return whether an answer belongs to the era of the offset.
 
-        One of an earlier era was under way while the store came back, and is dropped.
+        The first page of a listing sets the era.  An answer of a later era starts a
+        new listing.  An answer of an earlier era was in flight while the store
+        returned, and is dropped.
         """
-        if self._asked_phase is _Phase.LISTING and not self._asked_after:
+        if self._call_phase is _Phase.LISTING and not self._call_after:
             self.era = era
         if era > self.era:
             self.list_again()
         return era == self.era
 
     def failed(self, *, now: float) -> None:
-        """Take a failure; the next call waits a little longer each time."""
+        """Record a failed call and pause, longer after each consecutive failure."""
         self.is_waiting = False
         self.failed_at = now
         self._due_at = now + min(MAX_PAUSE, FIRST_PAUSE * 2**self._n_failures)
         self._n_failures += 1
 
-    def _take_listing(self, page: NewestPage) -> TopicUpdates:
-        if not self._after:
+    def _apply_listing(self, page: NewestPage) -> TopicUpdates:
+        if not self._after_key:
             self._listed = []
             self.offset = page.end
         self._listed += page.records
         if page.more and page.records:
-            self._after = page.records[-1].key
+            self._after_key = page.records[-1].key
             return TopicUpdates(records=[])
-        self._after = ""
+        self._after_key = ""
         self._phase = _Phase.READING
         return TopicUpdates(records=self._listed, complete=True)
 
-    def _take_read(self, page: ReadPage) -> TopicUpdates:
+    def _apply_read(self, page: ReadPage) -> TopicUpdates:
         if page.expired:
             self._phase = _Phase.LISTING
             return TopicUpdates(records=[])
         start = self.offset
-        # What another host has passed on meanwhile is not taken twice.
+        # Records that another host has sent meanwhile are not applied again.
         records = [record for record in page.records if record.offset >= start]
         if records:
             self.offset = records[-1].offset + 1
--- a/ryelever/coordination/transfer_rate.py
+++ b/ryelever/coordination/transfer_rate.py
@@ -1,23 +1,24 @@
-"""Bound what a host gives to hosts that start."""
+"""Limit the rate at which a host provides data to starting hosts."""
 
 from __future__ import annotations
 
 __all__ = ["LINK_SHARE", "TransferRate"]
 
-#: Part of the host's link that what it gives may take; callers need the rest.
+#: Fraction of the host's link that transfers may use; callers need the rest.
 LINK_SHARE = 0.4
 
 
 class TransferRate:
-    """Decide whether something long is given now.
+    """Decide whether a long transfer to another host may start.
 
-    Who is refused asks another host.  Each that was given it gives it in turn, so
-    their number doubles within the time that one copy takes.
+    A host that is refused sends its request to another host.  Each host that has
+    received the data provides it to others, so the number of providers doubles within
+    the time of one transfer.
 
     Parameters
     ----------
     link_rate : float
-        Bytes a second that the host's link carries.
+        Capacity of the host's link in bytes a second.
     """
 
     __slots__ = ("_free_at", "_rate")
@@ -27,9 +28,9 @@
         self._free_at = float("-inf")
 
     def is_free(self, *, now: float) -> bool:
-        """Tell whether what was given before has left."""
+        """Return whether all earlier transfers have been sent at the allowed rate."""
         return now >= self._free_at
 
     def record_sent(self, size: int, *, now: float) -> None:
-        """Take note of some bytes that are leaving."""
+        """Record a transfer of ``size`` bytes that starts now."""
         self._free_at = max(now, self._free_at) + size / self._rate
--- a/ryelever/coordination/zone_summary.py
+++ b/ryelever/coordination/zone_summary.py
@@ -1,8 +1,8 @@
-"""Say for an availability zone what its entry hosts say for themselves.
+"""Merge the heartbeats of an availability zone's entry hosts into a zone heartbeat.
 
-Were each host to tell each host of other zones, words would grow with the square of
-the number of hosts: at 390 hosts they took a twelfth of a core on each of them.  So
-one host of a zone speaks for it.
+If each host sent heartbeats to each host of the other zones, their number would grow
+with the square of the number of hosts: with 390 hosts they took a twelfth of a core on
+each host.  Therefore one host represents its zone.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 
 def zone_summary(own: HostHeartbeat, others: Iterable[HostHeartbeat]) -> HostHeartbeat:
-    """Return what a host says for its zone.
+    """Return the merged heartbeat that a host sends for its zone.
 
     Parameters
     ----------
     own : HostHeartbeat
-        What it says for itself.
+        The host's own heartbeat.
     others : iterable of HostHeartbeat
-        The newest words of the zone's other hosts.
+        Newest heartbeats of the zone's other hosts.
     """
     heartbeats = [own, *others]
     in_flight: Counter[str] = Counter()
--- a/tests/test_coordination/test_superseded_records.py
+++ b/tests/test_coordination/test_superseded_records.py
@@ -1,4 +1,4 @@
-"""Test which records count as overtaken by a listing."""
+"""Test which records are superseded by a listing."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 @pytest.fixture
 def overtaken() -> SupersededRecords:
-    """Return what is known after a listing whose first page ended at 10."""
-    found = SupersededRecords()
-    found.take_listing([_record("a", 4), _record("b", 12)], end=10)
-    return found
+    """Return the records superseded by a listing whose first page ended at 10."""
+    records = SupersededRecords()
+    records.take_listing([_record("a", 4), _record("b", 12)], end=10)
+    return records
 
 
-def test_records_up_to_the_listed_one_are_overtaken(
+def test_records_up_to_the_listed_one_are_superseded(
     overtaken: SupersededRecords,
 ) -> None:
-    held = [overtaken.supersedes(_record("b", offset)) for offset in (10, 12, 13)]
-    assert held == [True, True, False]
+    results = [overtaken.supersedes(_record("b", offset)) for offset in (10, 12, 13)]
+    assert results == [True, True, False]
 
 
-def test_a_key_that_was_listed_before_the_first_pages_end_is_not_overtaken(
+def test_records_after_a_key_listed_before_the_end_are_not_superseded(
     overtaken: SupersededRecords,
 ) -> None:
     assert not overtaken.supersedes(_record("a", 10))
     assert not overtaken.supersedes(_record("unlisted", 11))
 
 
-def test_the_next_listing_takes_the_place_of_the_former(
+def test_a_listing_replaces_the_former_one(
     overtaken: SupersededRecords,
 ) -> None:
     overtaken.take_listing([_record("b", 30)], end=40)
--- a/tests/test_coordination/test_topic.py
+++ b/tests/test_coordination/test_topic.py
@@ -1,4 +1,4 @@
-"""Test how a topic of the store is followed."""
+"""Test how a topic of the store is listed and read."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     return follower
 
 
-def test_it_lists_then_reads_on() -> None:
+def test_a_follower_lists_and_then_reads() -> None:
     follower = _follower()
     assert follower.next_call(now=0.0).path.startswith("/log-newest?")
     assert not follower.is_current
@@ -60,18 +60,18 @@
         200, _listing("a", end=7, more=True), now=0.0
     ).ok.complete
     assert "after=a" in follower.next_call(now=0.1).path
-    # What was appended meanwhile is read again from the first page's end.
+    # Records appended during the listing are read from the end of the first page.
     updates = follower.answered(200, _listing("b", end=9), now=0.1).ok
     assert [record.key for record in updates.records] == ["a", "b"]
     assert "from=7" in follower.next_call(now=0.2).path
 
 
-def test_pages_of_a_listing_follow_each_other_at_once() -> None:
-    """See that a listing of many pages takes as long as its answers do.
+def test_pages_of_a_listing_are_requested_without_a_pause() -> None:
+    """Guard against a pause between the pages of a listing.
 
-    Symptom: 43 of 195 hosts were ready when callers came, 16 s after they started.
-    Sequence: 925 servers are listed by 50 a page, which is nineteen pages.
-    Cause: each page waited for the least time between two reads after the one before.
+    925 servers are listed in nineteen pages of 50.  If each page waited for the minimum
+    interval between two reads, hosts would become ready late: 43 of 195 hosts were
+    ready when callers arrived 16 s after the start.
     """
     follower = _follower(interval=0.3)
     now = 0.0
@@ -84,7 +84,7 @@
         assert follower.is_listing == more
     assert follower.is_current
     assert now < 0.1
-    # Reads keep their distance.
+    # Reads after the listing keep the minimum interval.
     assert follower.next_call(now=now) is None
 
 
@@ -98,16 +98,15 @@
 @pytest.mark.parametrize(
     ("status", "body"),
     [
-        pytest.param(410, b"{}", id="said"),
-        pytest.param(200, _page(20, 12, b"\x01av"), id="shown"),
+        pytest.param(410, b"{}", id="by status"),
+        pytest.param(200, _page(20, 12, b"\x01av"), id="by first offset"),
     ],
 )
-def test_history_that_is_dropped_is_listed_anew(status: int, body: bytes) -> None:
-    """Show that nothing is missed when the store drops what would be read next.
+def test_a_topic_with_dropped_history_is_listed_again(status: int, body: bytes) -> None:
+    """Guard against an accepted configuration that is not in force at one entry host.
 
-    Symptom: a configuration that was accepted is not in force on one entry host.
-    Sequence: it is written, and the history is dropped before the host reads it.
-    Cause: reading on from what is left would skip it.
+    The configuration is written, and the store drops the history before the host reads
+    it.  A read of the remaining records would skip the configuration.
     """
     follower = _listed()
     follower.next_call(now=1.0)
@@ -115,7 +114,7 @@
     assert follower.next_call(now=1.1).path.startswith("/log-newest?")
 
 
-def test_failures_are_asked_again_a_little_later_each_time() -> None:
+def test_pauses_after_failures_grow() -> None:
     follower = _listed()
     pauses = []
     now = 1.0
@@ -132,8 +131,8 @@
     assert pauses[-1] <= MAX_PAUSE + 0.02
 
 
-def test_a_listing_that_is_late_gets_more_time_each_time() -> None:
-    """Guard against hosts that throw away what a busy store was about to give."""
+def test_the_timeout_of_a_listing_grows_with_each_failure() -> None:
+    """Guard against hosts that cancel listings that a busy store is about to answer."""
     follower = _follower()
     timeouts = []
     now = 0.0
@@ -151,14 +150,12 @@
     assert follower.answer_timeout == timeouts[0]
 
 
-def test_word_of_something_newer_ends_a_read_that_hangs() -> None:
-    """Show that a read which will never be answered holds nothing up.
+def test_an_announcement_replaces_a_hanging_read() -> None:
+    """Guard against an accepted configuration that is not in force for 5 s at a host.
 
-    Symptom: an accepted configuration is not in force on one entry host for 5 s.
-    Sequence: the host's read waits for a record, its connection goes silent, the
-    configuration is written, other hosts have it.
-    Cause: the read is given up only after its whole wait, and word from the other
-    hosts started no new one meanwhile.
+    The host's read waits for a record, its connection goes silent, and the
+    configuration is written and read by other hosts.  The read times out only after its
+    full wait, so the announcement from other hosts must start a new read.
     """
     follower = _listed()
     hanging = follower.next_call(now=1.0)
@@ -169,49 +166,48 @@
     assert follower.n_asked == first + 1
 
 
-def test_word_of_something_newer_does_not_end_a_read_that_just_began() -> None:
+def test_an_announcement_does_not_replace_a_read_that_just_started() -> None:
     follower = _listed()
     assert follower.next_call(now=1.0) is not None
     follower.poke(now=1.1)
     assert follower.next_call(now=1.1) is None
 
 
-def test_what_another_host_has_read_is_not_read_again() -> None:
+def test_records_read_by_another_host_are_not_read_again() -> None:
     follower = _listed(interval=0.3)
     assert follower.advance(start=7, end=12, era=0, yields=True, now=0.2)
     assert follower.next_call(now=0.9) is None
-    # When that host is lost, this one reads on where it was.
+    # If the other host is lost, this one continues at the end of the forwarded part.
     assert "from=12" in follower.next_call(now=1.3).path
 
 
-def test_what_another_host_has_read_is_taken_only_in_its_order() -> None:
-    """Show that a lost datagram loses no record.
+def test_records_read_by_another_host_are_applied_without_gaps() -> None:
+    """Guard against a leaving backend server that still gets requests from a host.
 
-    Symptom: a leaving backend server goes on getting requests from one host.
-    Sequence: the datagram that tells of its leaving is lost, and later ones come.
-    Cause: taking them would skip what the lost one held.
+    The datagram with the record of the leaving server is lost, and later datagrams are
+    received.  Applying their records would skip the records of the lost datagram.
     """
     follower = _listed(interval=0.3)
     assert not follower.advance(start=9, end=12, era=0, yields=True, now=0.2)
     assert "from=7" in follower.next_call(now=0.35).path
-    # An answer that crosses with what was passed on is not taken twice.
+    # Records that were forwarded while the read was in flight are not applied again.
     assert follower.advance(start=7, end=8, era=0, yields=True, now=0.36)
     body = _page(9, 0, b"\x01av1", b"\x01bv2")
     updates = follower.answered(200, body, now=0.4).ok
     assert [record.key for record in updates.records] == ["b"]
 
 
-def test_the_host_that_reads_for_all_goes_on_reading() -> None:
+def test_the_host_that_reads_for_all_continues_to_read() -> None:
     follower = _listed(interval=0.3)
     assert follower.advance(start=7, end=12, era=0, yields=False, now=0.2)
     assert "from=12" in follower.next_call(now=0.35).path
 
 
-def test_before_its_first_listing_nothing_is_taken() -> None:
+def test_forwarded_records_are_ignored_before_the_first_listing() -> None:
     assert not _follower().advance(start=0, end=5, era=0, yields=True, now=0.0)
 
 
-def test_a_follower_that_rests_asks_only_when_it_is_poked() -> None:
+def test_a_suspended_follower_reads_only_when_it_is_poked() -> None:
     follower = _listed()
     follower.suspended = True
     assert follower.next_call(now=1.0) is None
@@ -223,12 +219,12 @@
     assert "from=7" in follower.next_call(now=9.0).path
 
 
-def test_a_follower_that_rests_lists_first() -> None:
+def test_a_suspended_follower_lists_first() -> None:
     follower = _follower(suspended=True)
     assert follower.next_call(now=0.0).path.startswith("/log-newest?")
 
 
-def _begun(*, era: int) -> TopicFollower:
+def _new_reading_follower(*, era: int) -> TopicFollower:
     """Return a follower that has listed a topic up to offset 7."""
     follower = _follower()
     follower.next_call(now=0.0)
@@ -238,9 +234,9 @@
 
 
 def test_a_log_of_a_later_era_is_listed_again() -> None:
-    """Guard against records that took the offsets of lost ones and are never read."""
-    follower = _begun(era=1)
-    # The log lost three records and got five others since.
+    """Guard against records at the offsets of lost records that are never read."""
+    follower = _new_reading_follower(era=1)
+    # The log has lost three records and received five others since then.
     updates = follower.answered(200, _page(end=9, first=0), era=2, now=0.5)
     assert updates.ok.records == []
     assert "log-newest" in follower.next_call(now=0.6).path
@@ -249,8 +245,8 @@
     assert (follower.era, follower.offset) == (2, 9)
 
 
-def test_a_listing_that_spans_two_eras_begins_anew() -> None:
-    """Guard against a list that is put together of two states of the store."""
+def test_a_listing_that_spans_two_eras_starts_again() -> None:
+    """Guard against a listing that mixes two states of the store."""
     follower = _follower()
     follower.next_call(now=0.0)
     follower.answered(200, _listing("a", end=7, more=True), era=1, now=0.1)
@@ -262,15 +258,15 @@
 
 
 def test_an_answer_of_an_earlier_era_is_dropped() -> None:
-    """Guard against an answer that was under way while the store came back."""
-    follower = _begun(era=2)
+    """Guard against an answer that was in flight while the store was restored."""
+    follower = _new_reading_follower(era=2)
     updates = follower.answered(200, _page(end=9, first=0), era=1, now=0.5)
     assert updates.ok.records == []
     assert "from=7" in follower.next_call(now=0.6).path
 
 
-def test_what_was_read_in_another_era_follows_nothing() -> None:
-    """Guard against offsets of two eras that are compared."""
-    follower = _begun(era=1)
+def test_records_read_in_another_era_are_ignored() -> None:
+    """Guard against comparing offsets of two eras."""
+    follower = _new_reading_follower(era=1)
     assert not follower.advance(start=5, end=12, era=2, yields=True, now=0.5)
     assert follower.offset == 7
--- a/tests/test_coordination/test_transfer_rate.py
+++ b/tests/test_coordination/test_transfer_rate.py
@@ -1,4 +1,4 @@
-"""Test how much a host gives to hosts that start."""
+"""Test the rate at which a host provides data to starting hosts."""
 
 from __future__ import annotations
 
@@ -10,19 +10,21 @@
 
 @given(
     link_rate=st.floats(1e5, 1e8),
-    asks=st.lists(
+    requests=st.lists(
         st.tuples(st.floats(0.0, 2.0), st.integers(1, 1_000_000)), max_size=60
     ),
 )
-def test_what_is_given_leaves_most_of_the_link(
-    link_rate: float, asks: list[tuple[float, int]]
+def test_transfers_use_a_limited_share_of_the_link(
+    link_rate: float, requests: list[tuple[float, int]]
 ) -> None:
-    """Guard against a host that serves no callers while others start."""
-    giving = TransferRate(link_rate=link_rate)
-    now, given_before, last = 0.0, 0, 0
-    for pause, size in asks:
+    """Guard against a host that can't serve callers while other hosts start."""
+    transfers = TransferRate(link_rate=link_rate)
+    now, n_bytes_before, last_size = 0.0, 0, 0
+    for pause, size in requests:
         now += pause
-        if giving.is_free(now=now):
-            giving.record_sent(size, now=now)
-            assert given_before <= LINK_SHARE * link_rate * now * (1 + 1e-6) + last
-            given_before, last = given_before + size, size
+        if transfers.is_free(now=now):
+            transfers.record_sent(size, now=now)
+            assert (
+                n_bytes_before <= LINK_SHARE * link_rate * now * (1 + 1e-6) + last_size
+            )
+            n_bytes_before, last_size = n_bytes_before + size, size
