--- a/ryelever/coordination/__init__.py
+++ b/ryelever/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under time and faults: events and a time in, actions out."""
+"""Decision logic that maps events and the current time to actions, without I/O."""
--- a/ryelever/coordination/actions.py
+++ b/ryelever/coordination/actions.py
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Usage:
-    """Count the tokens of one answer."""
+    """Represent the token counts of an answer."""
 
     n_prompt_tokens: int = 0
     n_completion_tokens: int = 0
--- a/ryelever/coordination/host_heartbeats.py
+++ b/ryelever/coordination/host_heartbeats.py
@@ -224,8 +224,10 @@
         if heartbeat.host == self._host:
             return False
         received = self._heard_by_host.get(heartbeat.host)
-        same_boot = received is not None and received.heartbeat.boot == heartbeat.boot
-        if same_boot and heartbeat.sequence <= received.heartbeat.sequence:
+        is_same_boot = (
+            received is not None and received.heartbeat.boot == heartbeat.boot
+        )
+        if is_same_boot and heartbeat.sequence <= received.heartbeat.sequence:
             return False
         self._remove(heartbeat.host)
         if heartbeat.for_zone:
--- a/ryelever/coordination/polling.py
+++ b/ryelever/coordination/polling.py
@@ -82,9 +82,9 @@
         rank = self._rank_by_server.get(server)
         if rank is None:
             names = [*self._members, self._host]
-            chosen = rendezvous(server, names, n_chosen=self._n_pollers)
-            is_poller = self._host in chosen
-            rank = chosen.index(self._host) if is_poller else self._n_pollers
+            pollers = rendezvous(server, names, n_chosen=self._n_pollers)
+            is_poller = self._host in pollers
+            rank = pollers.index(self._host) if is_poller else self._n_pollers
             if is_poller and len(names) > MAX_HOSTS_WITH_STANDBY:
                 rank = 0
             self._rank_by_server[server] = rank
--- a/ryelever/coordination/topic.py
+++ b/ryelever/coordination/topic.py
@@ -95,7 +95,7 @@
         Monotonic times of the last complete listing, valid answer, failure and call.
     defers_listing : bool
         True while another host is expected to provide the records of a listing.
-    n_asked : int
+    n_calls : int
         Number of calls so far; only the answer to the last call is current.
     """
 
@@ -112,8 +112,8 @@
     answered_at: float = float("-inf")
     failed_at: float = float("-inf")
     asked_at: float = float("-inf")
-    is_waiting: bool = False
-    n_asked: int = 0
+    is_in_flight: bool = False
+    n_calls: int = 0
     _phase: _Phase = _Phase.LISTING
     _call_phase: _Phase = _Phase.LISTING
     _call_offset: int = 0
@@ -136,7 +136,7 @@
 
     def next_call(self, *, now: float) -> LogCall | None:
         """Return the call that is due, or None."""
-        if self.is_waiting or now < self._due_at:
+        if self.is_in_flight or now < self._due_at:
             return None
         if self.suspended and self._phase is _Phase.READING and not self._is_poked:
             return None
@@ -147,8 +147,8 @@
         ):
             return None
         self._is_poked = False
-        self.is_waiting = True
-        self.n_asked += 1
+        self.is_in_flight = True
+        self.n_calls += 1
         self.asked_at = now
         self._call_offset = self.offset
         self._call_phase = self._phase
@@ -172,14 +172,14 @@
         """
         if now - self.asked_at < MIN_READ_AGE:
             return
-        self.is_waiting = False
+        self.is_in_flight = False
         self._is_poked = True
         self._due_at = 0.0
 
     def read_now(self) -> None:
         """Read immediately unless a read is in flight."""
         self._is_poked = True
-        if not self.is_waiting:
+        if not self.is_in_flight:
             self._due_at = 0.0
 
     @property
@@ -262,14 +262,14 @@
             Era of the store in the answer; None if the answer contains none.
         """
         if era is not None and not self._is_current_era(era):
-            self.is_waiting = False
+            self.is_in_flight = False
             self.answered_at = now
             return Ok(TopicUpdates(records=[]))
         listing = self._call_phase is _Phase.LISTING
         if listing and self._phase is _Phase.READING:
             # Another host has provided the records meanwhile; they are as new as this
             # answer.
-            self.is_waiting = False
+            self.is_in_flight = False
             return Ok(TopicUpdates(records=[]))
         if listing:
             outcome = self.log.newest_page(status, body).map(self._apply_listing)
@@ -280,7 +280,7 @@
         if outcome.is_error():
             self.failed(now=now)
             return outcome
-        self.is_waiting = False
+        self.is_in_flight = False
         self._n_failures = 0
         self.answered_at = now
         if self.is_listing:
@@ -311,7 +311,7 @@
 
     def failed(self, *, now: float) -> None:
         """Record a failed call and pause, longer after each consecutive failure."""
-        self.is_waiting = False
+        self.is_in_flight = False
         self.failed_at = now
         self._due_at = now + min(MAX_PAUSE, FIRST_PAUSE * 2**self._n_failures)
         self._n_failures += 1
--- a/tests/test_coordination/test_host_heartbeats.py
+++ b/tests/test_coordination/test_host_heartbeats.py
@@ -175,7 +175,7 @@
     assert 1 < len(parts) <= MAX_UPDATE_DATAGRAMS
 
 
-def test_a_short_datagram_unpacks_to_no_more_than_its_bound() -> None:
+def test_a_short_datagram_is_not_unpacked_beyond_its_limit() -> None:
     bomb = COMPRESSED_UPDATES + zlib.compress(bytes(64 << 20), 9)
     assert len(bomb) < 100_000
     assert isinstance(decode_datagram(bomb, peer="a"), RyeleverError)
@@ -349,7 +349,7 @@
     assert plans(0.2)
 
 
-def test_a_zone_without_hosts_is_planned_for_by_others(
+def test_hosts_of_other_zones_plan_for_a_zone_without_hosts(
     heartbeats: HostHeartbeats,
 ) -> None:
     def plans(now: float) -> bool:
--- a/tests/test_coordination/test_log_writer.py
+++ b/tests/test_coordination/test_log_writer.py
@@ -140,7 +140,7 @@
 
 
 def test_writer_that_stops_requesting_does_not_block_others() -> None:
-    """Guard against a writer that blocks the queue for ever.
+    """Guard against a writer that blocks the queue forever.
 
     A writer waits for an append, and its record is read back in the meantime.  If the
     writer kept its position in the queue, no other writer could append.
--- a/tests/test_coordination/test_measures.py
+++ b/tests/test_coordination/test_measures.py
@@ -126,7 +126,7 @@
     assert [sample.n_groups_down for sample in fleet.measures.samples] == [1, 0, 0, 0]
 
 
-def test_samples_are_bounded(fleet: Fleet) -> None:
+def test_number_of_kept_samples_is_limited(fleet: Fleet) -> None:
     for now in range(0, 10 * (N_SAMPLES + 50), 10):
         fleet.measures.tick(fleet.view, now=now)
     assert len(fleet.measures.samples) == N_SAMPLES
@@ -175,7 +175,7 @@
     assert _lines(fleet)[0][2] == "was dissolved before it served, within 2 s"
 
 
-def test_history_of_repairs_is_bounded(fleet: Fleet) -> None:
+def test_number_of_kept_repairs_is_limited(fleet: Fleet) -> None:
     for now in range(N_REPAIRS + 50):
         fleet.placement.groups_by_name = {f"g{now}": _group(f"g{now}")}
         fleet.run(start=now, stop=now + 1)
--- a/tests/test_coordination/test_polling.py
+++ b/tests/test_coordination/test_polling.py
@@ -143,7 +143,7 @@
     assert following.is_due(server, zone="a", reported_at=reported_at, now=now) == due
 
 
-def watch() -> FleetWatch:
+def new_fleet_watch() -> FleetWatch:
     settings = Settings(
         host="e1",
         availability_zone="a",
@@ -180,7 +180,7 @@
 def test_reports_of_peers_on_a_server(
     reports: list[tuple[str, float]], known: str | None
 ) -> None:
-    fleet = watch()
+    fleet = new_fleet_watch()
     for state, at in reports:
         record_report(fleet, state, at=at, now=10.0)
     report = fleet.confirmations.fresh("w1", now=10.0)
@@ -201,7 +201,7 @@
     bears, regardless of the polled host, the report of one host would count for the
     other.
     """
-    fleet = watch()
+    fleet = new_fleet_watch()
     body = encode(
         HostReport(host=answering_host, boot="b", state="ready", group="g", fencing=7)
     )
@@ -219,7 +219,7 @@
     or as the answer to a delayed poll or order of this host.  Since the refusal removes
     the known report, the earlier report would look new.
     """
-    fleet = watch()
+    fleet = new_fleet_watch()
     fleet.refused("w1", at=9.5)
     record_report(fleet, "ready", at=9.4, now=10.0)
     assert fleet.confirmations.fresh("w1", now=10.0) is None
--- a/tests/test_coordination/test_readiness.py
+++ b/tests/test_coordination/test_readiness.py
@@ -11,7 +11,7 @@
 )
 
 
-def _knows(text: str, n_unreported: int = 0) -> ReadinessInputs:
+def _inputs(text: str, n_unreported: int = 0) -> ReadinessInputs:
     return ReadinessInputs(
         has_configuration="c" in text,
         has_hosts="h" in text,
@@ -21,27 +21,27 @@
 
 
 CASES = {
-    "nothing is known, however long": ([(0, _knows("")), (99, _knows(""))], False),
-    "no configuration": ([(0, _knows("hp")), (99, _knows("hp"))], False),
-    "no list of hosts": ([(0, _knows("cp")), (99, _knows("cp"))], False),
-    "placement not read": ([(0, _knows("ch"))], False),
-    "an engine without a report": ([(0, _knows("chp", 1))], False),
-    "all is known": ([(0, _knows("chp"))], True),
-    "known step by step": ([(0, _knows("ch", 4)), (1, _knows("chp"))], True),
+    "nothing is known, however long": ([(0, _inputs("")), (99, _inputs(""))], False),
+    "no configuration": ([(0, _inputs("hp")), (99, _inputs("hp"))], False),
+    "no list of hosts": ([(0, _inputs("cp")), (99, _inputs("cp"))], False),
+    "placement not read": ([(0, _inputs("ch"))], False),
+    "an engine without a report": ([(0, _inputs("chp", 1))], False),
+    "all is known": ([(0, _inputs("chp"))], True),
+    "known step by step": ([(0, _inputs("ch", 4)), (1, _inputs("chp"))], True),
     "just before the end of the wait": (
-        [(5, _knows("ch")), (4.9 + INPUTS_TIMEOUT, _knows("ch"))],
+        [(5, _inputs("ch")), (4.9 + INPUTS_TIMEOUT, _inputs("ch"))],
         False,
     ),
     "log away, waited long enough": (
-        [(5, _knows("ch", 2)), (5 + INPUTS_TIMEOUT, _knows("ch", 2))],
+        [(5, _inputs("ch", 2)), (5 + INPUTS_TIMEOUT, _inputs("ch", 2))],
         True,
     ),
     "the wait begins with the list": (
-        [(0, _knows("c")), (INPUTS_TIMEOUT, _knows("ch"))],
+        [(0, _inputs("c")), (INPUTS_TIMEOUT, _inputs("ch"))],
         False,
     ),
     "ready once, then the fleet goes dark": (
-        [(0, _knows("chp")), (1, _knows("c", 9))],
+        [(0, _inputs("chp")), (1, _inputs("c", 9))],
         True,
     ),
 }
--- a/tests/test_coordination/test_topic.py
+++ b/tests/test_coordination/test_topic.py
@@ -88,7 +88,7 @@
     assert follower.next_call(now=now) is None
 
 
-def test_one_call_at_a_time_and_not_too_often() -> None:
+def test_one_call_is_in_flight_and_reads_keep_their_interval() -> None:
     follower = _listed(interval=0.3)
     assert follower.next_call(now=0.1) is None
     assert follower.next_call(now=0.3) is not None
@@ -160,10 +160,10 @@
     follower = _listed()
     hanging = follower.next_call(now=1.0)
     assert hanging is not None
-    first = follower.n_asked
+    first = follower.n_calls
     follower.poke(now=1.5)
     assert follower.next_call(now=1.5) is not None
-    assert follower.n_asked == first + 1
+    assert follower.n_calls == first + 1
 
 
 def test_an_announcement_does_not_replace_a_read_that_just_started() -> None:
