--- a/ryelever/coordination/groups/__init__.py
+++ b/ryelever/coordination/groups/__init__.py
@@ -1,6 +1,7 @@
-"""Form, keep, mend and end the replica groups of an availability zone.
+"""Form, maintain, repair and disband the replica groups of an availability zone.
 
-Records in the store say which groups there are; orders carry them out.
+Records in the store define the groups that exist; orders to backend servers put them
+into effect.
 """
 
 from .order_queue import OrderQueue
--- a/ryelever/coordination/groups/adoption.py
+++ b/ryelever/coordination/groups/adoption.py
@@ -1,7 +1,7 @@
-"""Take over groups that members report, and that have no record in the store.
+"""Adopt groups that servers report but that have no record in the store.
 
-The record of a group may have been dropped by an append that was carried out late.
-Without it the members would look free while their head serves.
+A late append may have dropped the record of a group that serves.  Without the record
+the group's members would appear to be free.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 
 __all__ = ["ADOPT_AFTER", "GroupAdoption"]
 
-#: Seconds for which a group that has no record is left alone: the record of one that
-#: another planner has just decided on may still be on its way here.
+#: Seconds for which a group without a record is ignored: the record of a group that
+#: another planner has just formed may not have been read here yet.
 ADOPT_AFTER = 1.5
 
 
 class GroupAdoption:
-    """Find such groups in one availability zone, and give them to its keeper.
+    """Find unrecorded groups of one availability zone and have them managed.
 
     Parameters
     ----------
     stall_time : float
-        Seconds for which a group stands still when a member is lost.
+        Seconds for which a group stalls after losing a member until it is broken.
     log : callable
-        Take one line about a decision: its name and its fields.
+        Called with the event name and the fields of each log line.
     """
 
     def __init__(
@@ -53,8 +53,8 @@
         self._log = log
         self._unknown_since: dict[tuple[str, int], float] = {}
 
-    def look(self, table: RouteTable, *, now: float) -> None:
-        """Take over the groups that have been without a record for a while."""
+    def adopt_unrecorded(self, table: RouteTable, *, now: float) -> None:
+        """Adopt the groups that have had no record for ``ADOPT_AFTER`` seconds."""
         reported = self._reported(table)
         for key in self._unknown_since.keys() - reported.keys():
             del self._unknown_since[key]
@@ -62,12 +62,12 @@
             since = self._unknown_since.setdefault(key, now)
             members.sort(key=lambda server: server.group.rank)
             if now - since > ADOPT_AFTER and members[0].group.rank == 0:
-                self._take_over(members, table, now=now)
+                self._adopt(members, table, now=now)
 
-    def is_unsettled(self, server: BackendServer, *, now: float) -> bool:
-        """Tell whether a server may be in a group that serves and has no record.
+    def may_be_in_unrecorded_group(self, server: BackendServer, *, now: float) -> bool:
+        """Return whether a server may be in a serving group without a record.
 
-        Where the head doesn't show, the group has broken off some time after that.
+        A group whose head is missing is broken after the stall time.
         """
         report = server.group
         if report is None or self._is_known(server):
@@ -76,15 +76,15 @@
         return now - since <= self._stall_time + STALL_SLACK
 
     def _is_known(self, server: BackendServer) -> bool:
-        """Tell whether the keeper holds the group of a server, or saw its last end."""
+        """Return whether a server's group is managed, or ended and was not revived."""
         report = server.group
         known = self._manager.knows(report.name, report.epoch)
-        return known and not self._manager.is_back(server)
+        return known and not self._manager.heads_ended_group(server)
 
     def _reported(
         self, table: RouteTable
     ) -> dict[tuple[str, int], list[BackendServer]]:
-        """Return the members of the groups that aren't known, by name and epoch."""
+        """Return the members of unknown groups by the groups' name and epoch."""
         reported: dict[tuple[str, int], list[BackendServer]] = {}
         for service in table.services_by_name.values():
             for server in self._directory.of_service(service.name):
@@ -96,7 +96,7 @@
                     reported.setdefault(key, []).append(server)
         return reported
 
-    def _take_over(
+    def _adopt(
         self, members: list[BackendServer], table: RouteTable, *, now: float
     ) -> None:
         head = members[0]
--- a/ryelever/coordination/groups/disbanding.py
+++ b/ryelever/coordination/groups/disbanding.py
@@ -1,106 +1,113 @@
-"""Choose the groups whose members are worth more in a group of another model."""
+"""Choose the groups to disband so that their members serve a needier model."""
 
 from __future__ import annotations
 
 from itertools import groupby
 from typing import TYPE_CHECKING
 
-from .forming import by_domain, is_quick
+from .forming import by_domain, joins_quickly
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
     from ...state.directory import BackendServer
     from ...state.routes import ModelProfile
-    from .forming import FormingRules, StandingGroup
+    from .forming import FormingRules, ServingGroup
 
 __all__ = ["choose_disbanding"]
 
-#: How much busier the groups of one model must be than those of another would be
-#: after the loss of some, for these to be taken apart.  A change costs two seconds
-#: of a group, and one that is soon reversed costs them twice.
+#: Minimum ratio between the utilization of the neediest model's groups and that of
+#: another model's groups after some of them are disbanded.  Each change costs two
+#: seconds of a group, and a change that is soon reversed costs them twice.
 DISBAND_RATIO = 1.25
 
-#: Part of its time for which the neediest model's groups are busy at the least for
-#: others to be taken apart.
-NEEDY = 0.5
+#: Minimum utilization of the neediest model's groups for others to be disbanded.
+MIN_NEEDY_UTILIZATION = 0.5
 
 
 def choose_disbanding(
     free: list[BackendServer],
-    standing: list[StandingGroup],
+    serving_groups: list[ServingGroup],
     rules: FormingRules,
     *,
     n_pending: int = 0,
-) -> list[StandingGroup]:
-    """Return the groups of one domain whose members are to become one of another.
+) -> list[ServingGroup]:
+    """Return the groups of one domain to disband for a group of the neediest model.
 
-    That is so where the neediest model fits nowhere, and some domain has free servers
-    enough that few groups of a less needy model complete it.  A domain of eleven that
-    has come to hold three groups of three needs two of them for one of six.
+    Groups are disbanded if no domain has enough free servers for a group of the
+    neediest model, and the members of a few groups of one less needy model make up for
+    the missing servers of some domain.  For example, a domain of eleven servers with
+    three groups of three must disband two of them to form a group of six.
 
     Parameters
     ----------
     n_pending : int
-        Groups of the neediest model for which other zones take theirs apart.
+        Groups of the neediest model for which other zones disband groups of theirs.
     """
-    needy = rules.by_need(rules.groups_by_model)[0]
+    neediest = rules.models_by_need(rules.groups_by_model)[0]
     groups_by_model = dict(rules.groups_by_model)
-    groups_by_model[needy.name] = groups_by_model.get(needy.name, 0) + n_pending
+    groups_by_model[neediest.name] = groups_by_model.get(neediest.name, 0) + n_pending
     free_by_domain = by_domain(free)
     if any(
-        _n_quick(servers, needy) >= needy.size for servers in free_by_domain.values()
+        _n_joining_quickly(servers, neediest) >= neediest.size
+        for servers in free_by_domain.values()
     ):
         return []
-    busy = rules.busy(needy.name, groups_by_model)
-    if busy < NEEDY:
+    utilization = rules.utilization(neediest.name, groups_by_model)
+    if utilization < MIN_NEEDY_UTILIZATION:
         return []
-    best: list[StandingGroup] = []
+    best: list[ServingGroup] = []
     best_n_quick = -1
-    for donors in _donors(standing, needy):
+    for donors in _donor_groups(serving_groups, neediest):
         servers = free_by_domain.get(donors[0].members[0].domain, [])
-        n_quick = _n_quick(servers, needy)
-        chosen = _completing(donors, needy, n_missing=needy.size - n_quick)
+        n_quick = _n_joining_quickly(servers, neediest)
+        chosen = _fewest_completing(donors, neediest, n_missing=neediest.size - n_quick)
         if not chosen:
             continue
-        fewer = dict(groups_by_model)
-        fewer[chosen[0].model] -= len(chosen)
-        if busy < DISBAND_RATIO * rules.busy(chosen[0].model, fewer):
+        groups_after_loss = dict(groups_by_model)
+        groups_after_loss[chosen[0].model] -= len(chosen)
+        if utilization < DISBAND_RATIO * rules.utilization(
+            chosen[0].model, groups_after_loss
+        ):
             continue
         if not best or (len(chosen), -n_quick) < (len(best), -best_n_quick):
             best, best_n_quick = chosen, n_quick
     return best
 
 
-def _donors(
-    standing: list[StandingGroup], needy: ModelProfile
-) -> Iterator[list[StandingGroup]]:
-    """Yield the groups of each other model in each domain."""
+def _donor_groups(
+    serving_groups: list[ServingGroup], neediest: ModelProfile
+) -> Iterator[list[ServingGroup]]:
+    """Yield the groups of each domain and each model other than the neediest."""
 
-    def place(group: StandingGroup) -> tuple[str, str]:
+    def place(group: ServingGroup) -> tuple[str, str]:
         return group.members[0].domain, group.model
 
-    others = [
-        group for group in standing if group.members and group.model != needy.name
+    other_groups = [
+        group
+        for group in serving_groups
+        if group.members and group.model != neediest.name
     ]
-    for _, donors in groupby(sorted(others, key=place), key=place):
+    for _, donors in groupby(sorted(other_groups, key=place), key=place):
         yield list(donors)
 
 
-def _completing(
-    donors: list[StandingGroup], needy: ModelProfile, *, n_missing: int
-) -> list[StandingGroup]:
-    """Return the fewest groups whose members make up what a group lacks, if any do."""
-    chosen: list[StandingGroup] = []
-    for group in sorted(donors, key=lambda item: -_n_quick(item.members, needy)):
+def _fewest_completing(
+    donors: list[ServingGroup], neediest: ModelProfile, *, n_missing: int
+) -> list[ServingGroup]:
+    """Return the fewest groups that supply the missing members; empty if too few."""
+    chosen: list[ServingGroup] = []
+    for group in sorted(
+        donors, key=lambda item: -_n_joining_quickly(item.members, neediest)
+    ):
         chosen.append(group)
-        n_missing -= _n_quick(group.members, needy)
+        n_missing -= _n_joining_quickly(group.members, neediest)
         if n_missing <= 0:
             return chosen
     return []
 
 
-def _n_quick(
+def _n_joining_quickly(
     servers: list[BackendServer] | tuple[BackendServer, ...], model: ModelProfile
 ) -> int:
-    return sum(is_quick(server, model) for server in servers)
+    return sum(joins_quickly(server, model) for server in servers)
--- a/ryelever/coordination/groups/forming.py
+++ b/ryelever/coordination/groups/forming.py
@@ -1,9 +1,10 @@
-"""Decide which groups are formed of the backend servers that are free.
+"""Choose the groups to form from free backend servers.
 
-A group whose member is lost is mended by forming it anew: of its survivors, which
-join again in an instant, and of a spare whose host has the weights staged.  A spare
-without them takes ten times as long, and would tie the survivors up meanwhile; so
-weights are staged first, and the group is formed when all its members are quick.
+A group that lost a member is repaired by forming it again from its survivors, which
+rejoin almost instantly, and a spare whose host has the weights staged.  A spare without
+staged weights takes ten times as long to join, and the survivors would wait for it.
+Weights are therefore staged first, and a group is formed once all its members can join
+quickly.
 """
 
 from __future__ import annotations
@@ -19,46 +20,46 @@
 __all__ = [
     "Formation",
     "FormingRules",
-    "StandingGroup",
+    "ServingGroup",
     "by_domain",
     "choose_formations",
     "choose_second_weights",
     "choose_staging",
-    "is_quick",
+    "joins_quickly",
 ]
 
-#: Part of its time for which a model's groups may be busy before another group is
-#: formed.  At 0.8 some five of thirteen places are taken; above it a burst of half as
-#: much again, or the loss of one group in four, makes requests wait.
-BUSY_ENOUGH = 0.8
+#: Utilization of a model's groups from which another group is formed.  At 0.8 about
+#: five of thirteen slots are in use; above it, a burst of half as much again or the
+#: loss of one group in four makes requests wait.
+GROWTH_UTILIZATION = 0.8
 
-#: The same from which spares are used up for it: those that mend are worth less than
-#: requests refused now.
-OVERLOADED = 1.25
+#: Utilization from which spares are used to form another group: keeping a spare for
+#: repairs is worth less than serving requests that would be refused now.
+OVERLOAD_UTILIZATION = 1.25
 
-#: How much more a model counts as busy for the size of its groups: by the power of
-#: their size over the smallest one's.  A group of six is lost twice as often as one of
-#: three and needs six free servers of a domain to be mended, so that as many groups
-#: are whole for less of the time.
-SIZE_POWER = 0.3
+#: Exponent by which a model's utilization is weighted with its group size relative to
+#: the smallest group size.  A group of six is lost twice as often as one of three and
+#: needs six free servers of a domain for its repair, so the same number of groups is
+#: complete for less of the time.
+SIZE_EXPONENT = 0.3
 
-#: Part of a zone's backend servers that stay spare: one for each fabric domain of
+#: Share of a zone's backend servers to keep as spares: one in each fabric domain of
 #: eight.
 SPARE_SHARE = 0.12
 
-#: Seconds that a member takes to join a group of the model that it served last.
+#: Seconds that a server takes to join a group of the model that it served last.
 REJOIN_TIME = 0.2
 
 
 class Formation(msgspec.Struct, kw_only=True, frozen=True):
-    """Name the members of a group that is to be formed, the head first."""
+    """A group to form: its model and its members, the head first."""
 
     model: ModelProfile
     members: tuple[BackendServer, ...]
 
 
-class StandingGroup(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold one group that serves."""
+class ServingGroup(msgspec.Struct, kw_only=True, frozen=True):
+    """A group that serves requests, with its members that are in the server list."""
 
     name: str
     model: str
@@ -66,20 +67,20 @@
 
 
 class FormingRules(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold what decides which model is formed next.
+    """The inputs that determine for which model a group is formed next.
 
     Attributes
     ----------
     demand_by_model : dict of str to float
-        Work that arrives, in replica groups kept busy.
+        Arriving work, as the number of replica groups that it keeps busy.
     groups_by_model : dict of str to int
-        Groups that serve or are being formed to meet it.
+        Number of groups that serve the demand or are being formed.
     n_servers : int
-        All backend servers of the zone, in groups or free.
+        Number of backend servers in the zone, both in groups and free.
     spare_ids : frozenset of str
-        Free servers that are no survivors of a group which served.
+        Ids of free servers that have not been in a serving group.
     loads_are_quick : bool
-        True before the first request, while weights load in a tenth of the time.
+        True before the first request, when weights load in a tenth of the usual time.
     """
 
     engine: EngineProfile
@@ -89,11 +90,11 @@
     spare_ids: frozenset[str] = frozenset()
     loads_are_quick: bool = False
 
-    def busy(self, model: str, groups_by_model: dict[str, int]) -> float:
-        """Return the part of its time for which each group of a model is busy.
+    def utilization(self, model: str, groups_by_model: dict[str, int]) -> float:
+        """Return the part of the time for which each group of a model is busy.
 
-        Once requests come, groups of more members count as busier, which they soon
-        are: they are lost more often.
+        After the first request, the value is weighted by the group size: larger groups
+        are lost more often, so the remaining ones soon become busier.
         """
         groups = groups_by_model.get(model, 0)
         demand = self.demand_by_model.get(model, 0.0)
@@ -101,18 +102,21 @@
             return float("inf")
         if self.loads_are_quick:
             return demand / groups
-        return demand / groups * self._relative_size(model) ** SIZE_POWER
+        return demand / groups * self._relative_size(model) ** SIZE_EXPONENT
 
     def _relative_size(self, model: str) -> float:
-        """Return the size of a model's groups over that of the smallest ones."""
+        """Return the ratio of a model's group size to the smallest group size."""
         sizes = {item.name: item.size for item in self.engine.models_by_name.values()}
         return sizes[model] / min(sizes.values())
 
-    def by_need(self, groups_by_model: dict[str, int]) -> list[ModelProfile]:
-        """Return the models, the one with the busiest groups first."""
+    def models_by_need(self, groups_by_model: dict[str, int]) -> list[ModelProfile]:
+        """Return the models by descending utilization, then by descending size."""
         return sorted(
             self.engine.models_by_name.values(),
-            key=lambda model: (-self.busy(model.name, groups_by_model), -model.size),
+            key=lambda model: (
+                -self.utilization(model.name, groups_by_model),
+                -model.size,
+            ),
         )
 
 
@@ -123,7 +127,9 @@
     groups_by_model = dict(rules.groups_by_model)
     free_by_domain = by_domain(free)
     chosen: list[Formation] = []
-    while (formation := _next(free_by_domain, rules, groups_by_model)) is not None:
+    while (
+        formation := _next_formation(free_by_domain, rules, groups_by_model)
+    ) is not None:
         chosen.append(formation)
         name = formation.model.name
         groups_by_model[name] = groups_by_model.get(name, 0) + 1
@@ -136,10 +142,10 @@
 def choose_staging(
     free: list[BackendServer], rules: FormingRules
 ) -> list[tuple[BackendServer, ModelProfile]]:
-    """Return the free servers that are to stage weights, and which.
+    """Return the free servers that are to stage weights, each with the model.
 
-    In each domain, those of which a group of the neediest model could be made but for
-    their weights.
+    In each domain, these are the servers that lack only the weights to form a group of
+    the neediest overloaded model.
     """
     chosen: list[tuple[BackendServer, ModelProfile]] = []
     for servers in by_domain(free).values():
@@ -150,59 +156,62 @@
 def choose_second_weights(
     servers: list[BackendServer], rules: FormingRules
 ) -> list[tuple[BackendServer, ModelProfile]]:
-    """Return the servers that are to stage another model's weights.
+    """Return the servers that are to stage a second model's weights, with the model.
 
-    A server joins groups of the model that it served last in an instant in any case,
-    so what its host has staged can be another model: whatever is lost, the rest of a
-    domain can then become any groups within two seconds.
+    A server rejoins groups of the model that it served last almost instantly without
+    staged weights, so its host can have another model's weights staged.  After any
+    loss, the remaining servers of a domain can then form groups of either model within
+    two seconds.
 
     Parameters
     ----------
     servers : list of BackendServer
-        Members of groups that serve, and spares.
+        Members of serving groups, and spares.
     """
-    by_need = rules.by_need(rules.groups_by_model)
+    models_by_need = rules.models_by_need(rules.groups_by_model)
     chosen = []
     for server in servers:
-        others = [model for model in by_need if model.name not in server.models]
-        if others and server.models and not server.staged - server.models:
-            chosen.append((server, others[0]))
+        other_models = [
+            model for model in models_by_need if model.name not in server.models
+        ]
+        if other_models and server.models and not server.staged - server.models:
+            chosen.append((server, other_models[0]))
     return chosen
 
 
 def _staging_in_domain(
     servers: list[BackendServer], rules: FormingRules
 ) -> list[tuple[BackendServer, ModelProfile]]:
-    for model in rules.by_need(rules.groups_by_model):
-        busy = rules.busy(model.name, rules.groups_by_model)
-        members = _members(servers, model, rules)
-        if members is None or busy < OVERLOADED:
+    for model in rules.models_by_need(rules.groups_by_model):
+        utilization = rules.utilization(model.name, rules.groups_by_model)
+        members = _choose_members(servers, model, rules)
+        if members is None or utilization < OVERLOAD_UTILIZATION:
             continue
-        slow = [item for item in members if not is_quick(item, model)]
-        if len(slow) <= model.size // 2:
-            return [(server, model) for server in slow]
+        to_stage = [item for item in members if not joins_quickly(item, model)]
+        if len(to_stage) <= model.size // 2:
+            return [(server, model) for server in to_stage]
     return []
 
 
-def _next(
+def _next_formation(
     free_by_domain: dict[str, list[BackendServer]],
     rules: FormingRules,
     groups_by_model: dict[str, int],
 ) -> Formation | None:
     n_free = sum(len(servers) for servers in free_by_domain.values())
-    n_kept = round(SPARE_SHARE * rules.n_servers)
-    for model in rules.by_need(groups_by_model):
-        busy = rules.busy(model.name, groups_by_model)
+    n_spares_to_keep = round(SPARE_SHARE * rules.n_servers)
+    for model in rules.models_by_need(groups_by_model):
+        utilization = rules.utilization(model.name, groups_by_model)
         options = [
             members
             for servers in free_by_domain.values()
-            if (members := _members(servers, model, rules)) is not None
-            and (rules.loads_are_quick or is_quick(members[-1], model))
+            if (members := _choose_members(servers, model, rules)) is not None
+            and (rules.loads_are_quick or joins_quickly(members[-1], model))
         ]
         if not options:
             continue
-        # Mending comes before growing, and growing takes from the domain with the
-        # most free servers, so that each keeps some to mend with.
+        # Repairs come before additional groups.  Additional groups are formed in the
+        # domain with the most free servers, so that each domain keeps some for repairs.
         best = min(
             options,
             key=lambda members: (
@@ -210,48 +219,54 @@
                 -len(free_by_domain[members[0].domain]),
             ),
         )
-        mends = _n_spares_used(best, model, rules) <= model.size // 2
-        leaves_spares = n_free - model.size >= n_kept
-        grows = busy >= OVERLOADED or (busy >= BUSY_ENOUGH and leaves_spares)
-        # Survivors of a group are of use to no other model without a long load.
-        if (mends and busy > 0) or grows:
+        is_repair = _n_spares_used(best, model, rules) <= model.size // 2
+        leaves_spares = n_free - model.size >= n_spares_to_keep
+        is_growth = utilization >= OVERLOAD_UTILIZATION or (
+            utilization >= GROWTH_UTILIZATION and leaves_spares
+        )
+        # Any demand justifies a repair: survivors of a group can't serve another model
+        # without a long load.
+        if (is_repair and utilization > 0) or is_growth:
             return Formation(model=model, members=best)
     return None
 
 
 def by_domain(free: list[BackendServer]) -> dict[str, list[BackendServer]]:
-    """Return free servers by their fabric domain."""
+    """Group free servers by their fabric domain."""
     free_by_domain: dict[str, list[BackendServer]] = {}
     for server in free:
         free_by_domain.setdefault(server.domain, []).append(server)
     return free_by_domain
 
 
-def _members(
+def _choose_members(
     servers: list[BackendServer], model: ModelProfile, rules: FormingRules
 ) -> tuple[BackendServer, ...] | None:
-    """Return those that are ready first, survivors before spares."""
+    """Return the servers that would form a group soonest, survivors before spares.
+
+    Return None if there are too few servers for a group of the model.
+    """
     if len(servers) < model.size:
         return None
-    by_time = sorted(
+    by_join_time = sorted(
         servers,
         key=lambda server: (_join_time(server, model), server.id in rules.spare_ids),
     )
-    return tuple(by_time[: model.size])
+    return tuple(by_join_time[: model.size])
 
 
 def _n_spares_used(
     members: tuple[BackendServer, ...], model: ModelProfile, rules: FormingRules
 ) -> int:
-    """Return how many members are no survivors of a group of the model."""
+    """Count the members that are not survivors of a group of the model."""
     return sum(
         model.name not in server.models or server.id in rules.spare_ids
         for server in members
     )
 
 
-def is_quick(server: BackendServer, model: ModelProfile) -> bool:
-    """Tell whether a server joins a group of a model without loading weights."""
+def joins_quickly(server: BackendServer, model: ModelProfile) -> bool:
+    """Return whether a server can join a group of a model without a load."""
     return _join_time(server, model) <= model.warm_time
 
 
--- a/ryelever/coordination/groups/idle_servers.py
+++ b/ryelever/coordination/groups/idle_servers.py
@@ -1,4 +1,4 @@
-"""Tell what the servers of an availability zone that serve nobody are held up by."""
+"""Log why backend servers of an availability zone are idle."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 __all__ = ["IdleServers"]
 
-#: Least seconds between two lines about one service, which bounds them in a storm of
-#: changes; groups are formed and ended within a few seconds.
-LINE_INTERVAL = 1.0
+#: Minimum time in seconds between two log lines about one service.  Limits the lines
+#: when many groups change at once; groups are formed and ended within a few seconds.
+MIN_LOG_INTERVAL = 1.0
 
-#: What a free server without any weights counts as.
+#: Reason logged for a free server without any weights.
 EMPTY = "empty"
 
 
 class IdleServers:
-    """Log how many servers wait for what, when that changes.
+    """Log the number of idle servers by reason whenever the numbers change.
 
-    Members of a group that is being formed or ended count under that phase, free
-    servers under the models whose groups they can join within seconds.
+    Members of a group that is being formed or ended are counted under its phase.  Free
+    servers are counted under the models whose groups they can join within seconds.
 
     Parameters
     ----------
     log : callable
-        Take one line: its name and its fields.
+        Called with the event name and the fields of each log line.
     """
 
     def __init__(
@@ -41,28 +41,28 @@
         self._zone = zone
         self._manager = manager
         self._log = log
-        self._told_by_service: dict[str, Counter[str]] = {}
-        self._told_at_by_service: dict[str, float] = {}
+        self._logged_by_service: dict[str, Counter[str]] = {}
+        self._logged_at_by_service: dict[str, float] = {}
 
-    def look(self, view: ServiceView, *, now: float) -> None:
-        """Log how things stand for one service, unless it is as it was."""
-        told_at = self._told_at_by_service.get(view.service, float("-inf"))
-        if now - told_at < LINE_INTERVAL:
+    def log_changes(self, view: ServiceView, *, now: float) -> None:
+        """Log the idle servers of one service if their numbers have changed."""
+        logged_at = self._logged_at_by_service.get(view.service, float("-inf"))
+        if now - logged_at < MIN_LOG_INTERVAL:
             return
-        counts = self._counts(view)
-        if counts == self._told_by_service.get(view.service):
+        counts = self._count_by_reason(view)
+        if counts == self._logged_by_service.get(view.service):
             return
-        self._told_by_service[view.service] = counts
-        self._told_at_by_service[view.service] = now
+        self._logged_by_service[view.service] = counts
+        self._logged_at_by_service[view.service] = now
         self._log(
             "servers_idle",
             zone=self._zone,
             service=view.service,
             n_by_reason=dict(sorted(counts.items())),
-            n_serving=sum(len(group.members) for group in view.standing),
+            n_serving=sum(len(group.members) for group in view.serving_groups),
         )
 
-    def _counts(self, view: ServiceView) -> Counter[str]:
+    def _count_by_reason(self, view: ServiceView) -> Counter[str]:
         counts: Counter[str] = Counter()
         for phase in (GroupPhase.FORMING, GroupPhase.ENDING):
             for record in self._manager.records(phase):
--- a/ryelever/coordination/groups/managed_group.py
+++ b/ryelever/coordination/groups/managed_group.py
@@ -1,4 +1,4 @@
-"""Hold the state of one replica group, and the orders that were given for it."""
+"""Track the state of one replica group and the orders that were sent for it."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
     from ...state.directory import BackendServer, GroupState
     from .records import GroupRecord
 
-__all__ = ["LATE_ORDERS", "ORDER_RETRY", "GroupPhase", "ManagedGroup"]
+__all__ = ["MAX_ORDER_DELAY", "ORDER_RETRY", "GroupPhase", "ManagedGroup"]
 
-#: Seconds after which an order whose effect doesn't show is given again.  The list
-#: of backend servers shows an effect within half a second.
+#: Seconds after which an order without a visible effect is sent again.  The list of
+#: backend servers shows an effect within half a second.
 ORDER_RETRY = 1.0
 
-#: Seconds after which an order that got no answer is not carried out any more.
-LATE_ORDERS = 15.0
+#: Seconds after which a server no longer executes an order that got no answer.
+MAX_ORDER_DELAY = 15.0
 
 
 class GroupPhase(enum.Enum):
-    """Name what is being done with a group.
+    """Enumerate the phases of a group's life.
 
-    ``RETIRED``: its head can't serve any more, and its members are free.
+    ``RETIRED``: the group's head can't serve any more, and its members are free.
     """
 
     FORMING = "forming"
@@ -37,34 +37,40 @@
 
 
 class ManagedGroup(msgspec.Struct, kw_only=True, eq=False):
-    """Hold the state of one group.
+    """The state of one group, as its planner knows it; times are monotonic.
 
     Attributes
     ----------
+    since : float
+        Time at which this planner began to manage the group.
     recorded : bool
-        False where the store holds no record of the group.
+        False if the store holds no record of the group.
     joined_by_id : dict of str to BackendServer
-        Members that were seen ready under the group's name and epoch, as they were
-        then: one that was started anew since is not a member any more.
+        Entries of the members that were last seen ready under the group's name and
+        epoch.  A member that has restarted since then is no longer a member.
     serving_since : float
-        Monotonic time since when the head is known to serve.
+        Time since which the head is known to serve.
+    ending_since : float
+        Time at which the group began to end.
     missing_since : dict of str to float
-        Monotonic times since when members are missing from the list.
+        Times since which members are missing from the server list.
     suspected : bool
-        True while some entry host sees all the group's streams stand still.
+        True while an entry host sees all streams of the group stalled.
     silent_members : set of str
-        Members that gave no answer to the order to join.
+        Ids of members that did not answer the order to join.
     decided_here : bool
-        True where no other planner can have given orders for it.
-    left_by_id : dict of str to BackendServer or None
-        Members that answered, once the group was to end, that they have left it, each
-        with its entry as it was then.
-    left_at : float
-        Monotonic time at which the first of them answered so.
-    frees_members : bool
-        True where a member that has left is free though the head is silent.
-    joins_in_doubt_at : float
-        Monotonic time of the last order to join that got no answer.
+        True if no other planner can have sent orders for the group.
+    left_entry_by_id : dict of str to BackendServer or None
+        Server list entries of the members that confirmed their departure from the
+        ending group, as of that confirmation.
+    first_left_at : float
+        Time of the first such confirmation.
+    left_members_are_free : bool
+        True if members that have left are free although the head is silent.
+    unresolved_join_at : float
+        Time at which an order to join last remained unanswered.
+    ordered_at : dict of tuple to float
+        Times of the last orders, by server id and kind.
     """
 
     record: GroupRecord
@@ -80,18 +86,23 @@
     probes: MemberProbes = msgspec.field(default_factory=MemberProbes)
     silent_members: set[str] = msgspec.field(default_factory=set)
     decided_here: bool = False
-    left_by_id: dict[str, BackendServer | None] = msgspec.field(default_factory=dict)
-    left_at: float = float("inf")
-    frees_members: bool = False
-    joins_in_doubt_at: float = float("-inf")
+    left_entry_by_id: dict[str, BackendServer | None] = msgspec.field(
+        default_factory=dict
+    )
+    first_left_at: float = float("inf")
+    left_members_are_free: bool = False
+    unresolved_join_at: float = float("-inf")
     ordered_at: dict[tuple[str, OrderKind], float] = msgspec.field(default_factory=dict)
 
-    def has_join_in_doubt(self, *, now: float) -> bool:
-        """Tell whether an order to join may yet be carried out, and take one back."""
-        return now - self.joins_in_doubt_at < LATE_ORDERS
+    def has_unresolved_join(self, *, now: float) -> bool:
+        """Return whether a member may still execute an unanswered order to join.
+
+        Such an order brings a member that has left back into the group.
+        """
+        return now - self.unresolved_join_at < MAX_ORDER_DELAY
 
     def state_of(self, server: BackendServer) -> GroupState | None:
-        """Return the state in which a member reports to be of this very group."""
+        """Return a server's state in this group, None if it reports another or none."""
         report = server.group
         if report is None or report.name != self.record.name:
             return None
@@ -100,7 +111,7 @@
     def due_order(
         self, kind: OrderKind, server_id: str, *, now: float, gently: bool = False
     ) -> list[GroupOrder]:
-        """Return an order, unless the same was given a moment ago."""
+        """Return a list of one order, empty if it was sent less than a retry ago."""
         ordered_at = self.ordered_at.get((server_id, kind), float("-inf"))
         if now - ordered_at < ORDER_RETRY:
             return []
@@ -110,7 +121,7 @@
     def due_probes(
         self, member_ids: tuple[str, ...], *, urgent: bool, now: float
     ) -> list[GroupOrder]:
-        """Ask members that may be lost for a sign of life."""
+        """Return the probes that are due to members that may be lost."""
         return [
             self.order(OrderKind.PROBE, server_id)
             for server_id in self.probes.due(member_ids, urgent=urgent, now=now)
@@ -119,7 +130,7 @@
     def order(
         self, kind: OrderKind, server_id: str, *, gently: bool = False
     ) -> GroupOrder:
-        """Return an order to one member."""
+        """Create an order to one member."""
         record = self.record
         addresses = {member.server_id: member.address for member in record.members}
         joined = self.joined_by_id.get(server_id)
--- a/ryelever/coordination/groups/managed_groups.py
+++ b/ryelever/coordination/groups/managed_groups.py
@@ -1,4 +1,4 @@
-"""Hold the groups of one availability zone, those that have ended included."""
+"""Track the groups of one availability zone, including those that have ended."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 __all__ = ["DISBANDED", "ManagedGroups"]
 
-#: Reason to end a group for the sake of another.
+#: Reason to end a group so that its members can serve another model.
 DISBANDED = "taken_apart"
 
 
 class ManagedGroups:
-    """Hold what is known of each group.
+    """The groups of one availability zone and their states.
 
     Attributes
     ----------
     managed_by_name : dict of str to ManagedGroup
-        Groups that have a record, or are to have one.
+        Groups that have a record or will get one.
     ended_epochs : set of int
         Epochs of groups that can't serve any more.
     head_at_end_by_epoch : dict of int to BackendServer or None
-        Entry of the head of each of them when it ended, if there was one; groups that
-        were only to hold a model are left out.
+        For each ended group other than warm-up groups, the server list entry of its
+        head when the group ended; None if the head was not listed.
     """
 
     def __init__(self, *, directory: Directory) -> None:
@@ -45,14 +45,14 @@
         recorded: bool = True,
         decided_here: bool = False,
     ) -> None:
-        """Take a group that the store holds, or that members report to be in.
+        """Add or update a group that is in the store or that its members report.
 
         Parameters
         ----------
         recorded : bool
-            False where the store holds no record of it.
+            False if the store holds no record of the group.
         decided_here : bool
-            True where no other planner can have given orders for it.
+            True if no other planner can have sent orders for the group.
         """
         managed = self.managed(record.name, record.epoch)
         if managed is None:
@@ -61,18 +61,18 @@
         managed.recorded = recorded
 
     def put_ended(self, record: GroupRecord, *, now: float) -> None:
-        """Take the record of a group that has ended, so that it is dropped."""
+        """Add the record of a group that has ended, to be dropped from the store."""
         if record.name not in self.managed_by_name:
             self.managed_by_name[record.name] = ManagedGroup(
                 record=record, since=now, phase=GroupPhase.RETIRED
             )
 
     def drop(self, name: str) -> None:
-        """Take word that the store has dropped a group's record.
+        """Handle the removal of a group's record from the store.
 
-        A drop may be carried out seconds after it was asked for, and the group may
-        serve again by then: it is forgotten only once it has ended, and else its
-        record is to be written anew.
+        The store may remove a record seconds after the request, when the group serves
+        again.  A group is forgotten only once it has ended; otherwise its record is
+        written again.
         """
         managed = self.managed_by_name.get(name)
         if managed is None:
@@ -83,79 +83,80 @@
             managed.recorded = False
 
     def forget(self, name: str) -> None:
-        """Forget a group that has ended."""
+        """Stop tracking a group that has ended."""
         self.managed_by_name.pop(name, None)
 
     def knows(self, name: str, epoch: int) -> bool:
-        """Tell whether a group is kept, or was and has ended."""
+        """Return whether a group is managed or has been managed and ended."""
         return self.managed(name, epoch) is not None or epoch in self.ended_epochs
 
-    def ended(self, managed: ManagedGroup) -> None:
-        """Remember that a group can't serve any more, and what its head shows now."""
+    def record_end(self, managed: ManagedGroup) -> None:
+        """Record that a group can't serve any more, with its head's current entry."""
         record = managed.record
         self.ended_epochs.add(record.epoch)
         if not record.warms_up:
             head = self._directory.by_id.get(record.head.server_id)
             self.head_at_end_by_epoch[record.epoch] = head
 
-    def is_back(self, server: BackendServer) -> bool:
-        """Tell whether a server shows as the head of a group that had ended.
+    def heads_ended_group(self, server: BackendServer) -> bool:
+        """Return whether a server reports to be the head of an ended group.
 
-        Orders to join and to open that went unanswered may be carried out seconds
-        later, after the head has left or while nobody sees it.  Its entry from before
-        the end says nothing: it is replaced within some tenths of a second.
+        The head may execute unanswered orders to join and to open seconds late, after
+        it has left the group or while it is unreachable.  The head's entry from before
+        the end of the group is ignored: it is replaced within some tenths of a second.
         """
         report = server.group
         if report is None or report.rank or report.state is GroupState.BROKEN:
             return False
         if report.epoch not in self.head_at_end_by_epoch:
             return False
-        # What is listed anew may look the same.
+        # A later entry may be equal to the entry from before the end.
         return server is not self.head_at_end_by_epoch[report.epoch]
 
     def managed(self, name: str, epoch: int) -> ManagedGroup | None:
-        """Return the group that is kept under a name, if it has that epoch."""
+        """Return the managed group of a name and epoch, or None."""
         managed = self.managed_by_name.get(name)
         return (
             managed if managed is not None and managed.record.epoch == epoch else None
         )
 
-    def warmed_up(self, name: str, epoch: int) -> bool:
-        """Tell whether a group was formed only for its member to hold a model."""
+    def is_warm_up(self, name: str, epoch: int) -> bool:
+        """Return whether a managed group was formed only to load a model."""
         managed = self.managed(name, epoch)
         return managed is not None and managed.record.warms_up
 
     def unrecorded(self) -> list[GroupRecord]:
-        """Return the groups that serve or form without a record in the store.
+        """Return the forming and serving groups that have no record in the store.
 
-        What is left of a group that is being ended gets none: the next planner would
-        take it for a group to open.
+        The remains of an ending group get no record, because the next planner would
+        open them as a group.
         """
-        living = (GroupPhase.FORMING, GroupPhase.SERVING)
+        active = (GroupPhase.FORMING, GroupPhase.SERVING)
         return [
             managed.record
             for managed in self.managed_by_name.values()
-            if not managed.recorded and managed.phase in living
+            if not managed.recorded and managed.phase in active
         ]
 
     def names(self) -> set[str]:
-        """Return the names of all groups that have a record."""
+        """Return the names of all managed groups."""
         return set(self.managed_by_name)
 
-    def retired(self) -> list[str]:
-        """Return the groups whose records can be dropped.
+    def droppable_names(self) -> list[str]:
+        """Return the names of the groups whose records can be dropped.
 
-        As long as members still report a group that has ended, its record tells the
-        next planner what to make of them.
+        While members still report an ended group, its record is kept so that the next
+        planner knows the group.
         """
         return [
             name
             for name, managed in self.managed_by_name.items()
-            if managed.phase is GroupPhase.RETIRED and not self.has_any(managed)
+            if managed.phase is GroupPhase.RETIRED
+            and not self.has_reporting_member(managed)
         ]
 
     def records(self, *phases: GroupPhase) -> list[GroupRecord]:
-        """Return the records of the groups in some phases that serve or are to."""
+        """Return the records of the groups in some phases, without warm-up groups."""
         return [
             managed.record
             for managed in self.managed_by_name.values()
@@ -163,14 +164,14 @@
         ]
 
     def n_warming_up(self) -> int:
-        """Count the servers that join a group of their own."""
+        """Count the servers that are joining a warm-up group."""
         return sum(
             managed.phase is GroupPhase.FORMING and managed.record.warms_up
             for managed in self.managed_by_name.values()
         )
 
     def disbanding(self) -> list[GroupRecord]:
-        """Return the groups that are being ended for the sake of another."""
+        """Return the records of the groups that are being disbanded."""
         return [
             managed.record
             for managed in self.managed_by_name.values()
@@ -178,7 +179,7 @@
         ]
 
     def phases(self) -> dict[str, GroupPhase]:
-        """Return what is being done with each group that is to serve, by its name."""
+        """Return the phase of each group by name, without warm-up groups."""
         return {
             name: managed.phase
             for name, managed in self.managed_by_name.items()
@@ -186,36 +187,36 @@
         }
 
     def phase_of(self, name: str) -> GroupPhase | None:
-        """Return what is being done with a group."""
+        """Return the phase of a group, None if the group is not managed."""
         managed = self.managed_by_name.get(name)
         return None if managed is None else managed.phase
 
-    def taken(self, *, besides: str = "") -> set[str]:
-        """Return the ids of the members that are free for nothing else.
+    def occupied_ids(self, *, excluding: str = "") -> set[str]:
+        """Return the ids of the servers that belong to a group and are not free.
 
         Parameters
         ----------
-        besides : str
-            Name of a group whose own members don't count.
+        excluding : str
+            Name of a group whose members are left out.
         """
         return {
             member_id
             for name, managed in self.managed_by_name.items()
-            if managed.phase is not GroupPhase.RETIRED and name != besides
+            if managed.phase is not GroupPhase.RETIRED and name != excluding
             for member_id in managed.record.member_ids
-            if not (managed.frees_members and self.has_left(managed, member_id))
+            if not (managed.left_members_are_free and self.has_left(managed, member_id))
         }
 
     def has_left(self, managed: ManagedGroup, member_id: str) -> bool:
-        """Tell whether a member has answered that it left, and was not taken back."""
-        if member_id not in managed.left_by_id:
+        """Return whether a member confirmed its departure and did not join again."""
+        if member_id not in managed.left_entry_by_id:
             return False
         server = self._directory.by_id.get(member_id)
-        shows_it = server is not None and managed.state_of(server) is not None
-        return not shows_it or server is managed.left_by_id[member_id]
+        reports_group = server is not None and managed.state_of(server) is not None
+        return not reports_group or server is managed.left_entry_by_id[member_id]
 
-    def has_any(self, managed: ManagedGroup) -> bool:
-        """Tell whether any member reports to be of a group."""
+    def has_reporting_member(self, managed: ManagedGroup) -> bool:
+        """Return whether a listed member reports to be in a group."""
         return any(
             managed.state_of(server) is not None
             for server in self._directory.listed(managed.record.member_ids)
--- a/ryelever/coordination/groups/order_queue.py
+++ b/ryelever/coordination/groups/order_queue.py
@@ -1,4 +1,4 @@
-"""Bound how many orders to backend servers are under way at once."""
+"""Limit the number of orders to backend servers that are in flight at once."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 __all__ = ["MAX_IN_FLIGHT", "OrderQueue"]
 
-#: Orders that may wait for their answers at once.  A thousand would fill a link of
-#: 20 Mbit/s, and members that answer late count as silent.
+#: Maximum number of orders that await an answer at once.  A thousand would saturate a
+#: link of 20 Mbit/s, and members whose answers come late would be treated as silent.
 MAX_IN_FLIGHT = 64
 
-#: What goes first: what frees servers, then what makes groups serve.
-_KINDS = (
+#: Orders that free servers are sent first, then orders that make groups serve.
+_KINDS_BY_PRIORITY = (
     OrderKind.LEAVE,
     OrderKind.CLOSE,
     OrderKind.OPEN,
@@ -29,7 +29,7 @@
 
 
 class OrderQueue:
-    """Hold orders until they can be sent."""
+    """Queue orders until they can be sent, by priority of their kind."""
 
     __slots__ = ("_n_in_flight", "_waiting_by_kind")
 
@@ -37,27 +37,27 @@
         self._n_in_flight = 0
         self._waiting_by_kind: dict[
             OrderKind, dict[tuple[str, str, int], tuple[str, GroupOrder]]
-        ] = {kind: {} for kind in _KINDS}
+        ] = {kind: {} for kind in _KINDS_BY_PRIORITY}
 
     @property
     def n_waiting(self) -> int:
-        """Return how many orders have not been sent."""
+        """Return the number of orders that have not been sent."""
         return sum(map(len, self._waiting_by_kind.values()))
 
     def add(self, zone: str, order: GroupOrder) -> None:
-        """Take an order; one that waits already is taken once."""
+        """Queue an order, replacing one of the same kind, server, group and epoch."""
         key = (order.server_id, order.group, order.epoch)
         self._waiting_by_kind[order.kind][key] = (zone, order)
 
     def due(
         self, *, is_wanted: Callable[[str, GroupOrder], bool]
     ) -> list[tuple[str, GroupOrder]]:
-        """Return the orders to send now, each with the zone that it is for.
+        """Remove and return the orders to send now, each with its zone.
 
         Parameters
         ----------
         is_wanted : callable
-            Tell whether an order still makes sense; others are dropped.
+            Return whether an order is still needed; obsolete orders are dropped.
         """
         due = []
         for waiting in self._waiting_by_kind.values():
@@ -69,5 +69,5 @@
         return due
 
     def ended(self) -> None:
-        """Take note that one that was sent has been answered, or has failed."""
+        """Record that an order in flight was answered or has failed."""
         self._n_in_flight -= 1
--- a/ryelever/coordination/groups/orders.py
+++ b/ryelever/coordination/groups/orders.py
@@ -1,4 +1,4 @@
-"""Name the orders that make up groups, and what becomes of them."""
+"""Define the orders that are sent to backend servers and their outcomes."""
 
 from __future__ import annotations
 
@@ -10,25 +10,26 @@
 
 
 class OrderKind(enum.Enum):
-    """Name what a backend server is told to do."""
+    """Enumerate the operations that an order requests of a backend server."""
 
     JOIN = "join"
     OPEN = "open"
     CLOSE = "close"
     LEAVE = "leave"
     STAGE = "stage"
-    #: Asks for a sign of life and changes nothing.
+    #: Checks that the server responds; changes nothing.
     PROBE = "probe"
 
 
 class OrderOutcome(enum.Enum):
-    """Say what an answer to an order means.
+    """Enumerate the outcomes of an order.
 
-    ``APPLIED``: the state is already as ordered.  ``IN_PROGRESS``: it will be.
-    ``REFUSED``: it does not fit the state.  ``SUPERSEDED``: a newer epoch was seen.
-    ``WRONG_INSTANCE``: the backend server is another incarnation.  ``NOT_A_MEMBER``: it
-    answers a probe, and is not in the group.  ``UNKNOWN``: no answer; the order may be
-    carried out later.
+    ``APPLIED``: the server is already in the ordered state.  ``IN_PROGRESS``: the
+    server is moving to the ordered state.  ``REFUSED``: the order does not fit the
+    server's state.  ``SUPERSEDED``: the server has seen a newer epoch.
+    ``WRONG_INSTANCE``: another incarnation of the server, or no process, is at the
+    address.  ``NOT_A_MEMBER``: the server answered a probe and is not in the group.
+    ``UNKNOWN``: no answer; the server may still execute the order later.
     """
 
     APPLIED = "holds"
@@ -41,17 +42,17 @@
 
 
 class GroupOrder(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold one order to one backend server.
+    """An order to one backend server.
 
     Attributes
     ----------
     members : tuple of str
-        Ids of all members, the head first; only where a group is joined.
+        Ids of all members, the head first; sent only with ``JOIN``.
     gently : bool
-        Close only after what runs has ended.
+        True to close only after the running requests have ended.
     started_at : int or None
-        Start of the incarnation that joined the group, where that is known; a probe
-        that another one answers finds it apart from the group.
+        Start time of the incarnation that joined the group, if known.  A probe that
+        another incarnation answers has the outcome ``NOT_A_MEMBER``.
     """
 
     kind: OrderKind
--- a/ryelever/coordination/groups/records.py
+++ b/ryelever/coordination/groups/records.py
@@ -1,4 +1,4 @@
-"""Hold the groups that were ever decided on, as the store has them."""
+"""Define the records of groups that are kept in the store."""
 
 from __future__ import annotations
 
@@ -8,24 +8,25 @@
 
 
 class Member(msgspec.Struct, kw_only=True, frozen=True):
-    """Name one member of a group and where it is reached."""
+    """The id and network address of one member of a group."""
 
     server_id: str
     address: str
 
 
 class GroupRecord(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold one group as it was decided.
+    """The planner's decision to form one group.
 
     Attributes
     ----------
     epoch : int
-        The store's era, and one more than the offset of its first record there: no two
-        groups share one, and a group that was decided on later has a higher one.
+        The store's era in the high bits, and one more than the offset of the group's
+        first record in the low bits.  Epochs are unique, and a group that was decided
+        later has a higher epoch.
     members : tuple of Member
         The head first.
     warms_up : bool
-        True where the group never opens: its one member is to hold the model.
+        True for a group that never opens: its only member joins to load the model.
     """
 
     name: str
@@ -38,10 +39,10 @@
 
     @property
     def head(self) -> Member:
-        """Return the member that takes the requests."""
+        """Return the member that receives the group's requests."""
         return self.members[0]
 
     @property
     def member_ids(self) -> tuple[str, ...]:
-        """Return the ids of all members in their order."""
+        """Return the ids of all members in rank order."""
         return tuple(member.server_id for member in self.members)
--- a/ryelever/coordination/groups/reshaping.py
+++ b/ryelever/coordination/groups/reshaping.py
@@ -1,65 +1,71 @@
-"""Let availability zones take turns in taking groups apart for another model's sake.
+"""Coordinate the availability zones that disband groups in favor of another model.
 
-All planners see the same groups and the same demand, so a model that is short of
-groups is short of them for every zone at once.  If each took one of the other model's
-groups apart for it, that one would be the next to be short: with three zones it lost
-three groups of five where one was needed.  So each zone announces what it wants, and
-counts what the zones before it have announced as if it were done.
+All planners see the same groups and the same demand, so every zone detects a shortage
+of groups at the same time.  If each zone disbanded a group of another model, that model
+would be short next: with three zones it lost three groups of five where one was needed.
+Each zone therefore announces its intention and counts the groups that the zones ahead
+of it have announced as already formed.
 """
 
 from __future__ import annotations
 
 __all__ = ["ANNOUNCED_FOR", "ReshapingToken"]
 
-#: Seconds between the announcement and the deed.  Words go to other zones every
-#: 0.6 s, so by then each planner has heard the others' announcements.
+#: Seconds between a zone's announcement and the disbanding.  Host heartbeats are sent
+#: to other zones every 0.6 s, so each planner has received the other announcements.
 ANNOUNCED_FOR = 0.8
 
 
 class ReshapingToken:
-    """Hold whether one zone has announced that it takes groups apart, or does.
+    """One zone's announcement that it will disband groups or is disbanding them.
 
     Parameters
     ----------
     zone : str
-        The availability zone.
+        Name of the availability zone.
     """
 
-    __slots__ = ("_earlier", "_since", "_zone")
+    __slots__ = ("_announced_at", "_zone", "_zones_ahead")
 
     def __init__(self, *, zone: str) -> None:
         self._zone = zone
-        self._since: float | None = None
-        self._earlier: set[str] = set()
+        self._announced_at: float | None = None
+        self._zones_ahead: set[str] = set()
 
     @property
     def is_announced(self) -> bool:
-        """Tell whether the zone has announced that it wants to, or does."""
-        return self._since is not None
+        """Return whether the zone will disband groups or is disbanding them."""
+        return self._announced_at is not None
 
-    def n_before(self, others: set[str]) -> int:
-        """Return how many zones go before this one.
+    def n_ahead(self, other_zones: set[str]) -> int:
+        """Return the number of zones that may disband groups before this one.
 
-        Those whose announcements were heard before this one's own do, and of those
-        that announce at the same moment the first by name.
+        A zone whose announcement was received before this zone announced is ahead.
+        Zones that announced at the same time are ordered by name.
 
         Parameters
         ----------
-        others : set of str
-            The other zones that have announced the same.
+        other_zones : set of str
+            Other zones with an announcement in effect.
         """
-        if self._since is None:
-            return len(others)
-        return sum(zone in self._earlier or zone < self._zone for zone in others)
-
-    def may_start(self, others: set[str], *, now: float) -> bool:
-        """Tell whether the zone may take groups apart now, which it wants to."""
-        if self._since is None:
-            self._since = now
-            self._earlier = set(others)
+        if self._announced_at is None:
+            return len(other_zones)
+        return sum(
+            zone in self._zones_ahead or zone < self._zone for zone in other_zones
+        )
+
+    def may_start(self, other_zones: set[str], *, now: float) -> bool:
+        """Return whether the zone may disband groups now.
+
+        The first call announces the zone's intention; later calls return True once
+        ``ANNOUNCED_FOR`` seconds have passed.
+        """
+        if self._announced_at is None:
+            self._announced_at = now
+            self._zones_ahead = set(other_zones)
             return False
-        return now - self._since >= ANNOUNCED_FOR
+        return now - self._announced_at >= ANNOUNCED_FOR
 
     def end(self) -> None:
-        """Take back the announcement: nothing is to be taken apart, or all is done."""
-        self._since = None
+        """Withdraw the announcement once no group is to be disbanded any more."""
+        self._announced_at = None
--- a/ryelever/coordination/groups/silent_heads.py
+++ b/ryelever/coordination/groups/silent_heads.py
@@ -1,4 +1,4 @@
-"""Free the members of groups whose heads fall silent, and may serve all the same."""
+"""Free the members of groups whose heads can't be reached but may still serve."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 __all__ = ["STALL_SLACK", "SilentHeads"]
 
-#: Seconds beyond the time for which a group stands still.
+#: Seconds to wait beyond the stall time of a group.
 STALL_SLACK = 0.8
 
 
 class SilentHeads:
-    """Decide when members of a group whose head is silent are free.
+    """Decide when the members of a group whose head is silent are free.
 
-    Whether such a head lives can't be known: it may be cut off from this host and the
-    store only, with its members around it, and serve others.  What ends its group for
-    certain is that a member leaves it: nothing moves in it from then on, and it breaks
-    off some seconds later, also if the member is taken back by an order to join that
-    is carried out late.
+    A silent head may still run: if only its connections to this host and to the store
+    are cut, it can reach its members and serve other hosts.  Only the departure of a
+    member ends such a group for certain.  The group makes no progress from then on and
+    becomes ``BROKEN`` some seconds later, even if an order to join that the member
+    executes late brings the member back.
 
     Parameters
     ----------
     stall_time : float
-        Seconds for which a group stands still when a member is lost.
+        Seconds for which a group stalls after losing a member until it is broken.
     """
 
     def __init__(
@@ -40,53 +40,59 @@
         self._groups = groups
         self._stall_limit = stall_time + STALL_SLACK
 
-    def survivors_leave(self, managed: ManagedGroup, *, now: float) -> list[GroupOrder]:
-        """Return the orders by which the listed members leave a group.
+    def survivor_leave_orders(
+        self, managed: ManagedGroup, *, now: float
+    ) -> list[GroupOrder]:
+        """Return the ``LEAVE`` orders to the listed members of a group.
 
-        One that answers that it has left is in no group, and free at once, unless an
-        order to join this one may yet be carried out.
+        A member that confirms its departure is in no group and is free at once, unless
+        it may still execute an order to join this group.
         """
-        in_doubt = managed.has_join_in_doubt(now=now)
-        managed.frees_members = managed.decided_here and not in_doubt
+        has_unresolved_join = managed.has_unresolved_join(now=now)
+        managed.left_members_are_free = managed.decided_here and not has_unresolved_join
         orders = []
-        for server in self._survivors(managed):
-            if not self._is_out(managed, server):
+        for server in self._listed_survivors(managed):
+            if not self._has_left_group(managed, server):
                 orders += managed.due_order(OrderKind.LEAVE, server.id, now=now)
         return orders
 
-    def has_broken_off(self, managed: ManagedGroup, *, now: float) -> bool:
-        """Tell whether the group of an unlisted head can't serve any more.
+    def can_no_longer_serve(self, managed: ManagedGroup, *, now: float) -> bool:
+        """Return whether the group of an unlisted head can't serve any more.
 
-        Where all members are behind the same cut as it, as when their zone is cut
-        off, the group serves on there.
+        If all members are unreachable together with the head, as when their zone is
+        partitioned from this host, the group continues to serve there.
         """
         head_id = managed.record.head.server_id
-        # Where no sign of life was ever noticed, it counts as heard now.
-        heard_at = self._directory.last_seen_at_by_id.setdefault(head_id, now)
-        is_overdue = now - heard_at > self._stall_limit
-        if not is_overdue or not self._any_member_stayed(managed, now=now):
+        # A head that this host has never seen is treated as last seen now.
+        last_seen_at = self._directory.last_seen_at_by_id.setdefault(head_id, now)
+        is_overdue = now - last_seen_at > self._stall_limit
+        if not is_overdue or not self._any_member_listed_throughout(managed, now=now):
             return False
-        if now - managed.left_at > self._stall_limit:
+        if now - managed.first_left_at > self._stall_limit:
             return True
-        all_out = all(
-            self._is_out(managed, server) for server in self._survivors(managed)
+        all_have_left = all(
+            self._has_left_group(managed, server)
+            for server in self._listed_survivors(managed)
         )
-        return all_out and not managed.has_join_in_doubt(now=now)
+        return all_have_left and not managed.has_unresolved_join(now=now)
 
-    def _survivors(self, managed: ManagedGroup) -> list[BackendServer]:
-        """Return the members beside the head that are listed."""
+    def _listed_survivors(self, managed: ManagedGroup) -> list[BackendServer]:
+        """Return the members other than the head that are in the server list."""
         return list(self._directory.listed(managed.record.member_ids[1:]))
 
-    def _is_out(self, managed: ManagedGroup, server: BackendServer) -> bool:
-        """Tell whether a member has left its group, by its word or by its entry."""
+    def _has_left_group(self, managed: ManagedGroup, server: BackendServer) -> bool:
+        """Return whether a member's answer or list entry shows that it has left."""
         has_left = self._groups.has_left(managed, server.id)
         return has_left or managed.state_of(server) is None
 
-    def _any_member_stayed(self, managed: ManagedGroup, *, now: float) -> bool:
-        """Tell whether some other member has been there all that time.
+    def _any_member_listed_throughout(
+        self, managed: ManagedGroup, *, now: float
+    ) -> bool:
+        """Return whether a member other than the head was listed for the stall limit.
 
-        What counts is how long this host has seen it, not how long it has planned:
-        after a change of planner the group's members would wait once more.
+        The time since this host first listed the member counts, not the time since
+        this host became the planner: otherwise a new planner would make the group's
+        members wait the full time again.
         """
         since = now - self._stall_limit
         listed_since = self._directory.listed_since_by_id
--- a/ryelever/coordination/groups/times.py
+++ b/ryelever/coordination/groups/times.py
@@ -1,4 +1,4 @@
-"""Measure how long groups take to be formed and ended, and what serves nobody."""
+"""Measure the time that groups spend in each phase and servers spend without work."""
 
 from __future__ import annotations
 
@@ -12,57 +12,57 @@
 
 __all__ = ["GroupTimes"]
 
-#: Longest time in seconds between two looks that still counts as observed.  Beyond it
-#: this process was paused, and what happened meanwhile is not known.
-MAX_GAP = 2.0
+#: Maximum time in seconds to add for the interval between two observations.  A longer
+#: interval means that this process was paused and doesn't know what happened meanwhile.
+MAX_OBSERVED_GAP = 2.0
 
-#: Phases in which the members of a group serve nobody.
+#: Phases in which a group serves no requests.
 DOWN_PHASES = (GroupPhase.FORMING, GroupPhase.ENDING)
 
 
 class GroupTimes:
-    """Add up times over the groups of one availability zone.
+    """Add up the phase times of the groups of one availability zone.
 
     Parameters
     ----------
     observe : callable
-        Take the name of a phase and the seconds that a group has spent in it.
+        Called with the name of a phase and the seconds that a group spent in it.
 
     Attributes
     ----------
     down : Counter of str
-        Group-seconds spent in each of the phases in which a group serves nobody.
+        Group-seconds spent in each phase in which a group serves no requests.
     stranded : float
-        Server-seconds of servers that could serve and are in no group that does.
+        Server-seconds of servers that could serve but are in no serving group.
     """
 
     def __init__(self, *, observe: Callable[[str, float], None]) -> None:
         self._observe = observe
-        self._looked_at: float | None = None
+        self._updated_at: float | None = None
         self._phase_by_name: dict[str, tuple[GroupPhase, float]] = {}
         self.down: Counter[str] = Counter()
         self.stranded = 0.0
 
-    def look(
+    def update(
         self, phases: Mapping[str, GroupPhase], *, n_stranded: int, now: float
     ) -> None:
-        """Take how things stand.
+        """Add the time since the previous call to the totals.
 
         Parameters
         ----------
         phases : mapping of str to GroupPhase
-            What is being done with each group, by its name.
+            Phase of each group, by group name.
         n_stranded : int
-            Servers that could serve and are in no group that does.
+            Servers that could serve but are in no serving group.
         """
-        passed = 0.0
-        if self._looked_at is not None:
-            passed = min(MAX_GAP, now - self._looked_at)
-        self._looked_at = now
-        self.stranded += passed * n_stranded
+        elapsed = 0.0
+        if self._updated_at is not None:
+            elapsed = min(MAX_OBSERVED_GAP, now - self._updated_at)
+        self._updated_at = now
+        self.stranded += elapsed * n_stranded
         for phase in phases.values():
             if phase in DOWN_PHASES:
-                self.down[phase.value] += passed
+                self.down[phase.value] += elapsed
         for name in self._phase_by_name.keys() - phases.keys():
             del self._phase_by_name[name]
         for name, phase in phases.items():
--- a/ryelever/coordination/groups/warm_up.py
+++ b/ryelever/coordination/groups/warm_up.py
@@ -1,17 +1,18 @@
-"""Let empty servers hold a model before any group needs them.
-
-A host keeps the weights of one model staged, and a server joins groups of the model
-that it served last in an instant.  One that has joined a group of its own, which never
-opens, and stages another model's weights then, mends groups of either model within two
-seconds.  With one model's weights on every spare, most wait for a group that their
-domain has no servers for, while the other model's groups are overloaded.
+"""Load a model on empty servers before a group needs them.
+
+A host keeps the weights of one model staged, and a server rejoins groups of the model
+that it served last almost instantly.  An empty server therefore joins a warm-up group,
+which has one member and never opens, and then stages another model's weights.  Such a
+spare can repair groups of either model within two seconds.  If every spare held one
+model's weights only, most would wait for a group for which their domain has too few
+servers, while the other model's groups are overloaded.
 """
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from .forming import BUSY_ENOUGH, Formation, by_domain
+from .forming import GROWTH_UTILIZATION, Formation, by_domain
 
 if TYPE_CHECKING:
     from ...state.directory import BackendServer
@@ -22,12 +23,12 @@
 
 
 def choose_warm_ups(free: list[BackendServer], rules: FormingRules) -> list[Formation]:
-    """Return the groups of one that empty servers are to join, and never to open.
+    """Return the warm-up groups to form: one for each empty server.
 
     Parameters
     ----------
     free : list of BackendServer
-        Servers that no group is formed of now.
+        Free servers that are not about to join another group.
     """
     return [
         Formation(model=_model_for(servers, rules), members=(server,))
@@ -38,12 +39,15 @@
 
 
 def _model_for(servers: list[BackendServer], rules: FormingRules) -> ModelProfile:
-    """Return the neediest model that a domain has free servers enough for.
+    """Return the neediest model for which a domain has enough free servers.
 
-    Where it has too few for any, the next loss of the largest groups leaves most.
+    If the domain has too few for any model in need, return the model with the largest
+    groups, whose next loss leaves the most free servers.
     """
-    for model in rules.by_need(rules.groups_by_model):
-        needed = rules.busy(model.name, rules.groups_by_model) >= BUSY_ENOUGH
+    for model in rules.models_by_need(rules.groups_by_model):
+        needed = (
+            rules.utilization(model.name, rules.groups_by_model) >= GROWTH_UTILIZATION
+        )
         if needed and len(servers) >= model.size:
             return model
     return max(rules.engine.models_by_name.values(), key=lambda model: model.size)
--- a/ryelever/coordination/groups/weight_staging.py
+++ b/ryelever/coordination/groups/weight_staging.py
@@ -1,4 +1,4 @@
-"""Stage weights on servers before they are needed, no faster than is allowed."""
+"""Stage weights on servers in advance, within the weight store's load rate."""
 
 from __future__ import annotations
 
@@ -12,37 +12,38 @@
 
 if TYPE_CHECKING:
     from ...state.directory import BackendServer
-    from .forming import FormingRules, StandingGroup
+    from .forming import FormingRules, ServingGroup
 
 __all__ = ["WeightStaging"]
 
-#: Seconds after which an order to stage weights is given again.
+#: Seconds after which an order to stage weights is sent again.
 STAGE_RETRY = 20.0
 
-#: Part of the loads that the weight store starts which a zone uses of its share.
+#: Fraction of the zone's share of the weight store's load rate that is used.
 LOAD_SHARE = 0.8
 
-#: Seconds over which loads are counted.
+#: Length in seconds of the sliding window in which loads are counted.
 LOAD_WINDOW = 5.0
 
 
-class _Loads(msgspec.Struct, kw_only=True):
-    """Pace the loads from the weight store."""
+class _LoadPacer(msgspec.Struct, kw_only=True):
+    """Rate limiter for loads from the weight store."""
 
-    times: list[float] = msgspec.field(default_factory=list)
+    start_times: list[float] = msgspec.field(default_factory=list)
 
     def allow(self, *, rate: float, now: float) -> bool:
-        """Tell whether a load may begin now, and count it if so."""
-        self.times = [at for at in self.times if now - at < LOAD_WINDOW]
-        # One may always begin: the bound leaves room for three beyond the rate.
-        if self.times and len(self.times) + 1 > rate * LOAD_WINDOW:
+        """Return whether a load may start now, and count the load if so."""
+        self.start_times = [at for at in self.start_times if now - at < LOAD_WINDOW]
+        # One load may always start: the weight store's limit leaves room for three
+        # loads beyond the rate.
+        if self.start_times and len(self.start_times) + 1 > rate * LOAD_WINDOW:
             return False
-        self.times.append(now)
+        self.start_times.append(now)
         return True
 
 
-class _Staging(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold which weights a server was told to stage, and when."""
+class _StagingOrder(msgspec.Struct, kw_only=True, frozen=True):
+    """The last order to stage weights that was sent to a server."""
 
     server: BackendServer
     model: str
@@ -50,51 +51,51 @@
 
 
 class WeightStaging:
-    """Give the orders to stage weights in one availability zone."""
+    """Decide which servers of one availability zone stage weights, and when."""
 
     def __init__(self) -> None:
-        self._loads = _Loads()
-        self._staging_by_id: dict[str, _Staging] = {}
+        self._loads = _LoadPacer()
+        self._staging_by_id: dict[str, _StagingOrder] = {}
 
     def orders(
         self,
         free: list[BackendServer],
-        standing: list[StandingGroup],
+        serving_groups: list[ServingGroup],
         rules: FormingRules,
         *,
         rate: float,
-        n_at_once: float,
+        n_concurrent: float,
         n_warming_up: int,
         now: float,
     ) -> list[GroupOrder]:
-        """Return the orders that are due.
+        """Return the orders to stage weights that are due.
 
         Parameters
         ----------
         rate : float
-            Loads a second that the weight store starts for the zone.
-        n_at_once : float
-            Loads that it makes for the zone at once without any becoming slower.
+            Loads per second that the weight store starts for the zone.
+        n_concurrent : float
+            Loads that the weight store runs for the zone in parallel at full speed.
         n_warming_up : int
-            Servers that load weights by joining a group.
+            Servers that load weights by joining a warm-up group.
         """
-        members = [server for group in standing for server in group.members]
+        members = [server for group in serving_groups for server in group.members]
         servers = [*free, *members]
-        foreseen = [self._foreseen(server, now=now) for server in servers]
-        wanted = choose_staging(foreseen[: len(free)], rules)
-        second = choose_second_weights(foreseen, rules)
+        after_staging = [self._after_staging(server, now=now) for server in servers]
+        wanted = choose_staging(after_staging[: len(free)], rules)
+        second = choose_second_weights(after_staging, rules)
         if not rules.loads_are_quick:
-            # What only shortens the mending of a later loss slows no load that a
-            # group waits for.
-            pairs = zip(servers, foreseen, strict=True)
+            # A second model's weights only speed up the repair of a later loss, so
+            # their loads must not slow down loads that a group waits for.
+            pairs = zip(servers, after_staging, strict=True)
             n_staging = sum(after != before for before, after in pairs)
             n_loading = n_warming_up + n_staging + len(wanted)
-            second = second[: max(0, int(n_at_once) - n_loading)]
+            second = second[: max(0, int(n_concurrent) - n_loading)]
         orders = []
         for server, model in wanted + second:
-            if not self.may_load(rules, rate=rate, now=now):
+            if not self.try_start_load(rules, rate=rate, now=now):
                 break
-            self._staging_by_id[server.id] = _Staging(
+            self._staging_by_id[server.id] = _StagingOrder(
                 server=server, model=model.name, since=now
             )
             orders.append(
@@ -107,19 +108,19 @@
             )
         return orders
 
-    def may_load(self, rules: FormingRules, *, rate: float, now: float) -> bool:
-        """Tell whether a load may begin now, and count it if so.
+    def try_start_load(self, rules: FormingRules, *, rate: float, now: float) -> bool:
+        """Return whether a load may start now, and count the load if so.
 
-        Before the first request loads are quick, and aren't counted.
+        Loads before the first request are quick and are not counted.
         """
         if rules.loads_are_quick:
             return True
         return self._loads.allow(rate=LOAD_SHARE * rate, now=now)
 
-    def _foreseen(self, server: BackendServer, *, now: float) -> BackendServer:
-        """Return a server as it will be once it has staged what it was told to.
+    def _after_staging(self, server: BackendServer, *, now: float) -> BackendServer:
+        """Return a server's entry as it will be once its staging order is done.
 
-        What an earlier incarnation was told ended with it.
+        An order to an earlier incarnation of the server ended with that incarnation.
         """
         staging = self._staging_by_id.get(server.id)
         if staging is None or now - staging.since > STAGE_RETRY:
--- a/ryelever/coordination/groups/zone_planner.py
+++ b/ryelever/coordination/groups/zone_planner.py
@@ -1,8 +1,8 @@
-"""Plan the groups of one availability zone, by way of records in the store.
+"""Plan the groups of one availability zone and record them in the store.
 
-A group exists once its record is appended at the very offset that was expected: of
-two planners that decide on the same view only one gets its record in, and the other
-reads it before it decides again.
+A group exists once its record is appended at the offset at which the planner expected
+the log to end.  If two planners decide from the same view, only one append succeeds,
+and the other planner reads the new record before it decides again.
 """
 
 from __future__ import annotations
@@ -30,43 +30,48 @@
 
     from ...state.directory import Directory
     from ...state.routes import RouteTable
-    from .forming import Formation, StandingGroup
+    from .forming import Formation, ServingGroup
     from .orders import GroupOrder
     from .zone_view import ServiceView
 
 __all__ = ["AppendGroups", "ZonePlanner"]
 
-#: Seconds of being the planner before the first decision: by then the other hosts'
-#: words show whether there is another, and what it ordered last shows in the list.
-SETTLING = 0.7
+#: Seconds between becoming the planner and the first decision.  By then heartbeats from
+#: the other hosts show whether there is another planner, and the server list shows the
+#: effects of the other planner's last orders.
+START_DELAY = 0.7
 
 #: Seconds for which a member of another zone's group may be missing from the list.  A
-#: zone that is cut off looks like one whose servers are lost one after the other, and
-#: its groups serve on there.
-FOREIGN_PATIENCE = 10.0
+#: zone that is cut off looks as if its servers were lost one after the other, but its
+#: groups continue to serve there.
+REMOTE_MAX_MISSING_TIME = 10.0
 
-#: Longest time in seconds that a member takes to join: it loads weights first.
-LONGEST_JOIN = 20.0
+#: Maximum time in seconds that a member takes to join, including a load of weights.
+MAX_JOIN_TIME = 20.0
 
-#: Bits of an epoch for the place in the log; the era of the store has those above, so
-#: that no epoch of an era that has lost records is given out again.
-PLACE_BITS = 32
+#: Number of low bits of an epoch that hold the offset in the log.  The higher bits hold
+#: the store's era, so that an epoch of an era whose records were lost is never reused.
+OFFSET_BITS = 32
 
-#: Seconds after which an append that got no answer is looked for in the log.
+#: Seconds after which an append that got no answer is sent again at the same offset.
 APPEND_TIMEOUT = 1.0
 
 
 class AppendGroups(msgspec.Struct, kw_only=True, frozen=True):
-    """Ask for records to be appended where the log is expected to end.
+    """A request to append records, on condition that the log ends at an offset.
 
     Attributes
     ----------
+    at : int
+        Offset at which the log must end for the append to succeed.
     era : int
         Era of the store that the offset belongs to.
+    formed : tuple of GroupRecord
+        Groups to form.
     restored : tuple of GroupRecord
-        Groups that exist and have no record.
+        Groups that exist without a record.
     dropped : tuple of str
-        Names of groups that have ended.
+        Names of ended groups whose records are to be dropped.
     """
 
     at: int
@@ -77,26 +82,33 @@
 
 
 class ZonePlanner:
-    """Decide about the groups of one availability zone.
+    """Decide which groups of one availability zone to form, end and disband.
 
     Parameters
     ----------
     zone : str
-        The availability zone.
+        Name of the availability zone.
     n_zones : int
-        Zones that share the weight store.
+        Number of zones that share the weight store.
     is_local : bool
-        True where the planner's host is in that zone itself.
+        True if the planner's host is in the same zone.
     demand : callable
-        Return the work that arrives at all hosts, in groups kept busy, by model.
+        Return the work that arrives at all hosts by model, as the number of groups that
+        it keeps busy.
     is_evacuated : callable
-        Tell whether the servers of an availability zone are to get nothing new.
+        Return whether an availability zone's servers must get no new work.
     list_is_stale : callable
-        Tell whether the list of backend servers has shown nothing for a while.
+        Return whether the list of backend servers has had no update for a while.
     observe : callable
-        Take the name of a phase and the seconds that a group has spent in it.
+        Called with the name of a phase and the seconds that a group spent in it.
     reshaping : callable
-        Return the other zones in which groups are taken apart, or are to be.
+        Return the other zones that are disbanding groups or have announced it.
+    stall_time : float
+        Seconds for which a group stalls after losing a member until it is broken.
+    since : float
+        Monotonic time at which this host became the zone's planner.
+    log : callable
+        Called with the event name and the fields of each log line.
     """
 
     def __init__(
@@ -128,20 +140,20 @@
         self.times = GroupTimes(observe=observe)
         self._since = since
         self._era = 0
-        self._end = -1
-        self._appending_since: float | None = None
-        self._appending: AppendGroups | None = None
+        self._log_end = -1
+        self._append_sent_at: float | None = None
+        self._pending_append: AppendGroups | None = None
         self._decided_by_epoch: dict[int, GroupRecord] = {}
-        self._weights = WeightStaging()
+        self._weight_staging = WeightStaging()
         self.manager = GroupManager(
             directory=directory,
             stall_time=stall_time,
-            join_limit=LONGEST_JOIN,
-            patience=0.0 if is_local else FOREIGN_PATIENCE,
+            max_join_time=MAX_JOIN_TIME,
+            max_missing_time=0.0 if is_local else REMOTE_MAX_MISSING_TIME,
             list_is_stale=list_is_stale,
             log=log,
         )
-        self._idle = IdleServers(zone=zone, manager=self.manager, log=log)
+        self._idle_servers = IdleServers(zone=zone, manager=self.manager, log=log)
         self._adoption = GroupAdoption(
             zone=zone,
             directory=directory,
@@ -160,118 +172,129 @@
 
     @property
     def reshapes(self) -> bool:
-        """Tell whether a group of the zone is taken apart, or is to be."""
+        """Return whether the zone is disbanding groups or has announced it."""
         return self._token.is_announced
 
-    # The log
+    # Records in the log
 
     def listed(
         self, records: list[GroupRecord], *, end: int, era: int = 0, now: float
     ) -> None:
-        """Take all records that the log holds.
+        """Process a complete list of the records in the log.
 
         Parameters
         ----------
+        end : int
+            Offset at which the log ends.
         era : int
-            Era of the store; in a later one the log may end earlier.
+            Era of the store; in a later era the log may end at a lower offset.
         """
-        if self._end < 0:
+        if self._log_end < 0:
             self._views.has_run_before = bool(records)
         if era != self._era:
             self._era = era
-            self._end = -1
-            self._appending = None
+            self._log_end = -1
+            self._pending_append = None
         names = {record.name for record in records}
         for name in self.manager.names() - names:
             self.manager.drop(name)
         for record in records:
             self.recorded(record, end=end, now=now)
-        self._read_to(end)
+        self._advance_log_end(end)
 
     def recorded(self, record: GroupRecord, *, end: int, now: float) -> None:
-        """Take a record that the log has got.
+        """Process a record that was appended to the log.
 
         Parameters
         ----------
         end : int
-            Offset after the record, or after later ones.
+            Offset after the record, or after later records.
         """
         if record.epoch in self.manager.ended_epochs:
-            # An older copy of the store, or a late append, shows it once more.
+            # The record is from an older copy of the store or from a late append.
             self.manager.put_ended(record, now=now)
         elif record.availability_zone == self._zone:
             decided_here = self._decided_by_epoch.get(record.epoch) == record
             self.manager.put(record, now=now, decided_here=decided_here)
-        self._read_to(end)
+        self._advance_log_end(end)
 
     def dropped(self, name: str, *, end: int) -> None:
-        """Take word that a record was dropped from the log."""
+        """Process the removal of a record from the log."""
         self.manager.drop(name)
-        self._read_to(end)
+        self._advance_log_end(end)
 
     def appended(
-        self, asked: AppendGroups, *, end: int, era: int = 0, now: float
+        self, append: AppendGroups, *, end: int, era: int = 0, now: float
     ) -> None:
-        """Take the answer to an append that succeeded.
+        """Process the confirmation of an append.
 
         Parameters
         ----------
+        end : int
+            Offset after the appended records.
         era : int
-            Era of the store in which it did.  In another one than it was decided in
-            the log happened to end at that place, and the epochs of what was formed
-            may be those of groups whose records are lost.
+            Era of the store at the time of the append.  If it isn't the era in which
+            the append was decided, the log's end matched by coincidence, and the formed
+            groups may have the epochs of groups whose records were lost.
         """
-        if era != asked.era:
-            self.manager.ended_epochs.update(record.epoch for record in asked.formed)
-            self._appending = None
+        if era != append.era:
+            self.manager.ended_epochs.update(record.epoch for record in append.formed)
+            self._pending_append = None
             return
-        for record in (*asked.formed, *asked.restored):
+        for record in (*append.formed, *append.restored):
             self.recorded(record, end=end, now=now)
-        for name in asked.dropped:
+        for name in append.dropped:
             self.manager.forget(name)
-        self._read_to(end)
-        self._appending = None
+        self._advance_log_end(end)
+        self._pending_append = None
 
     def append_failed(self, *, end: int | None) -> None:
-        """Take word that an append was refused, or got no answer.
+        """Process the failure of an append.
+
+        An append without an answer may still be executed.  The same append is therefore
+        sent again, at the same offset, so that only one of the two can succeed.
 
-        Without an answer the append may still come true.  The same one is asked for
-        again, at the same place, where only one of the two can succeed.
+        Parameters
+        ----------
+        end : int or None
+            Offset at which the log ends, if the append was refused; None if the append
+            got no answer.
         """
         if end is not None:
-            self._appending = None
+            self._pending_append = None
 
-    def _read_to(self, end: int) -> None:
-        self._end = max(self._end, end)
-        if self._appending is not None and self._end > self._appending.at:
-            self._appending = None
+    def _advance_log_end(self, end: int) -> None:
+        self._log_end = max(self._log_end, end)
+        if self._pending_append is not None and self._log_end > self._pending_append.at:
+            self._pending_append = None
 
     # Decisions
 
     def look(self, *, now: float) -> tuple[list[GroupOrder], AppendGroups | None]:
-        """Return the orders and the append that are due."""
+        """Run one planning pass; return the orders and the append that are due."""
         table = self._table()
-        if table is None or self._end < 0 or now - self._since < SETTLING:
+        if table is None or self._log_end < 0 or now - self._since < START_DELAY:
             return [], None
-        self._end_misfits(table, now=now)
-        orders = self.manager.look(now=now)
+        self._end_wrong_sizes(table, now=now)
+        orders = self.manager.due_orders(now=now)
         n_stranded = self._views.n_stranded(table)
-        self.times.look(self.manager.phases(), n_stranded=n_stranded, now=now)
-        self._adoption.look(table, now=now)
-        views = self._views.of(table, now=now)
+        self.times.update(self.manager.phases(), n_stranded=n_stranded, now=now)
+        self._adoption.adopt_unrecorded(table, now=now)
+        views = self._views.service_views(table, now=now)
         for view in views:
-            self._idle.look(view, now=now)
+            self._idle_servers.log_changes(view, now=now)
         self._disband(views, now=now)
         append = self._append_due(views, now=now)
-        if self._appending is None:
+        if self._pending_append is None:
             for view in views:
-                orders += self._staging(view, now=now)
+                orders += self._staging_orders(view, now=now)
         return orders, append
 
-    def _end_misfits(self, table: RouteTable, *, now: float) -> None:
-        """End groups whose records have too few members for their model.
+    def _end_wrong_sizes(self, table: RouteTable, *, now: float) -> None:
+        """End groups whose records have the wrong number of members for the model.
 
-        Each member that a record names may be ready, and the head would open.
+        Otherwise the head of a group with too few members would be ordered to open once
+        the members in its record are ready.
         """
         for record in self.manager.records(GroupPhase.FORMING, GroupPhase.SERVING):
             service = table.services_by_name.get(record.service)
@@ -283,98 +306,105 @@
     def _append_due(
         self, views: list[ServiceView], *, now: float
     ) -> AppendGroups | None:
-        if self._appending is not None:
-            if now - self._appending_since < APPEND_TIMEOUT:
+        if self._pending_append is not None:
+            if now - self._append_sent_at < APPEND_TIMEOUT:
                 return None
-            self._appending_since = now
-            return self._appending
+            self._append_sent_at = now
+            return self._pending_append
         formed: list[GroupRecord] = []
         for view in views:
             formations = self._formations(view)
             if formations:
-                self._log_weighed(view)
+                self._log_planning_inputs(view)
             warm_ups = self._warm_ups(view, formations, now=now)
             for formation in (*formations, *warm_ups):
                 record = self._record(
                     formation,
                     service=view.service,
-                    offset=self._end + len(formed),
+                    offset=self._log_end + len(formed),
                     warms_up=formation in warm_ups,
                 )
                 formed.append(record)
         restored = tuple(self.manager.unrecorded())
         if not formed and not restored:
             return None
-        # Dropping what has ended costs no call of its own this way.
-        asked = AppendGroups(
-            at=self._end,
+        # Records of ended groups are dropped here, which saves a separate store call.
+        append = AppendGroups(
+            at=self._log_end,
             era=self._era,
             formed=tuple(formed),
             restored=restored,
-            dropped=tuple(self.manager.retired()),
+            dropped=tuple(self.manager.droppable_names()),
         )
-        self._appending = asked
-        self._appending_since = now
+        self._pending_append = append
+        self._append_sent_at = now
         self._decided_by_epoch.update((record.epoch, record) for record in formed)
-        return asked
+        return append
 
     def _may_form(self, view: ServiceView) -> bool:
-        """Tell whether servers of the zone may be given to groups now."""
+        """Return whether groups may be formed from the zone's servers now."""
         return view.has_settled and not self._is_evacuated(self._zone)
 
     def _formations(self, view: ServiceView) -> list[Formation]:
         if not self._may_form(view):
             return []
-        # What a group is taken apart for waits for its members.
-        held = {
+        # Free servers in the domain of a group that is being disbanded are reserved for
+        # the group that its members will join.
+        reserved_domains = {
             server.domain
             for record in self.manager.disbanding()
             for server in self._directory.listed(record.member_ids)
         }
-        free = [server for server in view.free if server.domain not in held]
+        free = [server for server in view.free if server.domain not in reserved_domains]
         return choose_formations(free, view.rules)
 
     def _warm_ups(
         self, view: ServiceView, formations: list[Formation], *, now: float
     ) -> list[Formation]:
-        """Return the empty servers that are to join a group of their own."""
+        """Return the warm-up groups to form for servers that no formation uses."""
         if not self._may_form(view):
             return []
-        taken = {server.id for one in formations for server in one.members}
-        spares = [server for server in view.free if server.id not in taken]
+        occupied_ids = {server.id for one in formations for server in one.members}
+        spare_servers = [
+            server for server in view.free if server.id not in occupied_ids
+        ]
         return [
             warm_up
-            for warm_up in choose_warm_ups(spares, view.rules)
-            if self._weights.may_load(view.rules, rate=self._load_rate(view), now=now)
+            for warm_up in choose_warm_ups(spare_servers, view.rules)
+            if self._weight_staging.try_start_load(
+                view.rules, rate=self._load_rate(view), now=now
+            )
         ]
 
     def _load_rate(self, view: ServiceView) -> float:
-        """Return the loads a second that the weight store starts for the zone."""
+        """Return the zone's share of the weight store's loads per second."""
         return view.engine.loads_per_second / self._n_zones
 
     def _disband(self, views: list[ServiceView], *, now: float) -> None:
-        """End the groups whose members are worth more in another one."""
+        """Disband groups whose members are to serve a needier model, if any."""
         if self._is_evacuated(self._zone):
             return
-        if self._appending is not None or self._list_is_stale():
-            # While the store is away no group can be formed of what is freed: three
-            # zones that ended one each lost half of a model's groups for the outage.
+        if self._pending_append is not None or self._list_is_stale():
+            # During an outage of the store no group can be formed from the freed
+            # members: three zones that ended one group each lost half of a model's
+            # groups until the store returned.
             return
         if self.manager.disbanding() or self.manager.records(GroupPhase.FORMING):
-            # Until what comes of it serves, other zones see less than there will be.
+            # Until the group that is being formed serves, other zones see fewer groups
+            # of its model than there will be, so the announcement must stay in effect.
             return
-        others = self._reshaping()
-        groups = _groups_to_disband(views, n_pending=self._token.n_before(others))
+        other_zones = self._reshaping()
+        groups = _groups_to_disband(views, n_pending=self._token.n_ahead(other_zones))
         if not groups:
             self._token.end()
-        elif self._token.may_start(others, now=now):
+        elif self._token.may_start(other_zones, now=now):
             for view in views:
-                self._log_weighed(view)
+                self._log_planning_inputs(view)
             for group in groups:
                 self.manager.end(group.name, DISBANDED, now=now)
 
-    def _log_weighed(self, view: ServiceView) -> None:
-        """Tell by what groups of a service are formed, or one is taken apart."""
+    def _log_planning_inputs(self, view: ServiceView) -> None:
+        """Log the demand and the groups by which a service's groups are planned."""
         demand = view.rules.demand_by_model
         self._log(
             "models_weighed",
@@ -390,7 +420,7 @@
         name = f"{self._era}-{place}" if self._era else str(place)
         return GroupRecord(
             name=f"{self._zone}-{name}",
-            epoch=(self._era << PLACE_BITS) + place,
+            epoch=(self._era << OFFSET_BITS) + place,
             service=service,
             model=formation.model.name,
             availability_zone=self._zone,
@@ -401,16 +431,16 @@
             warms_up=warms_up,
         )
 
-    def _staging(self, view: ServiceView, *, now: float) -> list[GroupOrder]:
-        """Return the orders to stage weights that are due."""
+    def _staging_orders(self, view: ServiceView, *, now: float) -> list[GroupOrder]:
+        """Return the orders to stage weights that are due for a service."""
         if not self._may_form(view):
             return []
-        return self._weights.orders(
+        return self._weight_staging.orders(
             view.free,
-            view.standing,
+            view.serving_groups,
             view.rules,
             rate=self._load_rate(view),
-            n_at_once=view.engine.loads_at_once / self._n_zones,
+            n_concurrent=view.engine.loads_at_once / self._n_zones,
             n_warming_up=self.manager.n_warming_up(),
             now=now,
         )
@@ -418,13 +448,13 @@
 
 def _groups_to_disband(
     views: list[ServiceView], *, n_pending: int
-) -> list[StandingGroup]:
+) -> list[ServingGroup]:
     for view in views:
         if view.rules.loads_are_quick:
-            # No request has come yet, and nothing is short.
+            # No request has arrived yet, so no model is short of groups.
             continue
         groups = choose_disbanding(
-            view.free, view.standing, view.rules, n_pending=n_pending
+            view.free, view.serving_groups, view.rules, n_pending=n_pending
         )
         if groups:
             return groups
--- a/ryelever/coordination/groups/zone_view.py
+++ b/ryelever/coordination/groups/zone_view.py
@@ -1,4 +1,4 @@
-"""See an availability zone's servers and groups as its planner decides on them."""
+"""Collect the servers, groups and demand of one availability zone for its planner."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec.structs import replace
 
-from .forming import BUSY_ENOUGH, FormingRules, StandingGroup
+from .forming import GROWTH_UTILIZATION, FormingRules, ServingGroup
 from .managed_group import GroupPhase
 
 if TYPE_CHECKING:
@@ -21,59 +21,65 @@
 
 __all__ = ["ServiceView", "ZoneViews"]
 
-#: Seconds without a new server in the list after which all have shown that are there
-#: at the start, and the longest time to wait for that.
-FLEET_SETTLING = 1.0
-LONGEST_SETTLING = 5.0
+#: Seconds without a new free server after which all servers that are present at the
+#: start are taken to be listed.
+FLEET_SETTLED_AFTER = 1.0
 
-#: Part of the first demand that stands for a model which nobody asks for just now.
-IDLE_DEMAND = 0.15
+#: Maximum time in seconds to wait for the servers to be listed at the start.
+MAX_SETTLING_TIME = 5.0
+
+#: Minimum demand to assume for a model that gets no requests at present, as a fraction
+#: of the model's initial demand.
+MIN_DEMAND_RATIO = 0.15
 
 
 class ServiceView(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold what is decided on for one service in one zone, at one moment.
+    """The state of one service in one zone, as of one planning pass.
 
     Attributes
     ----------
     free : list of BackendServer
-        Servers that may be given to a group.
-    standing : list of StandingGroup
-        Groups that serve.
+        Servers that may join a group.
+    serving_groups : list of ServingGroup
+        The zone's groups that serve requests.
+    rules : FormingRules
+        Inputs for the choice of groups to form.
     has_settled : bool
-        False while servers may still be appearing at the start.
+        False at the start, while more servers may still be listed.
     """
 
     service: str
     engine: EngineProfile
     free: list[BackendServer]
-    standing: list[StandingGroup]
+    serving_groups: list[ServingGroup]
     rules: FormingRules
     has_settled: bool
 
 
-class _Appearing(msgspec.Struct, kw_only=True):
-    """Hold how many servers of a service were free, and since when."""
+class _FreeCount(msgspec.Struct, kw_only=True):
+    """The number of free servers of a service, and the time of its last change."""
 
     n_free: int
     since: float
 
 
 class ZoneViews:
-    """Look at one availability zone.
+    """Create the views of one availability zone's services.
 
     Parameters
     ----------
     demand : callable
-        Return the work that arrives at all hosts, in groups kept busy, by model.
+        Return the work that arrives at all hosts by model, as the number of groups that
+        it keeps busy.
     since : float
-        Monotonic time from which on the zone is planned.
+        Monotonic time at which planning of the zone began.
 
     Attributes
     ----------
     has_run_before : bool
-        True where the log held records of the zone's groups when planning began.
-        Callers may have come long ago then, though this process has seen none, and
-        weights load no quicker.
+        True if the log held records of the zone's groups when planning began.  The
+        first request may then be long past although this process has seen none, and
+        loads of weights are no longer quick.
     """
 
     def __init__(
@@ -93,10 +99,10 @@
         self._demand = demand
         self._since = since
         self.has_run_before = False
-        self._appearing_by_service: dict[str, _Appearing] = {}
+        self._free_count_by_service: dict[str, _FreeCount] = {}
 
-    def of(self, table: RouteTable, *, now: float) -> list[ServiceView]:
-        """Return the views of all services whose servers form groups."""
+    def service_views(self, table: RouteTable, *, now: float) -> list[ServiceView]:
+        """Return a view of each service whose servers form groups."""
         demand = self._demand()
         return [
             self._view(service, engine, demand, now=now)
@@ -104,7 +110,7 @@
         ]
 
     def n_stranded(self, table: RouteTable) -> int:
-        """Count the servers that could serve and are in no group that does."""
+        """Count the servers that could serve but are in no serving group."""
         serving = {
             member_id
             for record in self._manager.records(GroupPhase.SERVING)
@@ -113,10 +119,10 @@
         return sum(
             not server.draining and server.id not in serving
             for service, _ in table.engines()
-            for server in self._own(service)
+            for server in self._zone_servers(service)
         )
 
-    def _own(self, service: str) -> list[BackendServer]:
+    def _zone_servers(self, service: str) -> list[BackendServer]:
         return [
             server
             for server in self._directory.of_service(service)
@@ -131,38 +137,42 @@
         *,
         now: float,
     ) -> ServiceView:
-        own = self._own(service)
-        free = self._free(own, now=now)
+        zone_servers = self._zone_servers(service)
+        free = self._free(zone_servers, now=now)
         return ServiceView(
             service=service,
             engine=engine,
             free=free,
-            standing=self._standing(service),
-            rules=self._rules(service, engine, demand, n_own=len(own), free=free),
+            serving_groups=self._serving_groups(service),
+            rules=self._rules(
+                service, engine, demand, n_zone_servers=len(zone_servers), free=free
+            ),
             has_settled=self._has_settled(
-                service, n_free=len(free), is_calm=not demand, now=now
+                service, n_free=len(free), is_idle=not demand, now=now
             ),
         )
 
-    def _free(self, own: list[BackendServer], *, now: float) -> list[BackendServer]:
-        taken = self._manager.taken()
+    def _free(
+        self, zone_servers: list[BackendServer], *, now: float
+    ) -> list[BackendServer]:
+        occupied_ids = self._manager.occupied_ids()
         served_by_id = self._directory.served_by_id
         return [
-            # A head is told to leave before its group's members are free.  As a
-            # server without a model it would be left out when the group is mended,
-            # and a spare be used up in its place.
+            # The head leaves an ending group before its members are free, and then
+            # reports no model.  Its former model is filled in, because otherwise the
+            # repair of the group would use a spare in place of the head.
             replace(server, models=served_by_id.get(server.id, server.models))
-            for server in own
+            for server in zone_servers
             if not server.draining
-            and server.id not in taken
-            and not self._adoption.is_unsettled(server, now=now)
-            and not self._manager.seems_lost(server.id, now=now)
+            and server.id not in occupied_ids
+            and not self._adoption.may_be_in_unrecorded_group(server, now=now)
+            and not self._manager.is_presumed_lost(server.id, now=now)
         ]
 
-    def _standing(self, service: str) -> list[StandingGroup]:
-        """Return the zone's groups that serve, with their members."""
+    def _serving_groups(self, service: str) -> list[ServingGroup]:
+        """Return the zone's serving groups with their listed members."""
         return [
-            StandingGroup(
+            ServingGroup(
                 name=record.name,
                 model=record.model,
                 members=tuple(self._directory.listed(record.member_ids)),
@@ -175,61 +185,71 @@
         self,
         service: str,
         engine: EngineProfile,
-        seen: Mapping[str, float],
+        observed_demand: Mapping[str, float],
         *,
-        n_own: int,
+        n_zone_servers: int,
         free: list[BackendServer],
     ) -> FormingRules:
-        if not seen:
-            # All zones plan at the same moment, and none sees yet what the others
-            # form: each meets its own part of the demand.
-            demand = _first_demand(engine, n_servers=n_own)
-            groups = self._own_groups(service, engine)
+        if not observed_demand:
+            # All zones plan at the same moment at the start, and no planner knows yet
+            # what the others form, so each zone covers its own share of the demand.
+            demand = _initial_demand(engine, n_servers=n_zone_servers)
+            groups = self._zone_groups_by_model(service, engine)
         else:
             n_all = sum(1 for _ in self._directory.of_service(service))
-            first = _first_demand(engine, n_servers=n_all)
+            first = _initial_demand(engine, n_servers=n_all)
             demand = {
-                name: max(seen.get(name, 0.0), IDLE_DEMAND * value)
+                name: max(observed_demand.get(name, 0.0), MIN_DEMAND_RATIO * value)
                 for name, value in first.items()
             }
-            groups = self._all_groups(service, engine)
+            groups = self._all_groups_by_model(service, engine)
         return FormingRules(
             engine=engine,
             demand_by_model=demand,
             groups_by_model=groups,
-            n_servers=n_own,
+            n_servers=n_zone_servers,
             spare_ids=frozenset(server.id for server in free if self._is_spare(server)),
-            loads_are_quick=not seen and not self.has_run_before,
+            loads_are_quick=not observed_demand and not self.has_run_before,
         )
 
     def _is_spare(self, server: BackendServer) -> bool:
-        """Tell whether a free server has not been in a group that served."""
+        """Return whether a free server has not been in a serving group."""
         if not server.models:
             return True
         report = server.group
-        return report is not None and self._manager.warmed_up(report.name, report.epoch)
+        return report is not None and self._manager.is_warm_up(
+            report.name, report.epoch
+        )
 
-    def _own_groups(self, service: str, engine: EngineProfile) -> dict[str, int]:
-        """Count the zone's groups that serve or are being formed."""
+    def _zone_groups_by_model(
+        self, service: str, engine: EngineProfile
+    ) -> dict[str, int]:
+        """Count the zone's forming and serving groups by model."""
         counts = dict.fromkeys(engine.models_by_name, 0)
         for record in self._manager.records(GroupPhase.FORMING, GroupPhase.SERVING):
             if record.service == service and record.model in counts:
                 counts[record.model] += 1
         return counts
 
-    def _all_groups(self, service: str, engine: EngineProfile) -> dict[str, int]:
-        """Count all groups: own ones by record, those of other zones as listed.
+    def _all_groups_by_model(
+        self, service: str, engine: EngineProfile
+    ) -> dict[str, int]:
+        """Count the groups of all zones by model.
 
-        A group that shows one member is one that never opens, or has lost the others.
+        This zone's groups are counted by their records, those of other zones by the
+        server list.  A group with one listed member, where the model needs more, is a
+        warm-up group or has lost its other members, and is not counted.
         """
-        counts = self._own_groups(service, engine)
-        others = [
+        counts = self._zone_groups_by_model(service, engine)
+        remote_servers = [
             server
             for server in self._directory.of_service(service)
             if server.availability_zone != self._zone and server.group is not None
         ]
-        n_members = Counter((item.group.name, item.group.epoch) for item in others)
-        for server in others:
+        n_members = Counter(
+            (item.group.name, item.group.epoch) for item in remote_servers
+        )
+        for server in remote_servers:
             report = server.group
             is_alone = n_members[report.name, report.epoch] == 1
             for model in server.models & counts.keys():
@@ -238,26 +258,27 @@
         return counts
 
     def _has_settled(
-        self, service: str, *, n_free: int, is_calm: bool, now: float
+        self, service: str, *, n_free: int, is_idle: bool, now: float
     ) -> bool:
-        """Tell whether the list has shown all servers that there are at the start.
+        """Return whether all servers that are present at the start are listed.
 
-        They appear over some seconds, and a group that is formed of the first ones
-        takes the place of a better one.  Each service counts by itself: of two, the
-        numbers would differ at each look, and the wait would take its longest.
+        Servers are listed over some seconds, and a group formed of the first ones can
+        prevent a better group.  Free servers are counted for each service separately:
+        one counter for two services would change at each planning pass, so the wait
+        would always last for the maximum time.
         """
-        seen = self._appearing_by_service.get(service)
-        if seen is None or seen.n_free != n_free:
-            seen = _Appearing(n_free=n_free, since=now)
-            self._appearing_by_service[service] = seen
-        if not is_calm or now - self._since > LONGEST_SETTLING:
+        free_count = self._free_count_by_service.get(service)
+        if free_count is None or free_count.n_free != n_free:
+            free_count = _FreeCount(n_free=n_free, since=now)
+            self._free_count_by_service[service] = free_count
+        if not is_idle or now - self._since > MAX_SETTLING_TIME:
             return True
-        return now - seen.since > FLEET_SETTLING
+        return now - free_count.since > FLEET_SETTLED_AFTER
 
 
-def _first_demand(engine: EngineProfile, *, n_servers: int) -> dict[str, float]:
-    """Return the demand to assume before any was seen, from the models' shares."""
+def _initial_demand(engine: EngineProfile, *, n_servers: int) -> dict[str, float]:
+    """Return the demand to assume before the first request, by the models' shares."""
     return {
-        model.name: BUSY_ENOUGH * n_servers * model.share / model.size
+        model.name: GROWTH_UTILIZATION * n_servers * model.share / model.size
         for model in engine.models_by_name.values()
     }
--- a/tests/test_coordination/test_groups/group_fakes.py
+++ b/tests/test_coordination/test_groups/group_fakes.py
@@ -71,7 +71,7 @@
         The time of the last look, at which the list is taken to change.
     """
 
-    def __init__(self, *server_ids: str, patience: float = 0.0) -> None:
+    def __init__(self, *server_ids: str, max_missing_time: float = 0.0) -> None:
         self.now = 0.0
         self.list_is_stale = False
         self.directory = Directory()
@@ -79,9 +79,9 @@
         self.manager = GroupManager(
             directory=self.directory,
             stall_time=STALL_TIME,
-            join_limit=20.0,
+            max_join_time=20.0,
             list_is_stale=lambda: self.list_is_stale,
-            patience=patience,
+            max_missing_time=max_missing_time,
             log=lambda event, **fields: self.lines.append(event),
         )
         for server_id in server_ids:
@@ -94,7 +94,7 @@
     def orders(self, now: float) -> list[GroupOrder]:
         """Return the orders that are due."""
         self.now = now
-        return self.manager.look(now=now)
+        return self.manager.due_orders(now=now)
 
     def report(self, group: GroupRecord, state: GroupState, *server_ids: str) -> None:
         """Show servers as members of a group in a state."""
@@ -132,9 +132,9 @@
         """Take a group to where it serves."""
         self.manager.put(group, now=now)
         self.report(group, GroupState.READY, *group.member_ids)
-        self.manager.look(now=now)
+        self.manager.due_orders(now=now)
         self.report(group, GroupState.OPEN, group.head.server_id)
-        self.manager.look(now=now)
+        self.manager.due_orders(now=now)
 
     def answer(
         self, orders: list[GroupOrder], outcome: OrderOutcome, *, now: float
--- a/tests/test_coordination/test_groups/test_group_forming.py
+++ b/tests/test_coordination/test_groups/test_group_forming.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ryelever.coordination.groups.forming import (
-    SIZE_POWER,
+    SIZE_EXPONENT,
     FormingRules,
     choose_formations,
     choose_second_weights,
@@ -126,8 +126,8 @@
     free = servers_of(2, staged=S)
     calm = rules_of(demand=(0.1, 1.2), groups=(1, 1))
     assert _made(free, calm) == []
-    busy = rules_of(demand=(0.1, 1.3), groups=(1, 1))
-    assert _made(free, busy) == [("small", {"d0"})]
+    utilization = rules_of(demand=(0.1, 1.3), groups=(1, 1))
+    assert _made(free, utilization) == [("small", {"d0"})]
 
 
 def test_the_busiest_model_comes_first() -> None:
@@ -190,9 +190,11 @@
     """
     groups = {"large": 3, "small": 6}
     rules = rules_of(demand=(2.0, 4.0))
-    assert rules.busy("small", groups) == pytest.approx(4.0 / 6)
-    assert rules.busy("large", groups) == pytest.approx(2.0 / 3 * 2**SIZE_POWER)
-    assert [model.name for model in rules.by_need(groups)] == ["large", "small"]
+    assert rules.utilization("small", groups) == pytest.approx(4.0 / 6)
+    assert rules.utilization("large", groups) == pytest.approx(
+        2.0 / 3 * 2**SIZE_EXPONENT
+    )
+    assert [model.name for model in rules.models_by_need(groups)] == ["large", "small"]
     # At the start nothing was lost yet, and the models' shares decide.
     first = rules_of(demand=(2.0, 4.0), quick=True)
-    assert first.busy("large", groups) == pytest.approx(2.0 / 3)
+    assert first.utilization("large", groups) == pytest.approx(2.0 / 3)
--- a/tests/test_coordination/test_groups/test_group_keeper.py
+++ b/tests/test_coordination/test_groups/test_group_keeper.py
@@ -7,10 +7,10 @@
 from ryelever.coordination.groups.managed_group import ORDER_RETRY, GroupPhase
 from ryelever.coordination.groups.managed_groups import DISBANDED
 from ryelever.coordination.groups.manager import (
-    LAST_STREAMS,
-    MEMBERS_SHOWN,
+    CLOSE_GRACE,
+    MEMBERS_LISTED_AFTER,
 )
-from ryelever.coordination.groups.member_probes import ASK_INTERVAL
+from ryelever.coordination.groups.member_probes import UNLISTED_PROBE_INTERVAL
 from ryelever.coordination.groups.orders import OrderKind, OrderOutcome
 from ryelever.coordination.groups.silent_heads import STALL_SLACK
 from ryelever.state.directory import GroupState
@@ -109,12 +109,12 @@
     members.answer(members.orders(2.9), OrderOutcome.WRONG_INSTANCE, now=2.9)
     orders = members.orders(3.0)
     assert [(order.kind, order.server_id) for order in orders] == [(LEAVE, "a")]
-    assert members.manager.taken() == {"a", "b", "c"}
+    assert members.manager.occupied_ids() == {"a", "b", "c"}
     members.answer(orders, OrderOutcome.UNKNOWN, now=3.5)
-    assert members.manager.taken() == {"a", "b", "c"}
+    assert members.manager.occupied_ids() == {"a", "b", "c"}
     orders = members.orders(3.0 + ORDER_RETRY)
     members.answer(orders, OrderOutcome.IN_PROGRESS, now=4.1)
-    assert members.manager.taken() == set()
+    assert members.manager.occupied_ids() == set()
 
 
 def test_a_head_that_shows_as_having_left_frees_its_members(members: Members) -> None:
@@ -143,10 +143,10 @@
     assert told == [(LEAVE, "a"), (LEAVE, "b"), (LEAVE, "c")]
     members.answer(orders[1:2], OrderOutcome.APPLIED, now=13.0)
     members.look(10.0 + STALL_TIME)
-    assert members.manager.taken() == {"a", "b", "c"}
+    assert members.manager.occupied_ids() == {"a", "b", "c"}
     # If the head lives, "c" may be around it, and the group may be whole.
     members.look(10.1 + STALL_TIME + STALL_SLACK)
-    assert members.manager.taken() == {"a", "b", "c"}
+    assert members.manager.occupied_ids() == {"a", "b", "c"}
     members.answer(orders[2:], OrderOutcome.APPLIED, now=17.0)
     members.look(17.1)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
@@ -165,7 +165,7 @@
     members.lose("a", heard_at=10.0)
     orders = members.orders(13.0)
     members.answer(orders[1:], OrderOutcome.APPLIED, now=13.0)
-    assert members.manager.taken() == {"a"}
+    assert members.manager.occupied_ids() == {"a"}
 
 
 def test_members_with_a_join_in_doubt_are_held_until_their_group_has_broken_off(
@@ -187,7 +187,7 @@
     members.answer(orders[1:], OrderOutcome.APPLIED, now=5.0)
     for now in (5.1, 9.0, 4.9 + STALL_TIME + STALL_SLACK):
         members.look(now)
-        assert members.manager.taken() == {"a", "b", "c"}
+        assert members.manager.occupied_ids() == {"a", "b", "c"}
     members.look(5.1 + STALL_TIME + STALL_SLACK)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
@@ -206,7 +206,7 @@
     orders = members.orders(13.0)
     members.answer(orders[1:2], OrderOutcome.APPLIED, now=13.0)
     members.look(12.9 + STALL_TIME + STALL_SLACK)
-    assert members.manager.taken() == {"a", "b", "c"}
+    assert members.manager.occupied_ids() == {"a", "b", "c"}
     members.look(13.1 + STALL_TIME + STALL_SLACK)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
@@ -220,7 +220,7 @@
     probe = members.manager.managed_by_name[GROUP.name].order(PROBE, "a")
     members.manager.answered(probe, OrderOutcome.APPLIED, now=16.0)
     members.look(18.0)
-    assert members.manager.taken() == {"a", "b", "c"}
+    assert members.manager.occupied_ids() == {"a", "b", "c"}
 
 
 def test_a_group_that_is_cut_off_whole_keeps_its_members(members: Members) -> None:
@@ -236,15 +236,15 @@
     members.lose("a", "b", "c", heard_at=10.0)
     for now in (13.0, 18.0, 25.0):
         members.look(now)
-    assert members.manager.taken() == {"a", "b", "c"}
+    assert members.manager.occupied_ids() == {"a", "b", "c"}
     members.report(GROUP, GroupState.READY, "b", "c")
     members.look(25.1)
-    assert members.manager.taken() == {"a", "b", "c"}
+    assert members.manager.occupied_ids() == {"a", "b", "c"}
     # Once they have stayed as long as a group stands still, and have left, it has
     # broken off.
     later = 25.2 + STALL_TIME + STALL_SLACK
     orders = [item for item in members.orders(later) if item.server_id != "a"]
-    assert members.manager.taken() == {"a", "b", "c"}
+    assert members.manager.occupied_ids() == {"a", "b", "c"}
     members.answer(orders, OrderOutcome.APPLIED, now=later)
     members.look(later + 0.1)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
@@ -269,7 +269,7 @@
 
 
 def test_another_zones_group_may_miss_members_for_a_while() -> None:
-    members = Members("a", "b", "c", patience=5.0)
+    members = Members("a", "b", "c", max_missing_time=5.0)
     members.serve(GROUP)
     members.lose("b", heard_at=0.0)
     assert members.look(3.0) == []
@@ -292,11 +292,11 @@
     """
     members.serve(GROUP)
     members.lose("b", heard_at=1.0)
-    for now in (4.0, 4.0 + ASK_INTERVAL, 4.0 + 2 * ASK_INTERVAL):
+    for now in (4.0, 4.0 + UNLISTED_PROBE_INTERVAL, 4.0 + 2 * UNLISTED_PROBE_INTERVAL):
         probes = members.orders(now)
         assert [(probe.kind, probe.server_id) for probe in probes] == [(PROBE, "b")]
         members.answer(probes, OrderOutcome.APPLIED, now=now)
-        assert members.look(now + 0.9 * ASK_INTERVAL) == []
+        assert members.look(now + 0.9 * UNLISTED_PROBE_INTERVAL) == []
     probes = members.orders(10.0)
     members.answer(probes, OrderOutcome.UNKNOWN, now=10.4)
     probes = members.orders(10.4)
@@ -318,7 +318,7 @@
     members.answer(probes[:2], OrderOutcome.APPLIED, now=1.0)
     members.answer(probes[2:], OrderOutcome.NOT_A_MEMBER, now=1.0)
     assert members.look(1.1) == [(LEAVE, "a")]
-    assert not members.manager.seems_lost("c", now=1.1)
+    assert not members.manager.is_presumed_lost("c", now=1.1)
 
 
 def test_members_are_asked_while_the_list_is_silent(members: Members) -> None:
@@ -369,7 +369,7 @@
     assert [(order.kind, order.gently) for order in orders] == [(CLOSE, True)]
     members.report(GROUP, GroupState.CLOSING, "a")
     assert members.look(1.5) == []
-    assert members.look(1.1 + LAST_STREAMS) == [(LEAVE, "a")]
+    assert members.look(1.1 + CLOSE_GRACE) == [(LEAVE, "a")]
 
 
 def test_a_group_taken_apart_lets_streams_end_first(members: Members) -> None:
@@ -403,8 +403,8 @@
             outcome = OrderOutcome.UNKNOWN if lost else OrderOutcome.APPLIED
             members.manager.answered(probe, outcome, now=now + 0.4)
     assert members.look(2.0) == [(LEAVE, "a")]
-    assert members.manager.seems_lost("c", now=2.0)
-    assert not members.manager.seems_lost("b", now=2.0)
+    assert members.manager.is_presumed_lost("c", now=2.0)
+    assert not members.manager.is_presumed_lost("b", now=2.0)
 
 
 def test_a_server_that_was_lost_unseen_holds_up_no_new_group(
@@ -427,7 +427,7 @@
         assert [order.server_id for order in probes] == ["c"]
         members.answer(probes, OrderOutcome.UNKNOWN, now=now + 0.4)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.ENDING
-    assert members.manager.seems_lost("c", now=1.6)
+    assert members.manager.is_presumed_lost("c", now=1.6)
 
 
 def test_a_server_that_joins_late_is_waited_for(members: Members) -> None:
@@ -600,7 +600,7 @@
     members.restart("a", started_at=2)
     members.report(GROUP, GroupState.OPEN, "a")
     assert members.look(1.0) == [(LEAVE, "a")]
-    assert members.manager.taken() == {"a", "b", "c"}
+    assert members.manager.occupied_ids() == {"a", "b", "c"}
 
 
 def test_a_new_planner_sees_that_a_member_was_started_anew(members: Members) -> None:
@@ -616,9 +616,9 @@
     members.report(GROUP, GroupState.READY, "c")
     members.manager.put(GROUP, now=0.0)
     members.look(0.0)
-    members.look(MEMBERS_SHOWN)
+    members.look(MEMBERS_LISTED_AFTER)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.SERVING
-    members.look(MEMBERS_SHOWN + 0.1)
+    members.look(MEMBERS_LISTED_AFTER + 0.1)
     assert members.manager.managed_by_name[GROUP.name].reason == "member_left"
 
 
@@ -628,10 +628,10 @@
     for now in (1.0, 1.5):
         asked = [order for order in members.orders(now) if order.server_id == "c"]
         members.answer(asked, OrderOutcome.UNKNOWN, now=now)
-    assert members.manager.seems_lost("c", now=1.6)
+    assert members.manager.is_presumed_lost("c", now=1.6)
     members.now = 1.7
     members.restart("c", started_at=2)
-    assert not members.manager.seems_lost("c", now=1.8)
+    assert not members.manager.is_presumed_lost("c", now=1.8)
 
 
 def test_a_probe_asks_for_the_start_that_joined(members: Members) -> None:
@@ -656,12 +656,12 @@
     [*_, to_c] = members.orders(1.0)
     members.answer([to_c], OrderOutcome.WRONG_INSTANCE, now=1.1)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.ENDING
-    assert members.manager.seems_lost("c", now=1.2)
-    assert not members.manager.seems_lost("b", now=1.2)
+    assert members.manager.is_presumed_lost("c", now=1.2)
+    assert not members.manager.is_presumed_lost("b", now=1.2)
     # Once the list shows that it has come anew, it is of use again.
     members.now = 1.3
     members.restart("c", started_at=2)
-    assert not members.manager.seems_lost("c", now=1.4)
+    assert not members.manager.is_presumed_lost("c", now=1.4)
 
 
 def test_an_order_that_waited_is_not_sent_to_a_group_that_ends(
--- a/tests/test_coordination/test_groups/test_orders_explored.py
+++ b/tests/test_coordination/test_groups/test_orders_explored.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from ryelever.coordination.groups.managed_group import LATE_ORDERS, GroupPhase
+from ryelever.coordination.groups.managed_group import MAX_ORDER_DELAY, GroupPhase
 from ryelever.coordination.groups.manager import GroupManager
 from ryelever.coordination.groups.orders import GroupOrder, OrderKind, OrderOutcome
 from ryelever.emulator.server import EmulatedServer
@@ -65,8 +65,8 @@
         self.manager = GroupManager(
             directory=self.directory,
             stall_time=STALL_TIME,
-            join_limit=20.0,
-            patience=0.0,
+            max_join_time=20.0,
+            max_missing_time=0.0,
             list_is_stale=lambda: False,
             log=lambda event, **fields: None,
         )
@@ -78,11 +78,11 @@
             self.now = round(self.now + STEP, 3)
             self._advance()
             self.manager.suspect({"a"} if self.now > CUT_AT + 0.6 else set())
-            free = not {"b", "c"} & self.manager.taken()
+            free = not {"b", "c"} & self.manager.occupied_ids()
             ended = self.manager.phase_of(FORMER.name) is not GroupPhase.FORMING
             if self.now > CUT_AT and free and ended:
                 self.manager.put(LATER, now=self.now, decided_here=True)
-            for order in self.manager.look(now=self.now):
+            for order in self.manager.due_orders(now=self.now):
                 self._give(order)
         return self
 
@@ -183,7 +183,7 @@
     silent for long, they are given to another group.  Cause: silence was taken for a
     sign that the group had broken off, though no member had left it.
     """
-    assert max(FATES) < LATE_ORDERS
+    assert max(FATES) < MAX_ORDER_DELAY
     n_orders = Run(fates={}, crashes=crashes).play().n_orders
     chosen = [dict([one]) for one in product(range(n_orders), FATES)]
     for first, second in combinations(range(n_orders), 2):
--- a/tests/test_coordination/test_groups/test_taking_apart.py
+++ b/tests/test_coordination/test_groups/test_taking_apart.py
@@ -5,16 +5,18 @@
 import pytest
 
 from ryelever.coordination.groups.disbanding import choose_disbanding
-from ryelever.coordination.groups.forming import StandingGroup
+from ryelever.coordination.groups.forming import ServingGroup
 from ryelever.coordination.groups.reshaping import ANNOUNCED_FOR, ReshapingToken
 
 from .group_fakes import server
 from .test_group_forming import L, S, rules_of, servers_of
 
 
-def _standing(*groups: tuple[str, int, str, frozenset[str]]) -> list[StandingGroup]:
+def _serving_groups(
+    *groups: tuple[str, int, str, frozenset[str]],
+) -> list[ServingGroup]:
     return [
-        StandingGroup(
+        ServingGroup(
             name=f"g{index}",
             model=model,
             members=tuple(
@@ -52,10 +54,10 @@
     n_survivors: int,
     expected: list[str],
 ) -> None:
-    standing = _standing(("small", 2, "d0", staged))
+    serving_groups = _serving_groups(("small", 2, "d0", staged))
     free = servers_of(n_survivors, models=L)
     rules = rules_of(demand=demand, groups=groups)
-    chosen = choose_disbanding(free, standing, rules)
+    chosen = choose_disbanding(free, serving_groups, rules)
     assert [group.name for group in chosen] == expected
 
 
@@ -69,14 +71,14 @@
     of one small group make up a large one.
     Cause: one group at a time was considered.
     """
-    standing = _standing(("small", 2, "d0", L), ("small", 2, "d0", L))
+    serving_groups = _serving_groups(("small", 2, "d0", L), ("small", 2, "d0", L))
     rules = rules_of(demand=(4.0, 3.0), groups=(2, 7))
-    chosen = choose_disbanding(servers_of(1, models=L), standing, rules)
+    chosen = choose_disbanding(servers_of(1, models=L), serving_groups, rules)
     assert [group.name for group in chosen] == ["g0", "g1"]
     # The domain in which fewer do comes first.
-    standing += _standing(("small", 2, "d1", L))
+    serving_groups += _serving_groups(("small", 2, "d1", L))
     free = servers_of(1, models=L) + servers_of(2, "d1", models=L)
-    [chosen] = choose_disbanding(free, standing, rules)
+    [chosen] = choose_disbanding(free, serving_groups, rules)
     assert chosen.members[0].domain == "d1"
 
 
@@ -96,9 +98,9 @@
             others = announced - {zone}
             chosen = choose_disbanding(
                 servers_of(2, models=L),
-                _standing(("small", 2, "d0", L)),
+                _serving_groups(("small", 2, "d0", L)),
                 rules_of(demand=demand, groups=groups),
-                n_pending=turn.n_before(others),
+                n_pending=turn.n_ahead(others),
             )
             if not chosen:
                 turn.end()
@@ -134,9 +136,9 @@
 
 def test_who_announced_earlier_goes_before() -> None:
     turn = ReshapingToken(zone="a")
-    assert turn.n_before({"b"}) == 1
+    assert turn.n_ahead({"b"}) == 1
     assert not turn.may_start({"b"}, now=0.0)
-    assert turn.n_before({"b", "c"}) == 1
+    assert turn.n_ahead({"b", "c"}) == 1
     assert turn.may_start({"b", "c"}, now=ANNOUNCED_FOR)
 
 
--- a/tests/test_coordination/test_groups/test_zone_planner.py
+++ b/tests/test_coordination/test_groups/test_zone_planner.py
@@ -12,12 +12,15 @@
 from ryelever.coordination.groups.silent_heads import STALL_SLACK
 from ryelever.coordination.groups.zone_planner import (
     APPEND_TIMEOUT,
-    PLACE_BITS,
-    SETTLING,
+    OFFSET_BITS,
+    START_DELAY,
     AppendGroups,
     ZonePlanner,
 )
-from ryelever.coordination.groups.zone_view import FLEET_SETTLING, LONGEST_SETTLING
+from ryelever.coordination.groups.zone_view import (
+    FLEET_SETTLED_AFTER,
+    MAX_SETTLING_TIME,
+)
 from ryelever.state.directory import BackendServer, Directory, GroupReport, GroupState
 from ryelever.state.routes import RoutedService, RouteTable
 
@@ -65,7 +68,7 @@
 
     def free(self, now: float) -> list[BackendServer]:
         """Return the servers that may be given to a group."""
-        [view] = self.planner._views.of(self.table, now=now)
+        [view] = self.planner._views.service_views(self.table, now=now)
         return view.free
 
     def appends(self, now: float) -> AppendGroups | None:
@@ -75,8 +78,8 @@
     def settled(self) -> AppendGroups:
         """Let the list settle and return the first append."""
         self.planner.listed([], end=7, now=0.0)
-        self.planner.look(now=SETTLING)
-        asked = self.appends(SETTLING + FLEET_SETTLING + 0.1)
+        self.planner.look(now=START_DELAY)
+        asked = self.appends(START_DELAY + FLEET_SETTLED_AFTER + 0.1)
         assert asked is not None
         return asked
 
@@ -96,15 +99,15 @@
     assert zone.appends(5.0) is None
     zone.planner.listed([], end=0, now=5.0)
     zone.planner.look(now=5.0)
-    assert zone.appends(5.0 + FLEET_SETTLING + 0.1) is not None
+    assert zone.appends(5.0 + FLEET_SETTLED_AFTER + 0.1) is not None
 
 
 def test_servers_that_are_still_appearing_are_waited_for(zone: Zone) -> None:
     zone.planner.listed([], end=0, now=0.0)
-    zone.planner.look(now=SETTLING)
+    zone.planner.look(now=START_DELAY)
     zone.directory.put(server("late"), now=0.0)
-    assert zone.appends(SETTLING + 0.5) is None
-    assert zone.appends(SETTLING + 0.9 + FLEET_SETTLING) is not None
+    assert zone.appends(START_DELAY + 0.5) is None
+    assert zone.appends(START_DELAY + 0.9 + FLEET_SETTLED_AFTER) is not None
 
 
 def test_services_settle_each_by_itself() -> None:
@@ -116,12 +119,12 @@
     """
     zone = Zone(services=("engines", "others"))
     zone.planner.listed([], end=0, now=0.0)
-    now = SETTLING
+    now = START_DELAY
     asked = None
-    while asked is None and now < LONGEST_SETTLING:
+    while asked is None and now < MAX_SETTLING_TIME:
         asked = zone.appends(now)
         now += 0.1
-    assert now < SETTLING + FLEET_SETTLING + 0.3
+    assert now < START_DELAY + FLEET_SETTLED_AFTER + 0.3
 
 
 def test_epochs_follow_from_the_place_in_the_log(zone: Zone) -> None:
@@ -155,7 +158,7 @@
     Cause: both would be at places of their own.
     """
     asked = zone.settled()
-    asked_at = SETTLING + FLEET_SETTLING + 0.1
+    asked_at = START_DELAY + FLEET_SETTLED_AFTER + 0.1
     zone.planner.append_failed(end=None)
     assert zone.appends(asked_at + APPEND_TIMEOUT - 0.1) is None
     assert zone.appends(asked_at + APPEND_TIMEOUT + 0.1) == asked
@@ -167,7 +170,7 @@
     theirs = replace(asked.formed[0], epoch=8)
     zone.planner.recorded(theirs, end=8, now=3.0)
     assert zone.appends(3.1) is None
-    again = zone.appends(3.2 + FLEET_SETTLING)
+    again = zone.appends(3.2 + FLEET_SETTLED_AFTER)
     assert again is not None
     assert again.at == 8
     theirs_ids = set(theirs.member_ids)
@@ -183,7 +186,7 @@
     zone.planner.look(now=4.1)
     assert zone.planner.manager.phase_of(gone.name) is GroupPhase.RETIRED
     zone.planner.look(now=4.2)
-    again = zone.appends(4.3 + FLEET_SETTLING)
+    again = zone.appends(4.3 + FLEET_SETTLED_AFTER)
     assert again is not None
     assert again.dropped == (gone.name,)
 
@@ -218,7 +221,7 @@
     """
     group = _served(zone)
     zone.planner.dropped(group.name, end=20)
-    assert set(group.member_ids) <= zone.planner.manager.taken()
+    assert set(group.member_ids) <= zone.planner.manager.occupied_ids()
     again = zone.appends(4.3)
     assert again is not None
     assert again.restored == (group,)
@@ -231,15 +234,15 @@
     for server_id in group.member_ids:
         successor.directory.put(zone.directory.by_id[server_id], now=0.0)
     successor.planner.listed([], end=7, now=0.0)
-    for now in (SETTLING, SETTLING + 0.5, SETTLING + 1.4):
+    for now in (START_DELAY, START_DELAY + 0.5, START_DELAY + 1.4):
         asked = successor.appends(now)
         # Meanwhile its members are free for nothing.
         formed = asked.formed if asked else ()
-        taken = {item for other in formed for item in other.member_ids}
-        assert not taken & set(group.member_ids)
-    successor.planner.look(now=SETTLING + ADOPT_AFTER + 0.1)
+        occupied_ids = {item for other in formed for item in other.member_ids}
+        assert not occupied_ids & set(group.member_ids)
+    successor.planner.look(now=START_DELAY + ADOPT_AFTER + 0.1)
     manager = successor.planner.manager
-    assert set(group.member_ids) <= manager.taken()
+    assert set(group.member_ids) <= manager.occupied_ids()
     assert manager.phase_of(group.name) is not GroupPhase.ENDING
 
 
@@ -249,9 +252,9 @@
     for server_id in group.member_ids[:-1]:
         successor.directory.put(zone.directory.by_id[server_id], now=0.0)
     successor.planner.listed([], end=7, now=0.0)
-    successor.planner.look(now=SETTLING)
-    successor.planner.look(now=SETTLING + ADOPT_AFTER + 0.1)
-    orders, _ = successor.planner.look(now=SETTLING + ADOPT_AFTER + 0.2)
+    successor.planner.look(now=START_DELAY)
+    successor.planner.look(now=START_DELAY + ADOPT_AFTER + 0.1)
+    orders, _ = successor.planner.look(now=START_DELAY + ADOPT_AFTER + 0.2)
     head_id = group.head.server_id
     left = [order.server_id for order in orders if order.kind is OrderKind.LEAVE]
     assert successor.planner.manager.phase_of(group.name) is GroupPhase.ENDING
@@ -264,9 +267,9 @@
     for server_id in group.member_ids[1:]:
         successor.directory.put(zone.directory.by_id[server_id], now=0.0)
     successor.planner.listed([], end=7, now=0.0)
-    successor.planner.look(now=SETTLING)
-    assert successor.free(SETTLING + 1.0) == []
-    later = SETTLING + STALL_TIME + STALL_SLACK + 0.1
+    successor.planner.look(now=START_DELAY)
+    assert successor.free(START_DELAY + 1.0) == []
+    later = START_DELAY + STALL_TIME + STALL_SLACK + 0.1
     assert len(successor.free(later)) == len(group.members) - 1
 
 
@@ -346,7 +349,7 @@
     )
     _report(zone, lone, head.id)
     zone.planner.listed([lone], end=7, now=0.0)
-    for now in (SETTLING, SETTLING + 0.1):
+    for now in (START_DELAY, START_DELAY + 0.1):
         orders, _ = zone.planner.look(now=now)
         assert [order.kind for order in orders] in ([], [OrderKind.LEAVE])
     assert zone.planner.manager.phase_of(lone.name) is GroupPhase.ENDING
@@ -399,7 +402,7 @@
     n_loads = 0
     end = 0
     for tick in range(50):
-        now = SETTLING + tick * 0.1
+        now = START_DELAY + tick * 0.1
         orders, asked = zone.planner.look(now=now)
         n_loads += sum(order.kind is OrderKind.STAGE for order in orders)
         if asked is not None:
@@ -432,7 +435,7 @@
     assert not any(order.kind is OrderKind.OPEN for order in orders)
     spares = {record.head.server_id: record.model for record in warm_ups}
     assert {server.id for server in zone.free(3.3)} == set(spares)
-    orders += zone.planner.look(now=3.3 + FLEET_SETTLING)[0]
+    orders += zone.planner.look(now=3.3 + FLEET_SETTLED_AFTER)[0]
     staged = {
         order.server_id: order.model
         for order in orders
@@ -480,7 +483,7 @@
                 group=report,
             )
             zone.directory.put(far, now=0.0)
-        [view] = zone.planner._views.of(zone.table, now=9.0)
+        [view] = zone.planner._views.service_views(zone.table, now=9.0)
         counts[index] = view.rules.groups_by_model["large"]
     assert counts[1] - counts[0] == 1
     assert counts[0] == 0
@@ -589,7 +592,7 @@
     n_loads = 0
     end = 12
     for tick in range(50):
-        now = SETTLING + tick * 0.1
+        now = START_DELAY + tick * 0.1
         orders, asked = zone.planner.look(now=now)
         n_loads += sum(order.kind is OrderKind.STAGE for order in orders)
         if asked is not None:
@@ -647,11 +650,11 @@
     asked = zone.settled()
     zone.planner.appended(asked, end=7 + len(asked.formed), era=1, now=3.0)
     zone.planner.listed(list(asked.formed), end=7 + len(asked.formed), era=1, now=3.1)
-    orders, again = zone.planner.look(now=3.2 + FLEET_SETTLING)
+    orders, again = zone.planner.look(now=3.2 + FLEET_SETTLED_AFTER)
     assert not [order for order in orders if order.kind is OrderKind.JOIN]
     assert again is not None
     assert set(again.dropped) == {group.name for group in asked.formed}
-    assert min(group.epoch for group in again.formed) > 1 << PLACE_BITS
+    assert min(group.epoch for group in again.formed) > 1 << OFFSET_BITS
 
 
 def test_no_group_is_formed_in_an_evacuated_zone() -> None:
@@ -659,8 +662,8 @@
     zone = Zone()
     zone.planner._is_evacuated = lambda name: name == "z"
     zone.planner.listed([], end=7, now=0.0)
-    zone.planner.look(now=SETTLING)
-    settled_at = SETTLING + FLEET_SETTLING + 0.1
+    zone.planner.look(now=START_DELAY)
+    settled_at = START_DELAY + FLEET_SETTLED_AFTER + 0.1
     assert zone.planner.look(now=settled_at) == ([], None)
     zone.planner._is_evacuated = lambda name: False
     assert zone.appends(settled_at + 0.1) is not None
