--- a/ryelever/coordination/groups/adoption.py
+++ b/ryelever/coordination/groups/adoption.py
@@ -55,7 +55,7 @@
 
     def adopt_unrecorded(self, table: RouteTable, *, now: float) -> None:
         """Adopt the groups that have had no record for ``ADOPT_AFTER`` seconds."""
-        reported = self._reported(table)
+        reported = self._unknown_groups(table)
         for key in self._unknown_since.keys() - reported.keys():
             del self._unknown_since[key]
         for key, members in reported.items():
@@ -81,7 +81,7 @@
         known = self._manager.knows(report.name, report.epoch)
         return known and not self._manager.heads_ended_group(server)
 
-    def _reported(
+    def _unknown_groups(
         self, table: RouteTable
     ) -> dict[tuple[str, int], list[BackendServer]]:
         """Return the members of unknown groups by the groups' name and epoch."""
--- a/ryelever/coordination/groups/silent_heads.py
+++ b/ryelever/coordination/groups/silent_heads.py
@@ -46,7 +46,8 @@
         """Return the ``LEAVE`` orders to the listed members of a group.
 
         A member that confirms its departure is in no group and is free at once, unless
-        it may still execute an order to join this group.
+        it may still execute an order to join this group that this or an earlier planner
+        sent.
         """
         has_unresolved_join = managed.has_unresolved_join(now=now)
         managed.left_members_are_free = managed.decided_here and not has_unresolved_join
--- a/tests/test_coordination/test_groups/group_fakes.py
+++ b/tests/test_coordination/test_groups/group_fakes.py
@@ -1,4 +1,4 @@
-"""Play backend servers that are members of groups, as the list shows them."""
+"""Fake backend servers that are group members, as the server list shows them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 __all__ = ["STALL_TIME", "Members", "record", "server"]
 
-#: Seconds for which a group stands still, as the platform's settings say.
+#: Seconds for which a group stalls until it is broken, as in the platform's settings.
 STALL_TIME = 6.0
 
 
@@ -29,7 +29,7 @@
     group: GroupReport | None = None,
     zone: str = "z",
 ) -> BackendServer:
-    """Return a backend server that is free."""
+    """Return the list entry of a backend server, in no group by default."""
     return BackendServer(
         id=server_id,
         service="engines",
@@ -48,7 +48,7 @@
 def record(
     epoch: int, *server_ids: str, model: str = "large", zone: str = "z"
 ) -> GroupRecord:
-    """Return the record of a group."""
+    """Return the record of a group with these members, the head first."""
     return GroupRecord(
         name=f"{zone}-{epoch}",
         epoch=epoch,
@@ -63,73 +63,73 @@
 
 
 class Members:
-    """Hold a keeper, and the servers that its orders go to.
+    """A group manager and the list entries of the servers that it sends orders to.
 
     Attributes
     ----------
     now : float
-        The time of the last look, at which the list is taken to change.
+        Time of the last call for orders; changes of the list get this time.
     """
 
     def __init__(self, *server_ids: str, max_missing_time: float = 0.0) -> None:
         self.now = 0.0
         self.list_is_stale = False
         self.directory = Directory()
-        self.lines: list[str] = []
+        self.log_events: list[str] = []
         self.manager = GroupManager(
             directory=self.directory,
             stall_time=STALL_TIME,
             max_join_time=20.0,
             list_is_stale=lambda: self.list_is_stale,
             max_missing_time=max_missing_time,
-            log=lambda event, **fields: self.lines.append(event),
+            log=lambda event, **fields: self.log_events.append(event),
         )
         for server_id in server_ids:
             self.directory.put(server(server_id), now=self.now)
 
-    def look(self, now: float) -> list[tuple[OrderKind, str]]:
-        """Return kind and server of the orders that are due."""
+    def due(self, now: float) -> list[tuple[OrderKind, str]]:
+        """Return the kinds and server ids of the orders that are due."""
         return [(order.kind, order.server_id) for order in self.orders(now)]
 
     def orders(self, now: float) -> list[GroupOrder]:
-        """Return the orders that are due."""
+        """Return the orders that are due, and remember the time."""
         self.now = now
         return self.manager.due_orders(now=now)
 
     def report(self, group: GroupRecord, state: GroupState, *server_ids: str) -> None:
-        """Show servers as members of a group in a state."""
+        """List servers as members of a group in a state."""
         for server_id in server_ids:
             rank = group.member_ids.index(server_id)
             report = GroupReport(
                 name=group.name, epoch=group.epoch, rank=rank, state=state
             )
-            found = self.directory.by_id.get(server_id) or server(server_id)
-            self.directory.put(replace(found, group=report), now=self.now)
+            entry = self.directory.by_id.get(server_id) or server(server_id)
+            self.directory.put(replace(entry, group=report), now=self.now)
 
     def leave(self, *server_ids: str) -> None:
-        """Show servers as members of no group."""
+        """List servers as members of no group."""
         for server_id in server_ids:
-            found = self.directory.by_id[server_id]
-            self.directory.put(replace(found, group=None), now=self.now)
+            entry = self.directory.by_id[server_id]
+            self.directory.put(replace(entry, group=None), now=self.now)
 
     def restart(self, server_id: str, *, started_at: int) -> None:
-        """Show that a server was started anew under its id, and holds nothing."""
-        found = replace(server(server_id), started_at=started_at)
-        self.directory.put(found, now=self.now)
+        """List a new incarnation of a server, in no group and without weights."""
+        entry = replace(server(server_id), started_at=started_at)
+        self.directory.put(entry, now=self.now)
 
     def drain(self, server_id: str) -> None:
-        """Show that a server has announced its leaving."""
+        """List a server as draining."""
         self.directory.put(
             replace(self.directory.by_id[server_id], draining=True), now=self.now
         )
 
-    def lose(self, *server_ids: str, heard_at: float) -> None:
-        """Take servers out of the list."""
+    def lose(self, *server_ids: str, last_seen_at: float) -> None:
+        """Remove servers from the list."""
         for server_id in server_ids:
-            self.directory.remove(server_id, heard_at=heard_at)
+            self.directory.remove(server_id, heard_at=last_seen_at)
 
     def serve(self, group: GroupRecord, *, now: float = 0.0) -> None:
-        """Take a group to where it serves."""
+        """Put a group, list its members as ready and its head as open."""
         self.manager.put(group, now=now)
         self.report(group, GroupState.READY, *group.member_ids)
         self.manager.due_orders(now=now)
@@ -139,6 +139,6 @@
     def answer(
         self, orders: list[GroupOrder], outcome: OrderOutcome, *, now: float
     ) -> None:
-        """Answer orders alike."""
+        """Answer all orders with the same outcome."""
         for order in orders:
             self.manager.answered(order, outcome, now=now)
--- a/tests/test_coordination/test_groups/test_taking_apart.py
+++ b/tests/test_coordination/test_groups/test_disbanding.py
@@ -1,4 +1,4 @@
-"""Test which groups are taken apart for another model, and in whose turn."""
+"""Test which groups are disbanded for another model, and which zone disbands first."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     ("demand", "groups", "staged", "n_survivors", "expected"),
     [
         pytest.param((4.0, 2.0), (3, 6), L, 3, ["g0"], id="completes-the-neediest"),
-        # Groups of four count 1.23 times as busy as groups of two.
+        # The utilization of groups of four is weighted by 1.23 against groups of two.
         pytest.param((2.0, 4.0), (3, 6), L, 3, [], id="as-needy-itself"),
         pytest.param((2.4, 4.0), (3, 6), L, 3, [], id="little-less-needy"),
         pytest.param((2.5, 4.0), (3, 6), L, 3, ["g0"], id="much-less-needy"),
@@ -47,7 +47,7 @@
         pytest.param((4.0, 2.0), (3, 6), L, 4, [], id="fits-without"),
     ],
 )
-def test_when_a_group_is_taken_apart(
+def test_conditions_for_disbanding_a_group(
     demand: tuple[float, float],
     groups: tuple[int, int],
     staged: frozenset[str],
@@ -61,88 +61,84 @@
     assert [group.name for group in chosen] == expected
 
 
-def test_a_domain_of_small_groups_can_serve_the_large_model_again() -> None:
-    """Lose servers until a domain holds small groups only, and let demand stay.
+def test_several_small_groups_are_disbanded_for_a_large_one() -> None:
+    """Guard against a domain that can never form a large group again.
 
-    Symptom: for ten seconds the large model has two groups for the work of four, and
-    the small one seven for that of four.
-    Sequence: a large group is lost and too few servers are left for another; they
-    become small ones.  New servers come, but never so many that they and the members
-    of one small group make up a large one.
-    Cause: one group at a time was considered.
+    For ten seconds the large model had two groups for the work of four, and the small
+    one seven groups for the work of four.  After the loss of a large group, the few
+    remaining servers form small groups.  New servers and the members of one small group
+    are never enough for a large group, so several groups must be disbanded together.
     """
     serving_groups = _serving_groups(("small", 2, "d0", L), ("small", 2, "d0", L))
     rules = rules_of(demand=(4.0, 3.0), groups=(2, 7))
     chosen = choose_disbanding(servers_of(1, models=L), serving_groups, rules)
     assert [group.name for group in chosen] == ["g0", "g1"]
-    # The domain in which fewer do comes first.
+    # The domain in which fewer groups must be disbanded comes first.
     serving_groups += _serving_groups(("small", 2, "d1", L))
     free = servers_of(1, models=L) + servers_of(2, "d1", models=L)
     [chosen] = choose_disbanding(free, serving_groups, rules)
     assert chosen.members[0].domain == "d1"
 
 
-def _taken_by(
+def _n_disbanded_by_zone(
     zones: str, *, demand: tuple[float, float], groups: tuple[int, int]
 ) -> dict[str, int]:
-    """Return how many groups each of some zones takes apart for one shortage.
+    """Return the number of groups that each zone disbands for the same shortage.
 
-    All see the same, and each could complete a large group.
+    All zones see the same groups and demand, and each could complete a large group.
     """
-    turns = {zone: ReshapingToken(zone=zone) for zone in zones}
-    taken = dict.fromkeys(zones, 0)
+    tokens = {zone: ReshapingToken(zone=zone) for zone in zones}
+    n_disbanded = dict.fromkeys(zones, 0)
     for tick in range(30):
         now = tick * 0.1
-        announced = {zone for zone, turn in turns.items() if turn.is_announced}
-        for zone, turn in turns.items():
+        announced = {zone for zone, token in tokens.items() if token.is_announced}
+        for zone, token in tokens.items():
             others = announced - {zone}
             chosen = choose_disbanding(
                 servers_of(2, models=L),
                 _serving_groups(("small", 2, "d0", L)),
                 rules_of(demand=demand, groups=groups),
-                n_pending=turn.n_ahead(others),
+                n_pending=token.n_ahead(others),
             )
             if not chosen:
-                turn.end()
-            elif turn.may_start(others, now=now):
-                taken[zone] = 1
-    return taken
+                token.end()
+            elif token.may_start(others, now=now):
+                n_disbanded[zone] = 1
+    return n_disbanded
 
 
-def test_one_zone_of_several_mends_a_shortage_of_one() -> None:
-    """Show that a shortage that all zones see is mended by one of them.
+def test_one_zone_repairs_a_shortage_of_one_group() -> None:
+    """Guard against zones that all repair the same shortage.
 
-    Symptom: on a quiet day a model goes from five groups to two, and half of its
-    requests come late.
-    Sequence: the other model loses two groups; three planners see it short of groups
-    in the same tenth of a second, and each takes a group of the first model apart.
-    Cause: each decided on what all had before.
+    A model went from five groups to two, and half of its requests were late.  After the
+    other model lost two groups, three planners noticed the shortage within the same
+    tenth of a second, and each disbanded a group of the first model because it didn't
+    know of the others' decisions.
     """
-    taken = _taken_by("abc", demand=(2.2, 3.0), groups=(2, 5))
-    assert taken == {"a": 1, "b": 0, "c": 0}
+    n_disbanded = _n_disbanded_by_zone("abc", demand=(2.2, 3.0), groups=(2, 5))
+    assert n_disbanded == {"a": 1, "b": 0, "c": 0}
 
 
-def test_zones_mend_a_shortage_of_more_at_once() -> None:
-    """Show that a large shortage isn't mended one group after the other.
+def test_several_zones_repair_a_larger_shortage_at_once() -> None:
+    """Guard against a large shortage that is repaired one group after the other.
 
-    Symptom: the large model has two groups for the work of five through ten seconds.
-    Sequence: three large groups are lost within a second; each change takes four
-    seconds, and the other zones wait for it.
-    Cause: one zone at a time took a group apart, whatever was missing.
+    The large model had two groups for the work of five for ten seconds.  Three large
+    groups were lost within a second, each change takes four seconds, and only one zone
+    at a time disbanded a group however many were missing.
     """
-    taken = _taken_by("abc", demand=(6.0, 2.0), groups=(2, 7))
-    assert taken == {"a": 1, "b": 1, "c": 1}
+    n_disbanded = _n_disbanded_by_zone("abc", demand=(6.0, 2.0), groups=(2, 7))
+    assert n_disbanded == {"a": 1, "b": 1, "c": 1}
 
 
-def test_who_announced_earlier_goes_before() -> None:
-    turn = ReshapingToken(zone="a")
-    assert turn.n_ahead({"b"}) == 1
-    assert not turn.may_start({"b"}, now=0.0)
-    assert turn.n_ahead({"b", "c"}) == 1
-    assert turn.may_start({"b", "c"}, now=ANNOUNCED_FOR)
+def test_zone_that_announced_earlier_goes_first() -> None:
+    token = ReshapingToken(zone="a")
+    assert token.n_ahead({"b"}) == 1
+    assert not token.may_start({"b"}, now=0.0)
+    assert token.n_ahead({"b", "c"}) == 1
+    assert token.may_start({"b", "c"}, now=ANNOUNCED_FOR)
 
 
-def test_a_zone_that_is_cut_off_acts_alone() -> None:
-    turn = ReshapingToken(zone="c")
-    turn.may_start(set(), now=0.0)
-    assert turn.may_start(set(), now=ANNOUNCED_FOR)
+def test_partitioned_zone_disbands_without_waiting_for_others() -> None:
+    token = ReshapingToken(zone="c")
+    token.may_start(set(), now=0.0)
+    assert token.may_start(set(), now=ANNOUNCED_FOR)
--- a/tests/test_coordination/test_groups/test_group_forming.py
+++ b/tests/test_coordination/test_groups/test_group_forming.py
@@ -1,4 +1,4 @@
-"""Test which groups are formed, and of whom."""
+"""Test the choice of groups to form, their members and the weights to stage."""
 
 from __future__ import annotations
 
@@ -72,51 +72,52 @@
     ]
 
 
-def _made(free: list[BackendServer], rules: FormingRules) -> list[tuple[str, set[str]]]:
+def _formed_models(
+    free: list[BackendServer], rules: FormingRules
+) -> list[tuple[str, set[str]]]:
     return [
         (formation.model.name, {item.domain for item in formation.members})
         for formation in choose_formations(free, rules)
     ]
 
 
-def test_a_fresh_zone_gets_both_models_and_keeps_spares() -> None:
+def test_new_zone_forms_groups_of_both_models_and_keeps_spares() -> None:
     free = servers_of(8, "d0") + servers_of(8, "d1")
-    made = choose_formations(
+    chosen = choose_formations(
         free, rules_of(demand=(2.14, 2.11), groups=(0, 0), quick=True)
     )
-    names = [formation.model.name for formation in made]
+    names = [formation.model.name for formation in chosen]
     assert (names.count("large"), names.count("small")) == (2, 3)
-    assert all(len({item.domain for item in one.members}) == 1 for one in made)
-    taken = [item.id for formation in made for item in formation.members]
-    assert len(taken) == len(set(taken)) == 14
+    assert all(len({item.domain for item in one.members}) == 1 for one in chosen)
+    member_ids = [item.id for formation in chosen for item in formation.members]
+    assert len(member_ids) == len(set(member_ids)) == 14
 
 
 def test_groups_are_not_formed_across_domains() -> None:
     free = servers_of(3, "d0", staged=L) + servers_of(3, "d1", staged=L)
-    assert _made(free, rules_of(demand=(9.0, 0.0))) == []
+    assert _formed_models(free, rules_of(demand=(9.0, 0.0))) == []
 
 
-def test_survivors_and_a_staged_spare_mend_at_once() -> None:
+def test_survivors_and_a_staged_spare_repair_at_once() -> None:
     free = servers_of(3, models=L) + servers_of(1, staged=L, start=3)
-    assert _made(free, rules_of(demand=(0.1, 0.1))) == [("large", {"d0"})]
+    assert _formed_models(free, rules_of(demand=(0.1, 0.1))) == [("large", {"d0"})]
 
 
-def test_survivors_are_not_tied_up_for_a_long_load() -> None:
-    """Show that survivors wait for the weights outside of a group.
+def test_survivors_do_not_wait_for_a_long_load() -> None:
+    """Guard against a group that takes fifteen seconds to serve again.
 
-    Symptom: a group takes fifteen seconds to serve again.
-    Sequence: a member is lost, and the only spare has no weights staged.
-    Cause: the survivors joined with it, and couldn't be used with a better one.
+    A member is lost, and the only spare has no weights staged.  If the survivors joined
+    a group with that spare, they couldn't form a group with a better one meanwhile.
     """
     free = servers_of(3, models=L) + servers_of(1, start=3)
     rules = rules_of(demand=(2.0, 0.1))
-    assert _made(free, rules) == []
+    assert _formed_models(free, rules) == []
     [warm_up] = choose_warm_ups(free, rules)
     assert ([item.id for item in warm_up.members], warm_up.model.name) == (
         ["d0-3"],
         "large",
     )
-    # One that holds another model's weights stages those that are needed.
+    # A spare with another model's weights stages the needed ones.
     free = servers_of(3, models=L) + servers_of(1, staged=S, start=3)
     staging = choose_staging(free, rules)
     assert [(item.id, model.name) for item, model in staging] == [("d0-3", "large")]
@@ -125,27 +126,27 @@
 def test_spares_are_not_used_up_unless_groups_are_overloaded() -> None:
     free = servers_of(2, staged=S)
     calm = rules_of(demand=(0.1, 1.2), groups=(1, 1))
-    assert _made(free, calm) == []
-    utilization = rules_of(demand=(0.1, 1.3), groups=(1, 1))
-    assert _made(free, utilization) == [("small", {"d0"})]
+    assert _formed_models(free, calm) == []
+    overloaded = rules_of(demand=(0.1, 1.3), groups=(1, 1))
+    assert _formed_models(free, overloaded) == [("small", {"d0"})]
 
 
 def test_the_busiest_model_comes_first() -> None:
     free = servers_of(4, staged=L | S)
-    assert _made(free, rules_of(demand=(2.0, 1.0)))[0][0] == "large"
-    assert _made(free, rules_of(demand=(1.0, 2.0)))[0][0] == "small"
+    assert _formed_models(free, rules_of(demand=(2.0, 1.0)))[0][0] == "large"
+    assert _formed_models(free, rules_of(demand=(1.0, 2.0)))[0][0] == "small"
 
 
 @pytest.mark.parametrize(
     ("n_free", "demand", "model"),
     [
-        pytest.param(1, (0.1, 0.1), "large", id="nobody-needs-it"),
+        pytest.param(1, (0.1, 0.1), "large", id="no-model-in-need"),
         pytest.param(1, (0.1, 2.0), "large", id="too-few-for-any"),
         pytest.param(3, (2.0, 2.0), "small", id="too-few-for-the-neediest"),
         pytest.param(4, (2.0, 2.0), "large", id="enough"),
     ],
 )
-def test_what_empty_servers_load(
+def test_model_loaded_by_empty_servers(
     n_free: int, demand: tuple[float, float], model: str
 ) -> None:
     free = servers_of(n_free - 1, models=S, staged=L) + servers_of(1, start=n_free)
@@ -154,7 +155,7 @@
     assert [server.id for server in warm_up.members] == [f"d0-{n_free}"]
 
 
-def test_a_staged_spare_is_not_turned_over_for_a_little_need() -> None:
+def test_staged_spare_changes_its_model_only_under_overload() -> None:
     free = servers_of(1, models=S) + servers_of(1, staged=L, start=1)
     assert choose_staging(free, rules_of(demand=(0.1, 1.2))) == []
     assert [
@@ -179,14 +180,13 @@
     assert [(server.id, model.name) for server, model in chosen] == [("d0-0", "small")]
 
 
-def test_larger_groups_count_as_busier_once_requests_come() -> None:
-    """Lose members of large and small groups at the same rate for a while.
+def test_larger_groups_count_as_busier_once_requests_arrive() -> None:
+    """Guard against a large model that loses all its groups under load.
 
-    Symptom: on a loaded day the large model goes from eight groups to none, and the
-    small one keeps eight of twelve.  Sequence: servers are lost one after the other;
-    each loss more likely hits a large group, and needs more free servers of a domain
-    to be mended.  Cause: groups were formed and kept as if all were whole for the
-    same part of the time.
+    The large model went from eight groups to none while the small one kept eight of
+    twelve.  When servers are lost one after the other, each loss is more likely to hit
+    a large group, whose repair needs more free servers of one domain.  Larger groups
+    are therefore complete for less of the time, and must count as busier.
     """
     groups = {"large": 3, "small": 6}
     rules = rules_of(demand=(2.0, 4.0))
@@ -195,6 +195,6 @@
         2.0 / 3 * 2**SIZE_EXPONENT
     )
     assert [model.name for model in rules.models_by_need(groups)] == ["large", "small"]
-    # At the start nothing was lost yet, and the models' shares decide.
+    # Before the first request no group has been lost, and the models' shares decide.
     first = rules_of(demand=(2.0, 4.0), quick=True)
     assert first.utilization("large", groups) == pytest.approx(2.0 / 3)
--- a/tests/test_coordination/test_groups/test_group_keeper.py
+++ b/tests/test_coordination/test_groups/test_group_manager.py
@@ -1,4 +1,4 @@
-"""Test how groups are formed, opened and ended, under orders that go astray."""
+"""Test how groups are formed, opened and ended with late and unanswered orders."""
 
 from __future__ import annotations
 
@@ -33,61 +33,59 @@
     return Members("a", "b", "c", "d")
 
 
-def test_a_group_opens_once_all_were_seen_ready(members: Members) -> None:
+def test_group_opens_once_all_members_are_ready(members: Members) -> None:
     members.manager.put(GROUP, now=0.0)
-    assert members.look(0.0) == [(JOIN, "a"), (JOIN, "b"), (JOIN, "c")]
+    assert members.due(0.0) == [(JOIN, "a"), (JOIN, "b"), (JOIN, "c")]
     members.report(GROUP, GroupState.READY, "a", "b")
     members.report(GROUP, GroupState.JOINING, "c")
-    assert members.look(0.5) == []
+    assert members.due(0.5) == []
     members.report(GROUP, GroupState.READY, "c")
-    assert members.look(0.6) == [(OPEN, "a")]
-    assert members.look(0.7) == []
+    assert members.due(0.6) == [(OPEN, "a")]
+    assert members.due(0.7) == []
     members.report(GROUP, GroupState.OPEN, "a")
-    members.look(0.9)
+    members.due(0.9)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.SERVING
 
 
-def test_joins_without_effect_are_given_again(members: Members) -> None:
+def test_join_without_effect_is_resent(members: Members) -> None:
     members.manager.put(GROUP, now=0.0)
     orders = members.orders(0.0)
     members.answer(orders, OrderOutcome.UNKNOWN, now=0.5)
     members.report(GROUP, GroupState.READY, "a", "b")
-    assert (JOIN, "c") not in members.look(0.9)
-    assert [order for order in members.look(ORDER_RETRY) if order[0] is JOIN] == [
+    assert (JOIN, "c") not in members.due(0.9)
+    assert [order for order in members.due(ORDER_RETRY) if order[0] is JOIN] == [
         (JOIN, "c")
     ]
 
 
-def test_ready_under_another_epoch_is_not_ready(members: Members) -> None:
-    """Show that a member that joined an earlier group of the name doesn't count.
+def test_ready_under_another_epoch_does_not_count(members: Members) -> None:
+    """Guard against a request that runs in a group with a member that is not ready.
 
-    Symptom: a request runs in a group one of whose members never was ready.
-    Sequence: a group is formed, a member's join is late, the group is formed anew
-    under a higher epoch, and the late join is carried out.
-    Cause: a member's state alone doesn't tell which of the two it joined.
+    A member executes an order to join late, after its group was formed again under a
+    higher epoch.  Its state alone doesn't show which of the two groups it joined.
     """
     earlier = record(4, "a", "b", "c")
     members.manager.put(GROUP, now=0.0)
     members.report(GROUP, GroupState.READY, "a", "b")
     members.report(earlier, GroupState.READY, "c")
-    assert members.look(0.0) == [(JOIN, "c")]
+    assert members.due(0.0) == [(JOIN, "c")]
 
 
-def test_an_open_order_that_came_too_early_is_given_again_soon(
+def test_refused_open_order_is_resent_soon(
     members: Members,
 ) -> None:
     members.manager.put(GROUP, now=0.0)
     members.report(GROUP, GroupState.READY, "a", "b", "c")
     orders = members.orders(0.0)
     members.answer(orders, OrderOutcome.REFUSED, now=0.0)
-    assert members.look(0.2) == []
-    assert members.look(0.31) == [(OPEN, "a")]
+    assert members.due(0.2) == []
+    assert members.due(0.31) == [(OPEN, "a")]
 
 
 @pytest.mark.parametrize(
     "outcome", [OrderOutcome.SUPERSEDED, OrderOutcome.WRONG_INSTANCE]
 )
-def test_a_join_that_can_never_be_ends_the_group(
+def test_impossible_join_ends_the_group(
     members: Members, outcome: OrderOutcome
 ) -> None:
     members.manager.put(GROUP, now=0.0)
@@ -97,15 +95,14 @@
 
 
 def test_members_are_free_only_after_the_head_has_left(members: Members) -> None:
-    """Show that no member is given away while the head may still serve.
+    """Guard against a server that joins a group while its former head is open.
 
-    Symptom: a server is joined to a group while the head of its own is open.
-    Sequence: a member is lost, the head is told to leave, and the order gets no
-    answer, or the head answers that it can't take it now.
-    Cause: an order that was sent says nothing about the head's state.
+    After the loss of a member, the order to the head to leave gets no answer, or the
+    head answers that it can't execute the order now.  Having sent the order doesn't
+    show that the head has left.
     """
     members.serve(GROUP)
-    members.lose("c", heard_at=0.0)
+    members.lose("c", last_seen_at=0.0)
     members.answer(members.orders(2.9), OrderOutcome.WRONG_INSTANCE, now=2.9)
     orders = members.orders(3.0)
     assert [(order.kind, order.server_id) for order in orders] == [(LEAVE, "a")]
@@ -117,217 +114,204 @@
     assert members.manager.occupied_ids() == set()
 
 
-def test_a_head_that_shows_as_having_left_frees_its_members(members: Members) -> None:
+def test_listed_departure_of_the_head_frees_its_members(members: Members) -> None:
     members.serve(GROUP)
-    members.lose("c", heard_at=0.0)
-    members.look(3.0)
+    members.lose("c", last_seen_at=0.0)
+    members.due(3.0)
     members.leave("a")
-    members.look(3.2)
+    members.due(3.2)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
 
 def test_a_broken_group_is_retired_without_an_order(members: Members) -> None:
     members.serve(GROUP)
     members.report(GROUP, GroupState.BROKEN, "a")
-    assert members.look(1.0) == []
+    assert members.due(1.0) == []
     assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
 
-def test_a_silent_head_is_waited_for_until_its_group_has_broken_off(
+def test_members_of_a_silent_head_are_held_until_the_group_is_broken(
     members: Members,
 ) -> None:
     members.serve(GROUP)
-    members.lose("a", heard_at=10.0)
+    members.lose("a", last_seen_at=10.0)
     orders = members.orders(13.0)
-    told = [(order.kind, order.server_id) for order in orders]
-    assert told == [(LEAVE, "a"), (LEAVE, "b"), (LEAVE, "c")]
+    sent_orders = [(order.kind, order.server_id) for order in orders]
+    assert sent_orders == [(LEAVE, "a"), (LEAVE, "b"), (LEAVE, "c")]
     members.answer(orders[1:2], OrderOutcome.APPLIED, now=13.0)
-    members.look(10.0 + STALL_TIME)
+    members.due(10.0 + STALL_TIME)
     assert members.manager.occupied_ids() == {"a", "b", "c"}
-    # If the head lives, "c" may be around it, and the group may be whole.
-    members.look(10.1 + STALL_TIME + STALL_SLACK)
+    # If the head still runs and reaches "c", the group may be complete.
+    members.due(10.1 + STALL_TIME + STALL_SLACK)
     assert members.manager.occupied_ids() == {"a", "b", "c"}
     members.answer(orders[2:], OrderOutcome.APPLIED, now=17.0)
-    members.look(17.1)
+    members.due(17.1)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
 
-def test_survivors_that_have_left_are_free_before_the_head_is(members: Members) -> None:
-    """Show that members don't wait for a head that is lost.
+def test_survivors_that_have_left_are_free_before_the_head(members: Members) -> None:
+    """Guard against members that stay idle for five seconds after their head is lost.
 
-    Symptom: the members of a group serve nobody for five seconds.
-    Sequence: a head is lost, and its members stay where they are until its group must
-    have broken off, if it lived.
-    Cause: that they can leave by themselves was not used.
+    The members must not wait for the time after which the head's group would be broken,
+    because they can leave the group on their own.
     """
     members.manager.put(GROUP, now=0.0, decided_here=True)
     members.serve(GROUP)
-    members.lose("a", heard_at=10.0)
+    members.lose("a", last_seen_at=10.0)
     orders = members.orders(13.0)
     members.answer(orders[1:], OrderOutcome.APPLIED, now=13.0)
     assert members.manager.occupied_ids() == {"a"}
 
 
-def test_members_with_a_join_in_doubt_are_held_until_their_group_has_broken_off(
+def test_members_with_an_unresolved_join_are_held_until_the_group_is_broken(
     members: Members,
 ) -> None:
-    """Show that a late order to join takes nobody from a later group.
+    """Guard against a server that is in two groups, one of which serves.
 
-    Symptom: a server is in two groups, one of which serves.
-    Sequence: an order to join gets no answer and is given again; the group serves, its
-    head is cut off, a member leaves and is given away; the first order is carried out.
-    Cause: that a member had left was taken for lasting.
+    An unanswered order to join is sent again and the group serves.  Then the head is
+    cut off, a member leaves and joins another group, and the member executes the first
+    order to join after all.  The departure of a member is not always final.
     """
     members.manager.put(GROUP, now=0.0, decided_here=True)
     joins = members.orders(0.0)
     members.answer(joins, OrderOutcome.UNKNOWN, now=0.5)
     members.serve(GROUP, now=1.0)
-    members.lose("a", heard_at=2.0)
+    members.lose("a", last_seen_at=2.0)
     orders = members.orders(5.0)
     members.answer(orders[1:], OrderOutcome.APPLIED, now=5.0)
     for now in (5.1, 9.0, 4.9 + STALL_TIME + STALL_SLACK):
-        members.look(now)
+        members.due(now)
         assert members.manager.occupied_ids() == {"a", "b", "c"}
-    members.look(5.1 + STALL_TIME + STALL_SLACK)
+    members.due(5.1 + STALL_TIME + STALL_SLACK)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
 
-def test_a_survivor_that_is_not_reached_holds_up_no_others(members: Members) -> None:
-    """Show that one member's word is enough, after the time for which a group stalls.
+def test_unreachable_survivor_does_not_delay_others(members: Members) -> None:
+    """Guard against members that stay idle while another member is unreachable.
 
-    Symptom: members of a lost head serve nobody for as long as another one of them is
-    cut off from the planner.
-    Sequence: a head is lost, a planner that has just begun tells the members to leave,
-    and one of them is not reached.
-    Cause: all of them had to answer, though nothing moves once one has left.
+    A head is lost, and a new planner orders the members to leave, but reaches only one.
+    That member's departure is enough: the group makes no progress from then on and is
+    broken after the stall time.
     """
     members.serve(GROUP)
-    members.lose("a", heard_at=10.0)
+    members.lose("a", last_seen_at=10.0)
     orders = members.orders(13.0)
     members.answer(orders[1:2], OrderOutcome.APPLIED, now=13.0)
-    members.look(12.9 + STALL_TIME + STALL_SLACK)
+    members.due(12.9 + STALL_TIME + STALL_SLACK)
     assert members.manager.occupied_ids() == {"a", "b", "c"}
-    members.look(13.1 + STALL_TIME + STALL_SLACK)
+    members.due(13.1 + STALL_TIME + STALL_SLACK)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
 
 def test_a_head_that_answers_is_not_silent(members: Members) -> None:
     members.serve(GROUP)
-    members.lose("a", heard_at=10.0)
+    members.lose("a", last_seen_at=10.0)
     orders = members.orders(13.0)
-    # It is cut off from the store only, and refuses for a reason of its own.
+    # The head is cut off from the store only, and refuses with an unknown status.
     members.manager.answered(orders[0], OrderOutcome.UNKNOWN, now=13.1)
     probe = members.manager.managed_by_name[GROUP.name].order(PROBE, "a")
     members.manager.answered(probe, OrderOutcome.APPLIED, now=16.0)
-    members.look(18.0)
+    members.due(18.0)
     assert members.manager.occupied_ids() == {"a", "b", "c"}
 
 
-def test_a_group_that_is_cut_off_whole_keeps_its_members(members: Members) -> None:
-    """Show that a group behind a cut of its zone is not taken for broken.
+def test_group_in_a_partitioned_zone_keeps_its_members(members: Members) -> None:
+    """Guard against servers that join groups while their former heads are open.
 
-    Symptom: six servers are joined to groups while the heads of theirs are open.
-    Sequence: a zone is cut off with its servers, whose entries lapse; its groups
-    serve on there.  After seven seconds the planner takes the heads for broken, the
-    cut heals, the members appear again and are given to other groups.
-    Cause: a head that is silent stands still only if its members are on this side.
+    A zone is partitioned with all its servers; their entries expire, but their groups
+    serve on in the zone.  After seven seconds a planner outside took the heads for
+    broken, and when the partition ended six members joined other groups.  A silent
+    head's group stalls only if the planner can reach some of its members.
     """
     members.serve(GROUP)
-    members.lose("a", "b", "c", heard_at=10.0)
+    members.lose("a", "b", "c", last_seen_at=10.0)
     for now in (13.0, 18.0, 25.0):
-        members.look(now)
+        members.due(now)
     assert members.manager.occupied_ids() == {"a", "b", "c"}
     members.report(GROUP, GroupState.READY, "b", "c")
-    members.look(25.1)
+    members.due(25.1)
     assert members.manager.occupied_ids() == {"a", "b", "c"}
-    # Once they have stayed as long as a group stands still, and have left, it has
-    # broken off.
+    # The group is broken once its members were listed for the stall time and have left.
     later = 25.2 + STALL_TIME + STALL_SLACK
     orders = [item for item in members.orders(later) if item.server_id != "a"]
     assert members.manager.occupied_ids() == {"a", "b", "c"}
     members.answer(orders, OrderOutcome.APPLIED, now=later)
-    members.look(later + 0.1)
+    members.due(later + 0.1)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
 
-def test_a_new_planner_waits_for_no_silent_head_again(members: Members) -> None:
-    """Show that what the host saw before it planned counts.
+def test_new_planner_does_not_wait_again_for_a_silent_head(members: Members) -> None:
+    """Guard against a group that serves only nine seconds after it was decided.
 
-    Symptom: a group that was decided on serves nine seconds later.
-    Sequence: a head is lost, its group breaks off and is retired, its members are
-    given to another group; the planner is killed, and the next one reads both
-    records.
-    Cause: it waited once more for as long as a group stands still, and gave nobody
-    the order to join meanwhile.
+    A head is lost, its group is retired, and its members are assigned to another group.
+    Then the planner is killed, and its successor reads both records.  The successor
+    must not wait for the stall time again before it orders the members to join, because
+    its host saw the head's silence before it became the planner.
     """
-    members.lose("a", heard_at=2.0)
+    members.lose("a", last_seen_at=2.0)
     members.now = 10.0
     members.manager.put(GROUP, now=10.0)
-    members.look(10.0)
-    members.look(10.0 + ORDER_RETRY)
+    members.due(10.0)
+    members.due(10.0 + ORDER_RETRY)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
 
-def test_another_zones_group_may_miss_members_for_a_while() -> None:
+def test_remote_group_may_miss_members_for_a_while() -> None:
     members = Members("a", "b", "c", max_missing_time=5.0)
     members.serve(GROUP)
-    members.lose("b", heard_at=0.0)
-    assert members.look(3.0) == []
+    members.lose("b", last_seen_at=0.0)
+    assert members.due(3.0) == []
     assert members.manager.phase_of(GROUP.name) is GroupPhase.SERVING
     for now in (8.1, 8.6):
         probes = members.orders(now)
         assert [(probe.kind, probe.server_id) for probe in probes] == [(PROBE, "b")]
         members.answer(probes, OrderOutcome.UNKNOWN, now=now + 0.4)
-    assert members.look(9.1) == [(LEAVE, "a")]
+    assert members.due(9.1) == [(LEAVE, "a")]
 
 
-def test_a_member_that_is_cut_off_from_the_store_is_asked(members: Members) -> None:
-    """Show that a group serves on while a member is cut off from the store only.
+def test_member_cut_off_from_the_store_is_probed(members: Members) -> None:
+    """Guard against serving groups that are ended because of missing entries.
 
-    Symptom: half of the groups of a zone are ended within three seconds, and each of
-    them served.
-    Sequence: backend servers are cut off from the store, their entries lapse; they
-    still answer, and their groups still work.
-    Cause: a member without an entry was taken for lost.
+    Half of the groups of a zone were ended within three seconds although they served.
+    Backend servers that are cut off from the store alone lose their entries, but still
+    answer, and their groups still work.
     """
     members.serve(GROUP)
-    members.lose("b", heard_at=1.0)
+    members.lose("b", last_seen_at=1.0)
     for now in (4.0, 4.0 + UNLISTED_PROBE_INTERVAL, 4.0 + 2 * UNLISTED_PROBE_INTERVAL):
         probes = members.orders(now)
         assert [(probe.kind, probe.server_id) for probe in probes] == [(PROBE, "b")]
         members.answer(probes, OrderOutcome.APPLIED, now=now)
-        assert members.look(now + 0.9 * UNLISTED_PROBE_INTERVAL) == []
+        assert members.due(now + 0.9 * UNLISTED_PROBE_INTERVAL) == []
     probes = members.orders(10.0)
     members.answer(probes, OrderOutcome.UNKNOWN, now=10.4)
     probes = members.orders(10.4)
     members.answer(probes, OrderOutcome.UNKNOWN, now=10.8)
-    assert members.look(10.9) == [(LEAVE, "a")]
+    assert members.due(10.9) == [(LEAVE, "a")]
 
 
-def test_a_member_that_was_started_anew_ends_its_group(members: Members) -> None:
-    """Show that a member's answer alone keeps no group.
+def test_restarted_member_that_answers_a_probe_ends_its_group(members: Members) -> None:
+    """Guard against a group that stalls for six seconds although all members answer.
 
-    Symptom: a group stands still for six seconds though all its members answer.
-    Sequence: a member crashes and is back at once; its entry still names the old
-    group, as it can't reach the store.
-    Cause: any answer to a probe was a sign that the group is whole.
+    A member crashes and restarts at once, but can't reach the store, so its entry still
+    shows the former group.  An answer to a probe doesn't show that the member is in the
+    group.
     """
     members.serve(GROUP)
     members.manager.suspect({"a"})
     probes = members.orders(1.0)
     members.answer(probes[:2], OrderOutcome.APPLIED, now=1.0)
     members.answer(probes[2:], OrderOutcome.NOT_A_MEMBER, now=1.0)
-    assert members.look(1.1) == [(LEAVE, "a")]
+    assert members.due(1.1) == [(LEAVE, "a")]
     assert not members.manager.is_presumed_lost("c", now=1.1)
 
 
-def test_members_are_asked_while_the_list_is_silent(members: Members) -> None:
-    """Show that a group is not held up by an outage once it is decided on.
+def test_members_are_probed_while_the_list_is_stale(members: Members) -> None:
+    """Guard against a group that serves but gets no request for five seconds.
 
-    Symptom: a group serves and gets no request for five seconds.
-    Sequence: its members join, the store goes away, and no entry shows that they are
-    ready, or that the head has opened.
-    Cause: states were read from the list only, and the list from the store only.
+    The members of a group join, and then the store becomes unavailable.  The server
+    list is read from the store, so no entry shows that the members are ready or that
+    the head is open.
     """
     members.manager.put(GROUP, now=0.0)
     members.answer(members.orders(0.0), OrderOutcome.IN_PROGRESS, now=0.0)
@@ -339,7 +323,7 @@
     assert {order.kind for order in probes if order.kind is not JOIN} == {PROBE}
 
 
-def test_a_member_that_has_not_joined_yet_ends_nothing(members: Members) -> None:
+def test_forming_continues_if_a_probed_member_has_not_joined(members: Members) -> None:
     members.manager.put(GROUP, now=0.0)
     joins = members.orders(0.0)
     members.answer(joins, OrderOutcome.UNKNOWN, now=0.1)
@@ -350,44 +334,43 @@
 
 def test_a_member_whose_address_has_another_server_is_lost(members: Members) -> None:
     members.serve(GROUP)
-    members.lose("b", heard_at=1.0)
+    members.lose("b", last_seen_at=1.0)
     members.answer(members.orders(4.0), OrderOutcome.WRONG_INSTANCE, now=4.0)
-    assert members.look(4.1) == [(LEAVE, "a")]
+    assert members.due(4.1) == [(LEAVE, "a")]
 
 
-def test_a_head_without_an_entry_is_not_asked(members: Members) -> None:
-    """Show that a group ends with its head's entry: requests may not go there."""
+def test_unlisted_head_ends_its_group_without_a_probe(members: Members) -> None:
+    """Guard against requests to an unlisted head: no request may be sent to it."""
     members.serve(GROUP)
-    members.lose("a", heard_at=1.0)
-    assert members.look(4.0) == [(LEAVE, "a"), (LEAVE, "b"), (LEAVE, "c")]
+    members.lose("a", last_seen_at=1.0)
+    assert members.due(4.0) == [(LEAVE, "a"), (LEAVE, "b"), (LEAVE, "c")]
 
 
-def test_a_leaving_member_lets_streams_end_first(members: Members) -> None:
+def test_group_with_a_leaving_member_lets_streams_end(members: Members) -> None:
     members.serve(GROUP)
     members.drain("c")
     orders = members.orders(1.0)
     assert [(order.kind, order.gently) for order in orders] == [(CLOSE, True)]
     members.report(GROUP, GroupState.CLOSING, "a")
-    assert members.look(1.5) == []
-    assert members.look(1.1 + CLOSE_GRACE) == [(LEAVE, "a")]
+    assert members.due(1.5) == []
+    assert members.due(1.1 + CLOSE_GRACE) == [(LEAVE, "a")]
 
 
-def test_a_group_taken_apart_lets_streams_end_first(members: Members) -> None:
+def test_disbanded_group_lets_streams_end(members: Members) -> None:
     members.serve(GROUP)
     members.manager.end(GROUP.name, DISBANDED, now=1.0)
-    assert members.look(1.0) == [(CLOSE, "a")]
+    assert members.due(1.0) == [(CLOSE, "a")]
     members.report(GROUP, GroupState.READY, "a")
-    # Ready again is not enough: another planner may tell the head to open.
-    assert members.look(1.3) == [(LEAVE, "a")]
+    # A head that is ready again must also leave: another planner may order it to open.
+    assert members.due(1.3) == [(LEAVE, "a")]
     assert [group.name for group in members.manager.disbanding()] == [GROUP.name]
 
 
-def test_members_of_a_group_that_stands_still_are_probed(members: Members) -> None:
-    """Show that a lost member is known long before its entry lapses.
+def test_members_of_a_stalled_group_are_probed(members: Members) -> None:
+    """Guard against a group that stalls for four seconds before it is repaired.
 
-    Symptom: a group stands still for four seconds before it is mended.
-    Sequence: a member goes silent, the streams stop, its entry lapses 3.6 s later.
-    Cause: nobody asked the members.
+    When a member is lost, the streams stop at once, but the member's entry expires
+    3.6 s later.  Probes reveal the loss sooner.
     """
     members.serve(GROUP)
     members.manager.suspect({"a"})
@@ -402,20 +385,20 @@
             lost = probe.server_id == "c"
             outcome = OrderOutcome.UNKNOWN if lost else OrderOutcome.APPLIED
             members.manager.answered(probe, outcome, now=now + 0.4)
-    assert members.look(2.0) == [(LEAVE, "a")]
+    assert members.due(2.0) == [(LEAVE, "a")]
     assert members.manager.is_presumed_lost("c", now=2.0)
     assert not members.manager.is_presumed_lost("b", now=2.0)
 
 
-def test_a_server_that_was_lost_unseen_holds_up_no_new_group(
+def test_server_lost_during_an_outage_does_not_delay_forming(
     members: Members,
 ) -> None:
-    """Show that forming doesn't wait for a dead server until its entry lapses.
+    """Guard against a store return after which no group serves for five seconds.
 
-    Symptom: no group serves for five seconds after the store is back.
-    Sequence: servers die while the store is away; it comes back and shows them, as
-    their entries haven't lapsed, and new groups are formed with them.
-    Cause: an order without an answer may be carried out late, so it is waited for.
+    Servers are lost while the store is unavailable.  When the store returns, it still
+    lists them because their entries haven't expired, and new groups are formed with
+    them.  Forming must not wait until the entries expire, although an order without an
+    answer may be executed late.
     """
     members.manager.put(GROUP, now=0.0)
     orders = members.orders(0.0)
@@ -430,7 +413,7 @@
     assert members.manager.is_presumed_lost("c", now=1.6)
 
 
-def test_a_server_that_joins_late_is_waited_for(members: Members) -> None:
+def test_forming_waits_for_a_late_join(members: Members) -> None:
     members.manager.put(GROUP, now=0.0)
     orders = members.orders(0.0)
     members.answer(orders, OrderOutcome.UNKNOWN, now=0.5)
@@ -440,201 +423,188 @@
     assert members.manager.phase_of(GROUP.name) is GroupPhase.FORMING
 
 
-def test_members_that_all_answer_end_nothing(members: Members) -> None:
+def test_suspected_group_whose_members_answer_serves_on(members: Members) -> None:
     members.serve(GROUP)
     members.manager.suspect({"a"})
     for now in (1.0, 1.5, 2.0):
         members.answer(members.orders(now), OrderOutcome.APPLIED, now=now)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.SERVING
     members.manager.suspect(set())
-    assert members.look(3.0) == []
+    assert members.due(3.0) == []
 
 
-def test_a_later_group_supersedes_the_one_that_shares_a_member(
+def test_later_group_supersedes_one_that_shares_a_member(
     members: Members,
 ) -> None:
-    """Show what a new planner does with two records that share a member.
+    """Guard against a server that is in two groups.
 
-    Symptom: a server is in two groups.
-    Sequence: a planner retires a group, forms another of its members and is killed
-    before the first record is dropped; its successor reads both.
-    Cause: the first record alone looks like a group that lost its members.
+    A planner retires a group, forms another one from its members and is killed before
+    the first record is dropped.  The next planner reads both records; taken alone, the
+    first one looks like a group that lost its members.
     """
     later = record(9, "b", "d")
     members.report(later, GroupState.READY, "b", "d")
     members.manager.put(GROUP, now=0.0)
     members.manager.put(later, now=0.0)
-    members.look(0.0)
+    members.due(0.0)
     assert members.manager.phase_of(GROUP.name) is not GroupPhase.FORMING
     assert members.manager.phase_of(later.name) is GroupPhase.FORMING
 
 
-def test_a_record_that_comes_late_disturbs_no_group_that_serves(
+def test_late_record_does_not_disturb_a_serving_group(
     members: Members,
 ) -> None:
-    """Show that a group whose record was appended seconds late takes no members.
+    """Guard against a server that joins a group while its former head is open.
 
-    Symptom: a server is joined to a group while the head of its own is open.
-    Sequence: a planner ends a group, and its append of another one gets no answer.
-    Its successor knows only the first record and forms that group anew.  Then the
-    append is carried out after all.
-    Cause: the later record looks as if it superseded the group that serves.
+    A planner ends a group, and its append of another group gets no answer.  The next
+    planner knows only the first record and forms the first group again.  When the
+    append is executed seconds late, its record must not supersede the serving group.
     """
     members.serve(GROUP)
     late = record(9, "b", "d")
     members.manager.put(late, now=5.0)
-    assert members.look(5.0) == []
+    assert members.due(5.0) == []
     assert members.manager.phase_of(GROUP.name) is GroupPhase.SERVING
-    members.look(5.1)
+    members.due(5.1)
     assert members.manager.phase_of(late.name) is GroupPhase.RETIRED
 
 
-def test_nobody_joins_while_the_head_of_its_former_group_may_serve(
+def test_no_server_joins_while_its_former_head_may_serve(
     members: Members,
 ) -> None:
-    """Show that a member is joined to a later group only once its own has ended.
+    """Guard against a server that joins a group while its former head is open.
 
-    Symptom: a server is joined to a group while the head of its own is open.
-    Sequence: two planners decide on groups that share a member; the later record
-    holds, and some member of it has joined already.
-    Cause: the rest were told to join while the first group was being ended.
+    Two planners form groups that share a member.  The group with the later record
+    remains, and one of its members has joined already.  The other members must not join
+    until the first group has ended.
     """
     members.serve(GROUP)
     later = record(9, "c", "b")
     members.report(later, GroupState.READY, "c")
     members.manager.put(later, now=5.0)
-    assert members.look(5.0) == [(LEAVE, "a")]
-    assert members.look(5.5) == []
+    assert members.due(5.0) == [(LEAVE, "a")]
+    assert members.due(5.5) == []
     members.leave("a")
-    assert members.look(6.0) == [(JOIN, "b")]
+    assert members.due(6.0) == [(JOIN, "b")]
 
 
-def test_a_new_planner_takes_over_a_group_that_serves(members: Members) -> None:
+def test_new_planner_takes_over_a_serving_group(members: Members) -> None:
     members.report(GROUP, GroupState.READY, "b", "c")
     members.report(GROUP, GroupState.OPEN, "a")
     members.manager.put(GROUP, now=50.0)
-    assert members.look(50.0) == []
+    assert members.due(50.0) == []
     assert members.manager.phase_of(GROUP.name) is GroupPhase.SERVING
 
 
-def test_forming_that_takes_too_long_is_given_up(members: Members) -> None:
+def test_forming_times_out(members: Members) -> None:
     members.manager.put(GROUP, now=0.0)
     members.report(GROUP, GroupState.JOINING, "a", "b", "c")
-    members.look(20.0)
+    members.due(20.0)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.FORMING
-    members.look(26.1)
+    members.due(26.1)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.ENDING
 
 
-# Servers that start again under their id
+# Servers that restart under the same id
 
 
-def test_a_member_that_starts_again_within_a_heartbeat_ends_its_group(
+def test_member_restarted_before_its_entry_expires_ends_its_group(
     members: Members,
 ) -> None:
-    """Show that a group whose member was started anew is not taken for whole.
-
-    Symptom: a group stands still for five seconds though all its members are listed
-    and answer.
-    Sequence: a member crashes and starts again before its entry lapses; an order to
-    join that went unanswered is carried out late, so that it shows as ready under the
-    group's very name and epoch.
-    Cause: members were told apart by their ids alone.
+    """Guard against a group that stalls although all members are listed and answer.
+
+    The stall lasted for five seconds.  A member crashes and restarts before its entry
+    expires, then executes an unanswered order to join late, so it is listed as ready
+    under the same group name and epoch.  The id alone doesn't identify the incarnation.
     """
     members.serve(GROUP)
     members.restart("b", started_at=2)
     members.report(GROUP, GroupState.READY, "b")
-    members.look(1.0)
+    members.due(1.0)
     managed = members.manager.managed_by_name[GROUP.name]
     assert (managed.phase, managed.reason) == (GroupPhase.ENDING, "member_restarted")
 
 
-def test_a_clock_that_steps_back_hides_no_start(members: Members) -> None:
+def test_clock_stepping_back_hides_no_restart(members: Members) -> None:
     members.restart("b", started_at=5000)
     members.serve(GROUP)
     members.restart("b", started_at=4000)
     members.report(GROUP, GroupState.READY, "b")
-    members.look(1.0)
+    members.due(1.0)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.ENDING
 
 
-def test_a_member_that_starts_again_while_it_joins_is_told_again(
+def test_member_that_restarts_while_joining_is_ordered_again(
     members: Members,
 ) -> None:
     members.manager.put(GROUP, now=0.0)
-    members.look(0.0)
+    members.due(0.0)
     members.report(GROUP, GroupState.READY, "a", "b")
     members.report(GROUP, GroupState.JOINING, "c")
-    members.look(0.5)
+    members.due(0.5)
     members.restart("c", started_at=2)
-    assert members.look(ORDER_RETRY) == [(JOIN, "c")]
+    assert members.due(ORDER_RETRY) == [(JOIN, "c")]
     members.report(GROUP, GroupState.READY, "c")
-    assert members.look(ORDER_RETRY + 0.1) == [(OPEN, "a")]
+    assert members.due(ORDER_RETRY + 0.1) == [(OPEN, "a")]
 
 
-def test_a_head_that_starts_again_frees_its_members(members: Members) -> None:
-    """Show that a head which is back is not waited for.
+def test_restarted_head_frees_its_members(members: Members) -> None:
+    """Guard against survivors that stay idle for six seconds.
 
-    Symptom: survivors serve nobody for six seconds.
-    Sequence: the head of a group that is recorded as serving crashes and is back at
-    once, in no group.
-    Cause: none in the rules; a head that shows in no group has left its own.
+    The head of a serving group crashes and is listed again at once, in no group.  It
+    has thereby left its former group, so the members are free.
     """
     members.serve(GROUP)
     members.restart("a", started_at=2)
-    members.look(1.0)
-    members.look(1.1)
+    members.due(1.0)
+    members.due(1.1)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.RETIRED
 
 
-def test_a_head_that_a_late_order_opens_again_is_waited_for(members: Members) -> None:
-    """Show that members stay taken while a late order lets their head serve anew.
+def test_members_of_a_head_reopened_by_a_late_order_are_held(members: Members) -> None:
+    """Guard against servers that join a group while their former head is open.
 
-    Symptom: servers are joined to another group while the head of theirs is open.
-    Sequence: a head starts again under its id, and orders to join and to open that
-    went unanswered before are carried out by it.
-    Cause: that it was started anew tells that the group is not whole, and not that
-    its head doesn't accept requests.
+    A head restarts under its id and then executes unanswered orders to join and to
+    open.  The restart shows that the group is incomplete, but not that its head accepts
+    no requests.
     """
     members.serve(GROUP)
     members.restart("a", started_at=2)
     members.report(GROUP, GroupState.OPEN, "a")
-    assert members.look(1.0) == [(LEAVE, "a")]
+    assert members.due(1.0) == [(LEAVE, "a")]
     assert members.manager.occupied_ids() == {"a", "b", "c"}
 
 
-def test_a_new_planner_sees_that_a_member_was_started_anew(members: Members) -> None:
-    """Show that a group which lost a member before its planner began is ended.
+def test_new_planner_detects_a_restarted_member(members: Members) -> None:
+    """Guard against a stalled group that is ended only when its head is broken.
 
-    Symptom: a group that stands still is kept until its head breaks off.
-    Sequence: a member starts again under its id, and the planner of the zone changes
-    before it has read the new entry.
-    Cause: the new planner never saw the member ready, and took it for one that is
-    still to join.
+    A member restarts under its id, and the planner of the zone is replaced before it
+    has read the new entry.  The new planner never saw the member ready, and must not
+    treat it as a member that is still joining.
     """
     members.report(GROUP, GroupState.OPEN, "a")
     members.report(GROUP, GroupState.READY, "c")
     members.manager.put(GROUP, now=0.0)
-    members.look(0.0)
-    members.look(MEMBERS_LISTED_AFTER)
+    members.due(0.0)
+    members.due(MEMBERS_LISTED_AFTER)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.SERVING
-    members.look(MEMBERS_LISTED_AFTER + 0.1)
+    members.due(MEMBERS_LISTED_AFTER + 0.1)
     assert members.manager.managed_by_name[GROUP.name].reason == "member_left"
 
 
-def test_a_server_that_came_back_does_not_seem_lost(members: Members) -> None:
+def test_server_that_returned_is_not_presumed_lost(members: Members) -> None:
     members.serve(GROUP)
     members.manager.suspect({"a"})
     for now in (1.0, 1.5):
-        asked = [order for order in members.orders(now) if order.server_id == "c"]
-        members.answer(asked, OrderOutcome.UNKNOWN, now=now)
+        probes = [order for order in members.orders(now) if order.server_id == "c"]
+        members.answer(probes, OrderOutcome.UNKNOWN, now=now)
     assert members.manager.is_presumed_lost("c", now=1.6)
     members.now = 1.7
     members.restart("c", started_at=2)
     assert not members.manager.is_presumed_lost("c", now=1.8)
 
 
-def test_a_probe_asks_for_the_start_that_joined(members: Members) -> None:
+def test_probe_names_the_incarnation_that_joined(members: Members) -> None:
     members.restart("b", started_at=7)
     members.serve(GROUP)
     members.manager.suspect({"a"})
@@ -642,32 +612,32 @@
     assert starts == {"a": 1, "b": 7, "c": 1}
 
 
-def test_a_member_that_is_gone_is_given_to_no_group_meanwhile(members: Members) -> None:
-    """Show that a group isn't formed again and again with a member that is gone.
+def test_member_whose_process_is_gone_joins_no_group(members: Members) -> None:
+    """Guard against groups that are formed again and again with the same lost member.
 
-    Symptom: for four seconds three zones form 150 groups, none of which serves.
-    Sequence: servers behind a cut from the store crash and start anew; their entries
-    stay in the list until they lapse.  One of them refuses the order to join, the
-    group is ended, its members are free, and the same ones are chosen again.
-    Cause: only a member that answered no probe was left out for a while, and not one
-    that answered to be another, or whose process is gone.
+    Three zones formed 150 groups in four seconds, none of which served.  Servers that
+    are cut off from the store crash and restart, and their former entries stay listed
+    until they expire.  One of them refuses the order to join, its group is ended, and
+    the freed members are chosen again.  A server that answers as another incarnation,
+    or whose process is gone, must be left out for a while, like one that answered no
+    probe.
     """
     members.manager.put(GROUP, now=1.0)
-    [*_, to_c] = members.orders(1.0)
-    members.answer([to_c], OrderOutcome.WRONG_INSTANCE, now=1.1)
+    [*_, join_c] = members.orders(1.0)
+    members.answer([join_c], OrderOutcome.WRONG_INSTANCE, now=1.1)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.ENDING
     assert members.manager.is_presumed_lost("c", now=1.2)
     assert not members.manager.is_presumed_lost("b", now=1.2)
-    # Once the list shows that it has come anew, it is of use again.
+    # The server is usable again once its new incarnation is listed.
     members.now = 1.3
     members.restart("c", started_at=2)
     assert not members.manager.is_presumed_lost("c", now=1.4)
 
 
-def test_an_order_that_waited_is_not_sent_to_a_group_that_ends(
+def test_queued_join_is_dropped_once_its_group_ends(
     members: Members,
 ) -> None:
-    """Guard against a member that joins a group which serves nobody any more."""
+    """Guard against a member that joins a group that is being ended."""
     members.manager.put(GROUP, now=0.0)
     joins = members.orders(0.0)
     assert all(members.manager.wants(order) for order in joins)
--- a/tests/test_coordination/test_groups/test_group_times.py
+++ b/tests/test_coordination/test_groups/test_group_times.py
@@ -1,4 +1,4 @@
-"""Test how times of groups are added up."""
+"""Test the totals of the times that groups spend in each phase."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     assert times.stranded == pytest.approx(4.5)
 
 
-def test_what_a_paused_process_has_not_seen_counts_for_little() -> None:
+def test_time_while_the_process_was_paused_is_capped() -> None:
     times = GroupTimes(observe=lambda phase, seconds: None)
     times.update({"a": ENDING}, n_stranded=1, now=0.0)
     times.update({"a": ENDING}, n_stranded=1, now=600.0)
--- a/tests/test_coordination/test_groups/test_order_queue.py
+++ b/tests/test_coordination/test_groups/test_order_queue.py
@@ -1,4 +1,4 @@
-"""Test how many orders to backend servers are under way at once."""
+"""Test the limit on orders in flight and the priority of queued orders."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
         max_size=8,
     )
 )
-def test_orders_wait_and_none_is_lost(
+def test_orders_in_flight_are_bounded_and_none_is_lost(
     rounds: list[tuple[list[tuple[OrderKind, int]], int]],
 ) -> None:
-    """Guard against a thousand orders at once, whose answers come too late."""
+    """Guard against a thousand orders in flight at once, whose answers come late."""
     queue = OrderQueue()
-    given_to: set[tuple[OrderKind, int]] = set()
+    queued: set[tuple[OrderKind, int]] = set()
     sent: set[tuple[OrderKind, int]] = set()
     n_in_flight = 0
 
@@ -43,7 +43,7 @@
     for orders, n_ended in rounds:
         for kind, number in orders:
             queue.add("z", _order(kind, number))
-        given_to.update(orders)
+        queued.update(orders)
         n_in_flight += send()
         assert n_in_flight <= MAX_IN_FLIGHT
         for _ in range(min(n_ended, n_in_flight)):
@@ -53,11 +53,11 @@
         for _ in range(n_in_flight):
             queue.ended()
         n_in_flight = send()
-    assert sent == given_to
+    assert sent == queued
 
 
-def test_what_frees_servers_goes_before_probes() -> None:
-    """Guard against groups that end late since others are probed."""
+def test_orders_that_free_servers_precede_probes() -> None:
+    """Guard against groups that end late because probes are sent first."""
     queue = OrderQueue()
     for number in range(MAX_IN_FLIGHT):
         queue.add("z", _order(OrderKind.PROBE, number))
@@ -67,8 +67,8 @@
     assert kinds[:3] == [OrderKind.LEAVE, OrderKind.JOIN, OrderKind.PROBE]
 
 
-def test_an_order_that_makes_no_sense_any_more_is_dropped() -> None:
-    """Guard against a server that joins a group which ended while the order waited."""
+def test_obsolete_order_is_dropped() -> None:
+    """Guard against a server that joins a group that ended while its order waited."""
     queue = OrderQueue()
     queue.add("z", _order(OrderKind.JOIN, 1))
     assert queue.due(is_wanted=lambda zone, order: False) == []
--- a/tests/test_coordination/test_groups/test_orders_explored.py
+++ b/tests/test_coordination/test_groups/test_orders_explored.py
@@ -1,8 +1,8 @@
-"""Explore what orders that go astray do to members whose head falls silent.
+"""Test late and unanswered orders to the members of a group whose head is lost.
 
-Every run plays the same loss of a head, with one or two orders to its group that are
-carried out late, or whose answers are lost.  A server may join another group only once
-it has left the former one, or the head of that can't serve any more.
+Each run emulates the same loss of a head, with one or two orders to the head's group
+that are executed late or whose answers are lost.  A server may join another group only
+after it has left its former group, or after that group's head can't serve any more.
 """
 
 from __future__ import annotations
@@ -20,41 +20,45 @@
 from .group_fakes import STALL_TIME, record, server
 from .test_group_forming import ENGINE
 
+#: Length of one step and of the run, in seconds.
 STEP = 0.2
-END = 26.0
+RUN_LENGTH = 26.0
 
-#: When the head is lost from sight, and when it shows again if it was only cut off.
-CUT_AT, BACK_AT = 6.0, 17.0
+#: Time at which the head is lost or cut off, and time at which a head that was only cut
+#: off is reachable again.
+CUT_AT, RETURN_AT = 6.0, 17.0
 
-#: Seconds after which the entry of a server that is cut off lapses.
-LAPSE = 3.6
+#: Seconds after which the entry of a server that is cut off expires.
+ENTRY_LIFETIME = 3.6
 
-#: What may become of an order: its answer is lost, or it is carried out so much later.
-FATES = (0.0, 2.0, 12.0)
+#: Seconds by which the execution of an order without an answer is delayed; 0 if only
+#: the answer is lost.
+ORDER_DELAYS = (0.0, 2.0, 12.0)
 
 FORMER = record(5, "a", "b", "c")
 LATER = record(9, "b", "c", "d")
 
 
-class Run:
-    """Play one loss of a head.
+class HeadLossRun:
+    """Emulate one loss of a group's head.
 
     Parameters
     ----------
-    fates : dict of int to float
-        Seconds by which orders come late, by their number; their answers are lost.
+    delays : dict of int to float
+        Seconds by which orders are executed late, by order number.  These orders get
+        no answer.
     crashes : bool
-        True where the head is lost for good, False where it is only cut off.
+        True if the head is lost for good, False if it is only cut off.
     """
 
-    def __init__(self, *, fates: dict[int, float], crashes: bool) -> None:
-        self._fates = fates
+    def __init__(self, *, delays: dict[int, float], crashes: bool) -> None:
+        self._delays = delays
         self._crashes = crashes
         self.now = 0.0
         self.n_orders = 0
         self.faults: list[str] = []
         self.joined_at: float | None = None
-        self._late: list[tuple[float, GroupOrder]] = []
+        self._late_orders: list[tuple[float, GroupOrder]] = []
         self.directory = Directory()
         self.servers = {
             name: EmulatedServer(entry=server(name, staged=frozenset({"large"})))
@@ -72,9 +76,9 @@
         )
         self.manager.put(FORMER, now=0.0, decided_here=True)
 
-    def play(self) -> Run:
-        """Play to the end."""
-        while self.now < END:
+    def play(self) -> HeadLossRun:
+        """Run until the end and return the run."""
+        while self.now < RUN_LENGTH:
             self.now = round(self.now + STEP, 3)
             self._advance()
             self.manager.suspect({"a"} if self.now > CUT_AT + 0.6 else set())
@@ -83,36 +87,38 @@
             if self.now > CUT_AT and free and ended:
                 self.manager.put(LATER, now=self.now, decided_here=True)
             for order in self.manager.due_orders(now=self.now):
-                self._give(order)
+                self._deliver(order)
         return self
 
     def _is_cut(self, name: str) -> bool:
-        return name == "a" and self.now >= CUT_AT and not self._is_back()
+        return name == "a" and self.now >= CUT_AT and not self._has_returned()
 
-    def _is_back(self) -> bool:
-        return not self._crashes and self.now >= BACK_AT
+    def _has_returned(self) -> bool:
+        return not self._crashes and self.now >= RETURN_AT
 
     def _advance(self) -> None:
         for item in self.servers.values():
             item.advance(seconds=STEP, load_pace=1.0, now=self.now)
         self._stall()
-        due = [order for at, order in self._late if at <= self.now]
-        self._late = [item for item in self._late if item[0] > self.now]
+        due = [order for at, order in self._late_orders if at <= self.now]
+        self._late_orders = [item for item in self._late_orders if item[0] > self.now]
         for order in due:
             self._carry_out(order)
         for name, item in self.servers.items():
             if not self._is_cut(name):
                 self.directory.put(item.entry, now=self.now)
-        if self._is_cut("a") and self.now >= CUT_AT + LAPSE:
+        if self._is_cut("a") and self.now >= CUT_AT + ENTRY_LIFETIME:
             self.directory.remove("a", heard_at=CUT_AT)
 
     def _stall(self) -> None:
-        """Break the head off once its group has stood still for long enough."""
+        """Mark the head as broken once its group has stalled for the stall time."""
         head = self.servers["a"]
         if not head.is_open_head:
             return
-        whole = all(self._is_in_former(name) for name in "bc")
-        head.whole_until = float("inf") if whole else min(head.whole_until, self.now)
+        is_complete = all(self._is_in_former(name) for name in "bc")
+        head.whole_until = (
+            float("inf") if is_complete else min(head.whole_until, self.now)
+        )
         if self.now - head.whole_until >= STALL_TIME:
             head.break_off()
 
@@ -120,21 +126,21 @@
         report = self.servers[name].entry.group
         return report is not None and report.epoch == FORMER.epoch
 
-    def _give(self, order: GroupOrder) -> None:
-        """Let an order go its way."""
+    def _deliver(self, order: GroupOrder) -> None:
+        """Deliver an order now, or late and without an answer if it has a delay."""
         if order.kind is OrderKind.PROBE:
-            fate = None
+            delay = None
         else:
-            fate = self._fates.get(self.n_orders)
+            delay = self._delays.get(self.n_orders)
             self.n_orders += 1
         if self._is_cut(order.server_id):
             self.manager.answered(order, OrderOutcome.UNKNOWN, now=self.now)
             return
-        if fate is None:
+        if delay is None:
             self.manager.answered(order, self._carry_out(order), now=self.now)
             return
         self.manager.answered(order, OrderOutcome.UNKNOWN, now=self.now)
-        self._late.append((self.now + fate, order))
+        self._late_orders.append((self.now + delay, order))
 
     def _carry_out(self, order: GroupOrder) -> OrderOutcome:
         if order.server_id == "a" and self._crashes and self.now >= CUT_AT:
@@ -150,50 +156,48 @@
         return outcome
 
     def _check(self, order: GroupOrder) -> None:
-        """Note a join of a server whose former head may serve."""
+        """Record a fault if a server joins while its former head may serve."""
         head = self.servers["a"]
         report = head.entry.group
-        lives = not (self._crashes and self.now >= CUT_AT)
-        serves = report is not None and report.epoch == FORMER.epoch
-        serves = serves and report.state in (GroupState.OPEN, GroupState.CLOSING)
-        if lives and serves:
+        is_alive = not (self._crashes and self.now >= CUT_AT)
+        is_open = report is not None and report.epoch == FORMER.epoch
+        is_open = is_open and report.state in (GroupState.OPEN, GroupState.CLOSING)
+        if is_alive and is_open:
             self.faults.append(f"{order.server_id} at {self.now}")
 
 
 @pytest.mark.parametrize("crashes", [True, False], ids=["lost", "cut-off"])
 def test_survivors_of_a_silent_head_are_used_at_once(crashes: bool) -> None:
-    """Lose a head, with every order answered.
+    """Guard against survivors that stay idle for five seconds after the head is lost.
 
-    Symptom: all members of a group serve nobody for five seconds.  Sequence: the head
-    falls silent, and its group may stand still that long before it breaks off.
-    Cause: members waited for the head, though they can leave by themselves.
+    The group of a silent head may stall for that long before it is broken.  The members
+    must not wait for that, because they can leave the group on their own.
     """
-    run = Run(fates={}, crashes=crashes).play()
+    run = HeadLossRun(delays={}, crashes=crashes).play()
     assert run.faults == []
     assert run.joined_at is not None
     assert run.joined_at < CUT_AT + 0.6 + 2.0
 
 
 @pytest.mark.parametrize("crashes", [True, False], ids=["lost", "cut-off"])
-def test_no_two_orders_astray_put_a_server_into_two_groups(crashes: bool) -> None:
-    """Let each pair of orders be carried out late, or without an answer.
+def test_two_late_orders_never_put_a_server_into_two_groups(crashes: bool) -> None:
+    """Guard against a server that is in two groups, one of which serves.
 
-    Symptom: a server is in two groups, one of which serves.  Sequence: a head is cut
-    off from the planner and the store, and serves on with its members; once it has been
-    silent for long, they are given to another group.  Cause: silence was taken for a
-    sign that the group had broken off, though no member had left it.
+    A head that is cut off from the planner and the store continues to serve with its
+    members.  A long silence of the head doesn't show that its group is broken as long
+    as no member has left.  Each pair of orders is executed late or gets no answer.
     """
-    assert max(FATES) < MAX_ORDER_DELAY
-    n_orders = Run(fates={}, crashes=crashes).play().n_orders
-    chosen = [dict([one]) for one in product(range(n_orders), FATES)]
+    assert max(ORDER_DELAYS) < MAX_ORDER_DELAY
+    n_orders = HeadLossRun(delays={}, crashes=crashes).play().n_orders
+    chosen = [dict([one]) for one in product(range(n_orders), ORDER_DELAYS)]
     for first, second in combinations(range(n_orders), 2):
         chosen += [
-            {first: former, second: latter}
-            for former, latter in product(FATES, repeat=2)
+            {first: former, second: second_delay}
+            for former, second_delay in product(ORDER_DELAYS, repeat=2)
         ]
     faults = {
-        str(fates): found
-        for fates in chosen
-        if (found := Run(fates=fates, crashes=crashes).play().faults)
+        str(delays): found
+        for delays in chosen
+        if (found := HeadLossRun(delays=delays, crashes=crashes).play().faults)
     }
     assert faults == {}
--- a/tests/test_coordination/test_groups/test_returns_explored.py
+++ b/tests/test_coordination/test_groups/test_returns_explored.py
@@ -1,8 +1,8 @@
-"""Explore what a store that comes back from older copies does to replica groups.
+"""Test replica groups with a store that returns from older copies of its log.
 
-Planners of an emulated zone form, mend and end groups by way of a log that is copied
-and put back at drawn moments, while servers are lost, planners are replaced and appends
-are carried out late.
+The planner of an emulated zone forms, repairs and ends groups by a log that is copied
+and restored at random times, while servers are lost, planners are replaced and appends
+are executed late.
 """
 
 from __future__ import annotations
@@ -43,60 +43,60 @@
 
 ZONE = "z0"
 
-#: Seconds of one run, and after its last event until all must be as it should.
-LENGTH = 20.0
+#: Seconds in which events occur, and seconds after them until groups must serve again.
+EVENTS_LENGTH = 20.0
 SETTLED = 12.0
 
-#: Seconds until a planner has read the log that came back, or reads it at its start.
+#: Seconds until a planner reads the log after its start, a restore or a late append.
 READ_AFTER = 0.3
 
-#: Seconds by which an append is late that its planner gets no answer to.
-LATE = 2.0
+#: Seconds by which an append without an answer is executed late.
+APPEND_DELAY = 2.0
 
-EVENTS = ("copy", "come-back", "lose", "replace-planner", "late-append")
+EVENTS = ("copy", "restore", "lose", "replace-planner", "late-append")
 
 
 @dataclass(slots=True, kw_only=True)
 class _Log:
-    """Hold the groups' topic of one zone."""
+    """The records of one zone's groups in the store."""
 
     era: int = 1
     end: int = 0
     record_by_name: dict[str, GroupRecord] = field(default_factory=dict)
 
-    def copied(self) -> _Log:
+    def copy(self) -> _Log:
         return _Log(
             era=self.era, end=self.end, record_by_name=dict(self.record_by_name)
         )
 
 
-class ReturningFleet(Fleet):
-    """Play a zone before a store that comes back from older copies.
+class FleetWithStoreReturns(Fleet):
+    """An emulated zone with a store that can be restored from an older copy.
 
     Attributes
     ----------
     faults : list of str
-        What must never be, with its moment.
+        Violated invariants, each with its time.
     """
 
     def __init__(self, *, seed: int, knows_eras: bool = True) -> None:
         self._knows_eras = knows_eras
         self._log = _Log()
-        self._copy = self._log.copied()
+        self._copy = self._log.copy()
         self._read_at = float("inf")
-        self._is_append_late = False
-        self._late: list[tuple[float, AppendGroups]] = []
+        self._delays_next_append = False
+        self._late_appends: list[tuple[float, AppendGroups]] = []
         self._members_by_epoch: dict[int, set[tuple[str, ...]]] = defaultdict(set)
         self.faults: list[str] = []
         super().__init__(deployment=DEPLOYMENT, seed=seed)
 
-    def befall(self, event: str) -> None:
-        """Let something happen."""
+    def apply_event(self, event: str) -> None:
+        """Apply one of ``EVENTS`` now."""
         if event == "copy":
-            self._copy = self._log.copied()
-        elif event == "come-back":
+            self._copy = self._log.copy()
+        elif event == "restore":
             era = self._log.era + 1
-            self._log = self._copy.copied()
+            self._log = self._copy.copy()
             self._log.era = era
             self._read_at = self.now + READ_AFTER
         elif event == "lose":
@@ -105,21 +105,21 @@
             self.planners_by_zone[ZONE] = self._new_planner(ZONE)
             self._read_at = self.now + READ_AFTER
         elif event == "late-append":
-            self._is_append_late = True
+            self._delays_next_append = True
 
     def advance(self) -> None:
-        """Let one step pass."""
+        """Advance the emulation by one step."""
         if self.now >= self._read_at:
             self._read_at = float("inf")
-            self._list(self.planners_by_zone[ZONE])
-        due = [append for at, append in self._late if at <= self.now]
-        self._late = [item for item in self._late if item[0] > self.now]
+            self._send_full_list(self.planners_by_zone[ZONE])
+        due = [append for at, append in self._late_appends if at <= self.now]
+        self._late_appends = [item for item in self._late_appends if item[0] > self.now]
         for append in due:
             self._carry_out_append(append)
         super().advance()
 
     def open_groups(self) -> set[str]:
-        """Return the names of the groups that serve whole."""
+        """Return the names of the groups that are open and complete."""
         return {
             server.entry.group.name
             for server in self.living
@@ -127,19 +127,19 @@
         }
 
     def recorded_groups(self) -> set[str]:
-        """Return the names of the groups that the log holds."""
+        """Return the names of the groups that have a record in the log."""
         return set(self._log.record_by_name)
 
-    def _list(self, planner: ZonePlanner) -> None:
+    def _send_full_list(self, planner: ZonePlanner) -> None:
         era = self._log.era if self._knows_eras else 0
         records = list(self._log.record_by_name.values())
         planner.listed(records, end=self._log.end, era=era, now=self.now)
 
     def _append(self, zone: str, append: AppendGroups) -> None:
         planner = self.planners_by_zone[zone]
-        if self._is_append_late:
-            self._is_append_late = False
-            self._late.append((self.now + LATE, append))
+        if self._delays_next_append:
+            self._delays_next_append = False
+            self._late_appends.append((self.now + APPEND_DELAY, append))
             planner.append_failed(end=None)
             return
         end = self._carry_out_append(append)
@@ -150,7 +150,7 @@
         planner.appended(append, end=end, era=era, now=self.now)
 
     def _carry_out_append(self, append: AppendGroups) -> int | None:
-        """Append if the log ends where it is expected to; return its end then."""
+        """Append if the log ends at the expected offset; return its new end or None."""
         if append.at != self._log.end:
             return None
         for record in (*append.formed, *append.restored):
@@ -159,7 +159,7 @@
             self._log.record_by_name.pop(name, None)
         n_records = len(append.formed) + len(append.restored) + len(append.dropped)
         self._log.end += n_records
-        # Whoever follows the topic reads it a moment later.
+        # The planner follows the topic and reads the records a moment later.
         self._read_at = min(self._read_at, self.now + READ_AFTER)
         return self._log.end
 
@@ -169,7 +169,7 @@
         super()._carry_out(zone, order)
 
     def _check_join(self, order: GroupOrder) -> None:
-        """Note an epoch that two groups have, or a member of one that serves."""
+        """Record a fault if groups share an epoch or the former group may serve."""
         lists = self._members_by_epoch[order.epoch]
         lists.add(order.members)
         if len(lists) > 1:
@@ -178,7 +178,7 @@
         if server is None or server.lost_at is not None:
             return
         if order.epoch < server.newest_epoch:
-            # It refuses.
+            # The server refuses the order.
             return
         report = server.entry.group
         if report is None or report.epoch == order.epoch:
@@ -193,18 +193,18 @@
 
 def _play(
     events: list[tuple[float, str]], *, knows_eras: bool = True
-) -> ReturningFleet:
-    """Play events at their moments, and some time after the last one."""
-    fleet = ReturningFleet(seed=1, knows_eras=knows_eras)
+) -> FleetWithStoreReturns:
+    """Emulate a zone with events at their times, until groups must serve again."""
+    fleet = FleetWithStoreReturns(seed=1, knows_eras=knows_eras)
     waiting = sorted(events)
-    while fleet.now < LENGTH + SETTLED:
+    while fleet.now < EVENTS_LENGTH + SETTLED:
         while waiting and waiting[0][0] <= fleet.now:
-            fleet.befall(waiting.pop(0)[1])
+            fleet.apply_event(waiting.pop(0)[1])
         fleet.advance()
     return fleet
 
 
-def _assert_sound(fleet: ReturningFleet) -> None:
+def _assert_sound(fleet: FleetWithStoreReturns) -> None:
     assert fleet.faults == []
     serving = fleet.open_groups()
     assert serving
@@ -215,28 +215,29 @@
 @given(
     st.lists(
         st.tuples(
-            st.integers(0, int(LENGTH * 10)).map(lambda tenth: tenth / 10),
+            st.integers(0, int(EVENTS_LENGTH * 10)).map(lambda tenth: tenth / 10),
             st.sampled_from(EVENTS),
         ),
         max_size=12,
     )
 )
-def test_returns_put_no_server_into_two_groups(
+def test_store_returns_put_no_server_into_two_groups(
     events: list[tuple[float, str]],
 ) -> None:
-    """Guard against epochs given out twice and members taken from a group that serves.
+    """Guard against reused epochs and against members that leave a serving group.
 
-    At the end groups serve, and each of them has a record.
+    At the end, at least one group serves and each serving group has a record.
     """
     _assert_sound(_play(events))
 
 
-#: A return with a planner that knows better, and one that starts with the copy.
-WITH_PLANNER = [(2.0, "copy"), (3.0, "lose"), (7.0, "come-back"), (8.0, "lose")]
+#: A restore under a planner that knows the lost records, and under one that starts from
+#: the restored copy.
+WITH_PLANNER = [(2.0, "copy"), (3.0, "lose"), (7.0, "restore"), (8.0, "lose")]
 REPLACED = [*WITH_PLANNER, (7.1, "replace-planner")]
 
-#: The same after a copy from before the first groups.
-EMPTY = [(-11.5, "copy"), (5.0, "come-back"), (6.0, "lose")]
+#: The same with a copy that was made before the first group.
+EMPTY = [(-11.5, "copy"), (5.0, "restore"), (6.0, "lose")]
 EMPTY_REPLACED = [*EMPTY, (5.1, "replace-planner")]
 
 
@@ -248,23 +249,31 @@
         pytest.param(EMPTY, id="empty-copy"),
         pytest.param(EMPTY_REPLACED, id="empty-copy-and-planner-is-replaced"),
         pytest.param(
-            [*WITH_PLANNER, (9.0, "come-back"), (10.0, "lose"), (11.0, "come-back")],
+            [
+                *WITH_PLANNER,
+                (9.0, "restore"),
+                (10.0, "lose"),
+                (11.0, "restore"),
+            ],
             id="three-in-series",
         ),
         pytest.param([*WITH_PLANNER, (6.9, "late-append")], id="late-append"),
-        pytest.param([(-11.0, "come-back"), (-9.0, "come-back")], id="at-the-start"),
+        pytest.param([(-11.0, "restore"), (-9.0, "restore")], id="at-the-start"),
     ],
 )
-def test_groups_go_on_after_returns(events: list[tuple[float, str]]) -> None:
-    """Guard against a zone without groups, or with unrecorded ones, after a return."""
+def test_groups_serve_after_store_returns(events: list[tuple[float, str]]) -> None:
+    """Guard against a zone without groups or records after a restore of the store."""
     _assert_sound(_play(events))
 
 
 @pytest.mark.parametrize("events", [EMPTY, EMPTY_REPLACED], ids=["stays", "replaced"])
-def test_the_exploration_notices_planners_that_know_no_eras(
+def test_planners_without_eras_fail_the_checks(
     events: list[tuple[float, str]],
 ) -> None:
-    """Show that the checks fail where offsets are taken to name one thing for ever."""
+    """Check that the exploration detects planners that ignore the store's era.
+
+    Such planners treat offsets of different eras as the same position.
+    """
     fleet = _play(events, knows_eras=False)
     with pytest.raises(AssertionError):
         _assert_sound(fleet)
