--- a/ryelever/coordination/groups/forming.py
+++ b/ryelever/coordination/groups/forming.py
@@ -28,19 +28,19 @@
     "joins_quickly",
 ]
 
-#: Utilization of a model's groups from which another group is formed.  At 0.8 about
-#: five of thirteen slots are in use; above it, a burst of half as much again or the
-#: loss of one group in four makes requests wait.
+#: Utilization of a model's groups from which another group is formed if enough spares
+#: remain.  At 0.8 about five of thirteen slots are in use; above it, a burst of half as
+#: much again or the loss of one group in four makes requests wait.
 GROWTH_UTILIZATION = 0.8
 
 #: Utilization from which spares are used to form another group: keeping a spare for
 #: repairs is worth less than serving requests that would be refused now.
 OVERLOAD_UTILIZATION = 1.25
 
-#: Exponent by which a model's utilization is weighted with its group size relative to
-#: the smallest group size.  A group of six is lost twice as often as one of three and
-#: needs six free servers of a domain for its repair, so the same number of groups is
-#: complete for less of the time.
+#: Exponent of the factor by which a model's utilization is weighted: the ratio of its
+#: group size to the smallest group size.  A group of six is lost twice as often as one
+#: of three and needs six free servers of a domain for its repair, so the same number of
+#: groups is complete for less of the time.
 SIZE_EXPONENT = 0.3
 
 #: Share of a zone's backend servers to keep as spares: one in each fabric domain of
--- a/ryelever/coordination/groups/managed_groups.py
+++ b/ryelever/coordination/groups/managed_groups.py
@@ -70,9 +70,9 @@
     def drop(self, name: str) -> None:
         """Handle the removal of a group's record from the store.
 
-        The store may remove a record seconds after the request, when the group serves
-        again.  A group is forgotten only once it has ended; otherwise its record is
-        written again.
+        The store may remove a record seconds after the request, when the group may
+        serve again.  A group is forgotten only once it has ended; otherwise its record
+        is written again.
         """
         managed = self.managed_by_name.get(name)
         if managed is None:
--- a/ryelever/coordination/groups/manager.py
+++ b/ryelever/coordination/groups/manager.py
@@ -4,8 +4,8 @@
 under the group's name and epoch.  Members are free for another group only after the
 head can't serve any more: it has left, is broken, or has been missing for longer than a
 group can stall.  Servers may execute orders seconds late, twice or never, and another
-planner may send orders at the same time, so no decision relies on an order whose effect
-was not seen.
+planner may send orders at the same time, so no decision relies on the mere sending of
+an order.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 __all__ = ["GroupManager"]
 
-#: Reasons to end a group that let its running requests complete first.
+#: Reasons to end a group that give its running requests time to complete.
 MEMBER_LEAVING = "member_leaving"
 GRACEFUL_REASONS = frozenset({DISBANDED, MEMBER_LEAVING})
 
@@ -195,7 +195,7 @@
     # One group
 
     def _check_members(self, managed: ManagedGroup, *, now: float) -> None:
-        """End a group that can't be complete any more, and detect that one serves."""
+        """End a group that can't be complete any more; else update a forming group."""
         for member in managed.record.members:
             server = self._directory.by_id.get(member.server_id)
             if server is None:
--- a/ryelever/coordination/groups/orders.py
+++ b/ryelever/coordination/groups/orders.py
@@ -27,7 +27,7 @@
     ``APPLIED``: the server is already in the ordered state.  ``IN_PROGRESS``: the
     server is moving to the ordered state.  ``REFUSED``: the order does not fit the
     server's state.  ``SUPERSEDED``: the server has seen a newer epoch.
-    ``WRONG_INSTANCE``: another incarnation of the server, or no process, is at the
+    ``WRONG_INSTANCE``: another incarnation, another server or no process is at the
     address.  ``NOT_A_MEMBER``: the server answered a probe and is not in the group.
     ``UNKNOWN``: no answer; the server may still execute the order later.
     """
--- a/ryelever/coordination/groups/weight_staging.py
+++ b/ryelever/coordination/groups/weight_staging.py
@@ -19,7 +19,7 @@
 #: Seconds after which an order to stage weights is sent again.
 STAGE_RETRY = 20.0
 
-#: Fraction of the zone's share of the weight store's load rate that is used.
+#: Fraction to use of the zone's share of the weight store's load rate.
 LOAD_SHARE = 0.8
 
 #: Length in seconds of the sliding window in which loads are counted.
--- a/ryelever/coordination/groups/zone_view.py
+++ b/ryelever/coordination/groups/zone_view.py
@@ -21,15 +21,15 @@
 
 __all__ = ["ServiceView", "ZoneViews"]
 
-#: Seconds without a new free server after which all servers that are present at the
-#: start are taken to be listed.
+#: Seconds without a change in the number of free servers after which all servers that
+#: are present at the start are taken to be listed.
 FLEET_SETTLED_AFTER = 1.0
 
 #: Maximum time in seconds to wait for the servers to be listed at the start.
 MAX_SETTLING_TIME = 5.0
 
-#: Minimum demand to assume for a model that gets no requests at present, as a fraction
-#: of the model's initial demand.
+#: Minimum demand to assume for a model, even if it gets no requests at present, as a
+#: fraction of the model's initial demand.
 MIN_DEMAND_RATIO = 0.15
 
 
