--- a/ryelever/coordination/groups/warm_up.py
+++ b/ryelever/coordination/groups/warm_up.py
@@ -45,9 +45,9 @@
     groups, whose next loss leaves the most free servers.
     """
     for model in rules.models_by_need(rules.groups_by_model):
-        needed = (
+        is_needed = (
             rules.utilization(model.name, rules.groups_by_model) >= GROWTH_UTILIZATION
         )
-        if needed and len(servers) >= model.size:
+        if is_needed and len(servers) >= model.size:
             return model
     return max(rules.engine.models_by_name.values(), key=lambda model: model.size)
--- a/ryelever/coordination/groups/weight_staging.py
+++ b/ryelever/coordination/groups/weight_staging.py
@@ -34,8 +34,8 @@
     def allow(self, *, rate: float, now: float) -> bool:
         """Return whether a load may start now, and count the load if so."""
         self.start_times = [at for at in self.start_times if now - at < LOAD_WINDOW]
-        # One load may always start: the weight store's limit leaves room for three
-        # loads beyond the rate.
+        # One load may always start: the bound on loads leaves room for three loads
+        # beyond the rate.
         if self.start_times and len(self.start_times) + 1 > rate * LOAD_WINDOW:
             return False
         self.start_times.append(now)
--- a/tests/test_coordination/test_groups/test_disbanding.py
+++ b/tests/test_coordination/test_groups/test_disbanding.py
@@ -93,16 +93,16 @@
         now = tick * 0.1
         announced = {zone for zone, token in tokens.items() if token.is_announced}
         for zone, token in tokens.items():
-            others = announced - {zone}
+            other_zones = announced - {zone}
             chosen = choose_disbanding(
                 servers_of(2, models=L),
                 _serving_groups(("small", 2, "d0", L)),
                 rules_of(demand=demand, groups=groups),
-                n_pending=token.n_ahead(others),
+                n_pending=token.n_ahead(other_zones),
             )
             if not chosen:
                 token.end()
-            elif token.may_start(others, now=now):
+            elif token.may_start(other_zones, now=now):
                 n_disbanded[zone] = 1
     return n_disbanded
 
--- a/tests/test_coordination/test_groups/test_orders_explored.py
+++ b/tests/test_coordination/test_groups/test_orders_explored.py
@@ -152,10 +152,10 @@
             if order.epoch == LATER.epoch:
                 self.joined_at = self.joined_at or self.now
             if report is not None and report.epoch != order.epoch:
-                self._check(order)
+                self._check_join(order)
         return outcome
 
-    def _check(self, order: GroupOrder) -> None:
+    def _check_join(self, order: GroupOrder) -> None:
         """Record a fault if a server joins while its former head may serve."""
         head = self.servers["a"]
         report = head.entry.group
--- a/tests/test_coordination/test_groups/test_returns_explored.py
+++ b/tests/test_coordination/test_groups/test_returns_explored.py
@@ -45,7 +45,7 @@
 
 #: Seconds in which events occur, and seconds after them until groups must serve again.
 EVENTS_LENGTH = 20.0
-SETTLED = 12.0
+RECOVERY_TIME = 12.0
 
 #: Seconds until a planner reads the log after its start, a restore or a late append.
 READ_AFTER = 0.3
@@ -170,9 +170,9 @@
 
     def _check_join(self, order: GroupOrder) -> None:
         """Record a fault if groups share an epoch or the former group may serve."""
-        lists = self._members_by_epoch[order.epoch]
-        lists.add(order.members)
-        if len(lists) > 1:
+        member_lists = self._members_by_epoch[order.epoch]
+        member_lists.add(order.members)
+        if len(member_lists) > 1:
             self.faults.append(f"{self.now}: epoch {order.epoch} of two groups")
         server = self.servers_by_id.get(order.server_id)
         if server is None or server.lost_at is not None:
@@ -184,10 +184,14 @@
         if report is None or report.epoch == order.epoch:
             return
         for head in self.living:
-            theirs = head.entry.group
-            if theirs is None or theirs.rank or theirs.epoch != report.epoch:
+            head_report = head.entry.group
+            if (
+                head_report is None
+                or head_report.rank
+                or head_report.epoch != report.epoch
+            ):
                 continue
-            if theirs.state in (GroupState.OPEN, GroupState.CLOSING):
+            if head_report.state in (GroupState.OPEN, GroupState.CLOSING):
                 self.faults.append(f"{self.now}: {server.id} joins from {report.name}")
 
 
@@ -197,7 +201,7 @@
     """Emulate a zone with events at their times, until groups must serve again."""
     fleet = FleetWithStoreReturns(seed=1, knows_eras=knows_eras)
     waiting = sorted(events)
-    while fleet.now < EVENTS_LENGTH + SETTLED:
+    while fleet.now < EVENTS_LENGTH + RECOVERY_TIME:
         while waiting and waiting[0][0] <= fleet.now:
             fleet.apply_event(waiting.pop(0)[1])
         fleet.advance()
@@ -213,7 +217,7 @@
 
 @settings(max_examples=60)
 @given(
-    st.lists(
+    st.member_lists(
         st.tuples(
             st.integers(0, int(EVENTS_LENGTH * 10)).map(lambda tenth: tenth / 10),
             st.sampled_from(EVENTS),
