--- a/tests/test_coordination/test_groups/test_returns_explored.py
+++ b/tests/test_coordination/test_groups/test_returns_explored.py
@@ -217,7 +217,7 @@
 
 @settings(max_examples=60)
 @given(
-    st.member_lists(
+    st.lists(
         st.tuples(
             st.integers(0, int(EVENTS_LENGTH * 10)).map(lambda tenth: tenth / 10),
             st.sampled_from(EVENTS),
