--- a/ryelever/coordination/soft_state/__init__.py
+++ b/ryelever/coordination/soft_state/__init__.py
@@ -1,6 +1,7 @@
-"""Exchange what entry hosts know with each other, over UDP.
+"""Exchange observations between entry hosts over UDP.
 
-It may be lost at any time: nothing that must last is told this way.
+The state is soft: any of it may be lost at any time, so nothing that must be durable
+is sent this way.
 """
 
 from .exchange import Received, SoftStateExchange
--- a/ryelever/coordination/soft_state/compose.py
+++ b/ryelever/coordination/soft_state/compose.py
@@ -1,4 +1,4 @@
-"""Compose the datagrams of the exchange: what a peer lacks, within their size."""
+"""Compose the datagrams of an exchange, within their size limit."""
 
 from __future__ import annotations
 
@@ -17,27 +17,29 @@
 from .tables import HAVE_SIZE, MEMBER_SIZE, TABLE_EXPIRY, TABLE_SIZE
 
 if TYPE_CHECKING:
-    from .configuration import ConfigurationSpread
+    from .configuration import ConfigurationTransfer
     from .links import Link, Peer
-    from .own import OwnTable
+    from .local_table import LocalTable
     from .tables import Table, Tables
 
 __all__ = ["Composer"]
 
-#: Bytes that a datagram should not exceed, by estimate.
+#: Estimated bytes that a datagram should not exceed, and those of its header.
 DATAGRAM_SIZE = 1300
 HEADER_SIZE = 80
 
 
 class Composer:
-    """Write what this entry host tells a peer.
+    """Compose the datagrams that this entry host sends to its peers.
 
     Parameters
     ----------
-    own, digest : OwnTable
-        The tables of this entry host and of its zone's sum.
+    local_table : LocalTable
+        The table of this entry host.
+    digest : LocalTable
+        The digest that this entry host sends to other zones.
     tables : Tables
-        The tables of all others.
+        The tables of all other owners.
     """
 
     def __init__(
@@ -46,43 +48,45 @@
         host: str,
         availability_zone: str,
         boot: int,
-        own: OwnTable,
-        digest: OwnTable,
+        local_table: LocalTable,
+        digest: LocalTable,
         tables: Tables,
-        configuration: ConfigurationSpread,
+        configuration: ConfigurationTransfer,
         rng: random.Random,
     ) -> None:
         self._host = host
         self._zone = availability_zone
         self._boot = boot
-        self._own = own
+        self._local_table = local_table
         self._digest = digest
         self._tables = tables
         self._configuration = configuration
         self._rng = rng
 
-    def tell(self, peer: Peer, *, now: float) -> Message:
+    def start_exchange(self, peer: Peer, *, now: float) -> Message:
         """Return the first datagram of an exchange, or a greeting."""
         link = peer.current or _newest_link(peer)
-        if link is None or not link.granted:
+        if link is None or not link.granted_token:
             return self.message(peer, link, now=now)
         haves = self._haves(self._tables_for(peer, now=now))
-        return self.message(peer, link, now=now, step=Step.ASK, haves=haves)
+        return self.message(peer, link, now=now, step=Step.REQUEST, haves=haves)
 
     def _haves(self, tables: list[Table]) -> tuple[Have, ...]:
-        own = (self._own.table, self._digest.table)
+        local_tables = (self._local_table.table, self._digest.table)
         return tuple(
             Have(origin=table.origin, version=table.version)
             for table in tables
-            if table not in own
+            if table not in local_tables
         )
 
-    def bring(self, peer: Peer, step: Step, *, now: float) -> Message:
-        """Return what a peer lacks; an answer tells also what is here."""
+    def updates_message(self, peer: Peer, step: Step, *, now: float) -> Message:
+        """Return the updates that a peer lacks; a response also lists versions."""
         tables = self._tables_for(peer, now=now)
-        haves = self._haves(tables) if step is Step.ANSWER else ()
+        haves = self._haves(tables) if step is Step.RESPONSE else ()
         lacking = [table for table in tables if table.member.host != peer.name]
-        updates = self._updates(lacking, peer.current, n_haves=len(haves), now=now)
+        updates = self._table_updates(
+            lacking, peer.current, n_haves=len(haves), now=now
+        )
         return self.message(
             peer, peer.current, now=now, step=step, haves=haves, tables=updates
         )
@@ -90,19 +94,21 @@
     def _tables_for(self, peer: Peer, *, now: float) -> list[Table]:
         others = list(self._tables.tables_by_origin.values())
         self._rng.shuffle(others)
-        known = [self._own.table, *others]
+        known = [self._local_table.table, *others]
         if now - self._digest.table.alive_at() <= TABLE_EXPIRY:
             known.append(self._digest.table)
-        same = peer.availability_zone == self._zone
+        is_same_zone = peer.availability_zone == self._zone
         return [
-            table for table in known if table.version and (table.member.digest or same)
+            table
+            for table in known
+            if table.version and (table.member.digest or is_same_zone)
         ]
 
-    def _updates(
+    def _table_updates(
         self, tables: Sequence[Table], link: Link, *, n_haves: int, now: float
     ) -> tuple[TableUpdate, ...]:
         budget = DATAGRAM_SIZE - HEADER_SIZE - n_haves * HAVE_SIZE
-        told = []
+        table_updates = []
         for table in tables:
             version = link.haves.get(table.origin, 0)
             member = table.member if not version else None
@@ -116,12 +122,12 @@
             )
             if updates:
                 budget -= overhead + size
-                told.append(
+                table_updates.append(
                     TableUpdate(
                         origin=table.origin, member=member, updates=tuple(updates)
                     )
                 )
-        return tuple(told)
+        return tuple(table_updates)
 
     def message(
         self,
@@ -135,14 +141,14 @@
         wants: tuple[Want, ...] = (),
         pieces: tuple[Piece, ...] = (),
     ) -> Message:
-        """Return a datagram with these contents."""
+        """Return a datagram with the given contents."""
         echo, hold = peer.echo(now=now)
         return Message(
             sender=self._host,
             availability_zone=self._zone,
             boot=self._boot,
-            token=link.granted if link is not None else 0,
-            grant=link.given if link is not None else 0,
+            token=link.granted_token if link is not None else 0,
+            grant=link.issued_token if link is not None else 0,
             sequence=peer.next_sequence(now=now),
             step=step,
             echo=echo,
--- a/ryelever/coordination/soft_state/configuration.py
+++ b/ryelever/coordination/soft_state/configuration.py
@@ -1,9 +1,9 @@
-"""Fetch a newer configuration from a peer in pieces, and give it to peers.
+"""Fetch a newer configuration from a peer in pieces, and serve pieces to peers.
 
-A configuration is longer than a datagram.  A peer that hears of a newer version than
-its own, and has not got it from the log within ``GRACE``, asks the teller for the
-pieces and puts the whole together.  Its size is bounded, and the asking side sets
-the pace, so neither a large document nor many askers can flood anybody.
+A configuration is longer than a datagram.  If a peer announces a newer version and the
+log does not deliver that version within ``LOG_GRACE_PERIOD``, this host requests the
+pieces from the peer and reassembles them.  The size is bounded and the requester sets
+the pace, so neither a large document nor many requesters can flood a host.
 """
 
 from __future__ import annotations
@@ -19,47 +19,47 @@
 from ...state.observations import ConfigurationRow
 from .messages import Piece, Want
 
-__all__ = ["ConfigurationSpread"]
+__all__ = ["ConfigurationTransfer"]
 
-#: Seconds for which the log may still bring a version that a peer told of.
-GRACE = 0.5
+#: Seconds to wait for the log to deliver a version that a peer announced.
+LOG_GRACE_PERIOD = 0.5
 
 #: Bytes of one piece.
 PIECE_SIZE = 1100
 
-#: Pieces asked for at once, and the seconds between two questions.
-N_PIECES_ASKED = 4
-WANT_INTERVAL = 0.1
+#: Maximum pieces served for one request, and the seconds between two requests.
+PIECES_PER_REQUEST = 4
+REQUEST_INTERVAL = 0.1
 
-#: Longest configuration, compressed and as text.
+#: Longest configuration: in pieces when compressed, and in bytes as plain text.
 MAX_PIECES = 512
 MAX_TEXT = 8 << 20
 
-#: Seconds without a new piece after which another peer may be asked.
-STALLED = 1.0
+#: Seconds without a new piece after which another peer may become the provider.
+STALL_TIMEOUT = 1.0
 
 
 @dataclass(slots=True, kw_only=True)
 class _Fetch:
-    """Hold a configuration that is arriving."""
+    """State of a configuration that is being fetched."""
 
     version: int
     address: str
-    heard_at: float
+    announced_at: float
     progress_at: float
-    asked_at: float = float("-inf")
+    requested_at: float = float("-inf")
     checksum: bytes = b""
     n_pieces: int = 0
     data_by_index: dict[int, bytes] = field(default_factory=dict)
 
 
-class ConfigurationSpread:
-    """Decide which configuration to fetch from whom.
+class ConfigurationTransfer:
+    """Choose the configuration to fetch and its provider, and serve the local one.
 
     Parameters
     ----------
     current : callable
-        Return the configuration in force here, or None.
+        Return the configuration in force on this host, or None.
     """
 
     def __init__(self, *, current: Callable[[], ConfigurationRow | None]) -> None:
@@ -67,45 +67,51 @@
         self._fetch: _Fetch | None = None
         self._text_version = -1
         self._text = b""
-        self._bad: set[tuple[int, str]] = set()
-        self.n_broken = 0
+        self._invalid_sources: set[tuple[int, str]] = set()
+        self.n_invalid = 0
         self.versions_by_address: dict[str, int] = {}
 
     @property
     def version(self) -> int:
-        """Return the version in force here."""
+        """Return the version in force on this host, or -1 if there is none."""
         current = self._current()
         return current.version if current is not None else -1
 
-    def heard(self, version: int, *, address: str, now: float) -> None:
-        """Note that a peer tells of a version."""
+    def note_version(self, version: int, *, address: str, now: float) -> None:
+        """Record the version that a peer announces, and start to fetch a newer one."""
         self.versions_by_address[address] = version
-        if version <= self.version or (version, address) in self._bad:
+        if version <= self.version or (version, address) in self._invalid_sources:
             return
         fetch = self._fetch
-        stalled = fetch is not None and now - fetch.progress_at > STALLED
+        stalled = fetch is not None and now - fetch.progress_at > STALL_TIMEOUT
         if fetch is None or version > fetch.version or stalled:
-            heard_at = now if fetch is None else fetch.heard_at
+            announced_at = now if fetch is None else fetch.announced_at
             self._fetch = _Fetch(
-                version=version, address=address, heard_at=heard_at, progress_at=now
+                version=version,
+                address=address,
+                announced_at=announced_at,
+                progress_at=now,
             )
 
     def wants(self, *, now: float) -> tuple[str, Want] | None:
-        """Return whom to ask for what now, if anything."""
+        """Return the request that is due and the provider's address, or None."""
         fetch = self._fetch
         if fetch is None:
             return None
         if fetch.version <= self.version:
             self._fetch = None
             return None
-        if now - fetch.heard_at < GRACE or now - fetch.asked_at < WANT_INTERVAL:
+        if (
+            now - fetch.announced_at < LOG_GRACE_PERIOD
+            or now - fetch.requested_at < REQUEST_INTERVAL
+        ):
             return None
-        fetch.asked_at = now
+        fetch.requested_at = now
         missing = (i for i in range(MAX_PIECES) if i not in fetch.data_by_index)
         return fetch.address, Want(version=fetch.version, first=next(missing, 0))
 
     def pieces(self, want: Want) -> tuple[Piece, ...]:
-        """Return what a peer asked for, if that version is in force here."""
+        """Return the requested pieces if their version is in force on this host."""
         current = self._current()
         if current is None or current.version != want.version:
             return ()
@@ -116,7 +122,7 @@
         if n_pieces > MAX_PIECES:
             return ()
         checksum = hashlib.sha256(self._text).digest()
-        last = min(want.first + N_PIECES_ASKED, n_pieces)
+        last = min(want.first + PIECES_PER_REQUEST, n_pieces)
         return tuple(
             Piece(
                 version=current.version,
@@ -128,10 +134,10 @@
             for index in range(want.first, last)
         )
 
-    def take(
+    def add_piece(
         self, piece: Piece, *, address: str, now: float
     ) -> ConfigurationRow | None:
-        """Take a piece; return the configuration once it is whole."""
+        """Store a piece; return the configuration once all pieces have arrived."""
         fetch = self._fetch
         if fetch is None or piece.version != fetch.version or address != fetch.address:
             return None
@@ -143,7 +149,7 @@
             fetch.n_pieces = piece.n_pieces
         if piece.index not in fetch.data_by_index:
             fetch.progress_at = now
-            fetch.asked_at = float("-inf")
+            fetch.requested_at = float("-inf")
         fetch.data_by_index[piece.index] = piece.data
         if len(fetch.data_by_index) < fetch.n_pieces:
             return None
@@ -156,14 +162,14 @@
         if hashlib.sha256(text).digest() == fetch.checksum:
             row = _unpack(text, version=fetch.version)
         if row is None:
-            self.n_broken += 1
-            self._bad.add((fetch.version, fetch.address))
+            self.n_invalid += 1
+            self._invalid_sources.add((fetch.version, fetch.address))
         return row
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class _Packed:
-    """Shape the text that travels."""
+    """JSON text in which peers exchange a configuration."""
 
     author: str
     document: Configuration
--- a/ryelever/coordination/soft_state/deliveries.py
+++ b/ryelever/coordination/soft_state/deliveries.py
@@ -1,4 +1,4 @@
-"""Hand what peers tell to the sinks, under the name of who observed it."""
+"""Convert updated table rows to deliveries under the names of their observers."""
 
 from __future__ import annotations
 
@@ -14,36 +14,38 @@
 from .tables import ROW_EXPIRY
 
 if TYPE_CHECKING:
-    from .tables import KeptRow
+    from .tables import TableRow
 
 __all__ = ["Delivery", "deliveries"]
 
 
-#: Entry hosts for which the sum of one zone can count.
-MAX_ZONE = 256
+#: Maximum number of entry hosts that the digest of one zone can represent.
+MAX_HOSTS_PER_ZONE = 256
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Delivery:
-    """Hold one row for the sinks; the peer is its observer, not who brought it."""
+    """One row for the sinks; ``peer`` is its observer, not the host that sent it."""
 
     observation: Observation
     peer: str
     observed_at: float
 
 
-def deliveries(member: Member, taken: list[KeptRow], *, now: float) -> list[Delivery]:
-    """Return what the sinks get of the rows taken from a member's table."""
+def deliveries(
+    member: Member, updated: list[TableRow], *, now: float
+) -> list[Delivery]:
+    """Return the deliveries to the sinks for updated rows of a member's table."""
     single = member.alone or not member.digest
     observer = member.host if single else f"zone/{member.availability_zone}"
     found = []
-    for kept in taken:
+    for kept in updated:
         row = kept.row
         if isinstance(row, AliveRow | GoneRow) or now - kept.observed_at > ROW_EXPIRY:
             continue
         heartbeat = isinstance(row, DemandRow) and row.client_account == HEARTBEAT
         if heartbeat and not single:
-            found += _heartbeats(row, observer, observed_at=kept.observed_at)
+            found += _split_heartbeats(row, observer, observed_at=kept.observed_at)
             continue
         found.append(
             Delivery(observation=row, peer=observer, observed_at=kept.observed_at)
@@ -51,13 +53,14 @@
     return found
 
 
-def _heartbeats(
+def _split_heartbeats(
     row: DemandRow, observer: str, *, observed_at: float
 ) -> Iterator[Delivery]:
-    # The split of limits counts the hosts that it hears.  Were a zone's sum to count
-    # for one of them, each host would find most hosts silent beyond MAX_FLAT, and
-    # share out no more than its own zone's part of each limit.
-    n_hosts = min(max(1, row.n_in_flight), MAX_ZONE)
+    # The split of limits counts the hosts from which it receives rows.  If a zone's
+    # digest counted as one host, then in deployments of more than MAX_FLAT hosts each
+    # host would consider most hosts silent, and would share out no more than its own
+    # zone's part of each limit.
+    n_hosts = min(max(1, row.n_in_flight), MAX_HOSTS_PER_ZONE)
     for index in range(n_hosts):
         n_waiting = row.n_waiting // n_hosts + (index < row.n_waiting % n_hosts)
         yield Delivery(
--- a/ryelever/coordination/soft_state/exchange.py
+++ b/ryelever/coordination/soft_state/exchange.py
@@ -1,11 +1,11 @@
-"""Decide what this entry host tells to which peer, and when.
-
-Inside an availability zone every entry host goes through its peers in a shuffled
-order, a few each second, and tells what they lack of all tables of the zone: rows
-spread as in an epidemic, in a time that grows with the logarithm of the number of
-peers, while each entry host sends a constant number of datagrams.  Towards each other
-zone it talks to one peer, which gets no more than the zones' sums.  docs/PEERS.md gives
-the figures.
+"""Decide which updates this entry host sends to which peer, and when.
+
+Inside an availability zone every entry host cycles through its peers in a shuffled
+order, a few each second, and sends them the updates that they lack of all tables of the
+zone.  Rows spread by gossip, in a time that grows with the logarithm of the number of
+peers, while each entry host sends a constant number of datagrams.  In each other zone
+an entry host exchanges with one peer, which gets only the zones' digests.
+docs/PEERS.md gives the figures.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 from ...state.observations import ConfigurationRow
 from .compose import Composer
-from .configuration import ConfigurationSpread
+from .configuration import ConfigurationTransfer
 from .deliveries import Delivery, deliveries
-from .digest import summed_rows
+from .digest import aggregated_rows
 from .links import Peer
+from .local_table import LocalTable
 from .messages import (
     Member,
     Message,
     SoftRow,
     Step,
 )
-from .own import OwnTable
 from .schedule import Schedule
 from .tables import (
     REDELIVERY_INTERVAL,
@@ -38,29 +38,31 @@
 
 __all__ = ["Delivery", "Received", "SoftStateExchange"]
 
-#: Shortest time between two answers to unproven datagrams of one address.
+#: Minimum seconds between two answers to unauthenticated datagrams of one address, and
+#: between two responses to its requests.
 ANSWER_INTERVAL = 0.2
 
-#: Seconds after which a peer of the own zone counts as gone for sharing work.
+#: Seconds of silence after which a peer of this zone is excluded from sharing work.
 LIVE_AGE = 4.0
 
-#: Seconds between two looks for what has expired.
+#: Seconds between two checks for expired tables.
 EXPIRE_INTERVAL = 0.5
 
-#: Seconds between two sums of the zone, and of a host alone.
+#: Seconds between two updates of a zone's digest, and of a single host's digest.
 DIGEST_INTERVAL = 1.0
 FLAT_DIGEST_INTERVAL = 0.5
 
-#: Entry hosts up to which each tells all zones of itself, rather than its zone's sum.
+#: Maximum number of entry hosts at which each sends its own digest to all zones instead
+#: of its zone's digest.
 MAX_FLAT = 16
 
-#: Peers of which state is kept.
+#: Maximum number of peers with state; peers named in the settings are always kept.
 MAX_PEERS = 1024
 
 
 @dataclass(slots=True, kw_only=True)
 class Received:
-    """Hold what a datagram leads to."""
+    """Results of a received datagram: replies, deliveries and a configuration."""
 
     messages: list[tuple[str, Message]] = field(default_factory=list)
     deliveries: list[Delivery] = field(default_factory=list)
@@ -68,22 +70,23 @@
 
 
 class SoftStateExchange:
-    """Own what is known of peers and the tables they exchange.
+    """Own the state of all peers and the tables that they exchange.
 
     Parameters
     ----------
     address : str
-        Where peers reach this entry host.
+        Address at which peers reach this entry host.
     addresses : collection of str
         Peers named in the settings.
     max_flat : int
-        Entry hosts up to which other zones hear of each host by its own name.
+        Maximum number of entry hosts at which other zones receive each host's digest
+        under its own name instead of its zone's digest.
     boot : int
         Random number of this process.
     current_configuration : callable
-        Return the configuration in force here, or None.
+        Return the configuration in force on this host, or None.
     rng : random.Random
-        Draws tokens and orders; seeded from the system in the product.
+        Generator of tokens and shuffles; seeded from the system in production.
     """
 
     def __init__(
@@ -107,18 +110,18 @@
         self.peers_by_address: dict[str, Peer] = {}
         for known in addresses:
             self._peer(known)
-        self.configuration = ConfigurationSpread(current=current_configuration)
+        self.configuration = ConfigurationTransfer(current=current_configuration)
         self.tables = Tables(
             accepts=self._accepts,
             redelivery_interval=0.0 if self._flat else REDELIVERY_INTERVAL,
         )
-        self._own = self._own_table(address, digest=False)
-        self._digest = self._own_table(address, digest=True)
+        self._local_table = self._new_local_table(address, digest=False)
+        self._digest = self._new_local_table(address, digest=True)
         self._composer = Composer(
             host=host,
             availability_zone=availability_zone,
             boot=boot,
-            own=self._own,
+            local_table=self._local_table,
             digest=self._digest,
             tables=self.tables,
             configuration=self.configuration,
@@ -134,7 +137,7 @@
         )
         self.n_by_fault: Counter[str] = Counter()
 
-    def _own_table(self, address: str, *, digest: bool) -> OwnTable:
+    def _new_local_table(self, address: str, *, digest: bool) -> LocalTable:
         member = Member(
             host=self._host,
             availability_zone=self._zone,
@@ -143,11 +146,11 @@
             alone=digest and self._flat,
         )
         origin = origin_of(self._host, self._boot, digest=digest)
-        return OwnTable(origin=origin, member=member, flat=self._flat)
+        return LocalTable(origin=origin, member=member, flat=self._flat)
 
     def _accepts(self, member: Member, zone: str) -> bool:
-        # A peer of another zone holds no more than a sum of what this zone tells;
-        # rows taken from it would hide those that are missing between.
+        # A peer of another zone has only this zone's digest.  If single hosts' rows
+        # were accepted from such a peer, they would hide missing rows between them.
         if member.host == self._host:
             return False
         return member.digest or member.availability_zone == zone == self._zone
@@ -162,17 +165,17 @@
         self.peers_by_address[address] = peer
         return peer
 
-    # What is known
+    # State of the zone
 
     def live_members(self, *, now: float) -> list[str]:
-        """Return the names of the other entry hosts of this zone that live."""
+        """Return the names of the other live entry hosts of this zone."""
         return [
             table.member.host
             for table in self.tables.tables_by_origin.values()
-            if self._is_zone_member(table) and now - table.alive_at() <= LIVE_AGE
+            if self._is_zone_peer(table) and now - table.alive_at() <= LIVE_AGE
         ]
 
-    def _is_zone_member(self, table: Table) -> bool:
+    def _is_zone_peer(self, table: Table) -> bool:
         return not table.member.digest and table.member.availability_zone == self._zone
 
     def _zone_addresses(self, *, now: float) -> list[str]:
@@ -181,60 +184,62 @@
             {
                 table.member.address
                 for table in tables
-                if self._is_zone_member(table) and now - table.heard_at() <= LIVE_AGE
+                if self._is_zone_peer(table) and now - table.last_seen_at() <= LIVE_AGE
             }
         )
 
     def zone_reported_since(self, moment: float, *, now: float) -> bool:
-        """Tell whether the zone's living hosts have told all that they had seen.
+        """Return whether the zone's live hosts have reported all their observations.
 
         Parameters
         ----------
         moment : float
-            Monotonic time up to which they have.  A host that was not there then has
-            seen nothing, and one that stays silent for ``LIVE_AGE`` after it is not
-            waited for.
+            Monotonic time up to which observations must have been reported.  A host
+            that did not exist at that time has observed nothing, and a host that stays
+            silent for ``LIVE_AGE`` after it is not waited for.
         """
-        return not self._unheard_since(moment, now=now)
+        return not self._unreported_since(moment, now=now)
 
-    def _unheard_since(self, moment: float, *, now: float) -> list[str]:
-        """Return the addresses of those that have not."""
+    def _unreported_since(self, moment: float, *, now: float) -> list[str]:
+        """Return the addresses of the zone's hosts whose reports are missing."""
         return [
             table.member.address
             for table in self.tables.tables_by_origin.values()
-            if self._is_zone_member(table)
+            if self._is_zone_peer(table)
             and moment - table.alive_at() <= LIVE_AGE
             and now - max(table.alive_at(), moment) <= LIVE_AGE
             and table.created_at <= moment
-            and table.told_until < moment
+            and table.complete_until < moment
         ]
 
     def observe(self, rows: Iterable[tuple[SoftRow, float]], *, now: float) -> None:
-        """Take what this entry host observes now, with the times of observation."""
-        self._own.set_rows(rows, now=now)
+        """Replace this entry host's rows, each with its time of observation."""
+        self._local_table.set_rows(rows, now=now)
         if self._digest_due_at is None:
-            # Until the zone's others are known, nobody can tell whose task it is.
+            # Until this host knows the other hosts of its zone, it cannot decide which
+            # of them sends the zone's digest.
             self._digest_due_at = now if self._flat else now + LIVE_AGE
         if now >= self._digest_due_at:
             interval = FLAT_DIGEST_INTERVAL if self._flat else DIGEST_INTERVAL
             self._digest_due_at = now + interval
-            self._sum_zone(now=now)
+            self._update_digest(now=now)
 
-    def _sum_zone(self, *, now: float) -> None:
+    def _update_digest(self, *, now: float) -> None:
         tables: list[Table] = []
         if not self._flat:
-            # The first by name sums up; should two do so for a while, both are right.
+            # The live host with the first name sends the zone's digest.  If two hosts
+            # do so for a while, both digests are correct.
             if any(host < self._host for host in self.live_members(now=now)):
                 return
             known = self.tables.tables_by_origin.values()
-            tables = list(filter(self._is_zone_member, known))
-        rows = summed_rows([self._own.table, *tables], now=now)
+            tables = list(filter(self._is_zone_peer, known))
+        rows = aggregated_rows([self._local_table.table, *tables], now=now)
         self._digest.set_rows(rows, now=now)
 
     # Sending
 
     def tick(self, *, now: float) -> list[tuple[str, Message]]:
-        """Return the datagrams that are due, by address."""
+        """Return the datagrams that are due, each with its address."""
         if now >= self._expire_at:
             self._expire_at = now + EXPIRE_INTERVAL
             self.tables.expire(now=now)
@@ -242,7 +247,7 @@
         due = self._schedule.due(now=now)
         peers = [self._peer(address) for address in due]
         messages = [
-            (peer.address, self._composer.tell(peer, now=now))
+            (peer.address, self._composer.start_exchange(peer, now=now))
             for peer in peers
             if peer is not None
         ]
@@ -258,27 +263,34 @@
         return messages
 
     def push_to_zone(self, *, now: float) -> list[tuple[str, Message]]:
-        """Return datagrams by which the zone's peers hear at once what they lack.
+        """Return datagrams that send the zone's peers the updates they lack at once.
 
-        In an exchange they hear of it within a second or more, as its turn comes.
+        By the regular exchanges alone, an update would reach a peer only after a
+        second or more, when the next exchange with that peer is due.
         """
         messages = []
         for address in self._schedule.zone_addresses:
             peer = self._peer(address)
             if peer is None or peer.current is None:
                 continue
-            message = self._composer.bring(peer, Step.REST, now=now)
+            message = self._composer.updates_message(peer, Step.UPDATES, now=now)
             if message.tables:
                 messages.append((address, message))
         return messages
 
     def ask_unheard(self, moment: float, *, now: float) -> list[tuple[str, Message]]:
-        """Return datagrams that ask the zone's hosts for what they had seen."""
+        """Return requests to the zone's hosts whose reports are missing.
+
+        Parameters
+        ----------
+        moment : float
+            Monotonic time up to which observations must have been reported.
+        """
         peers = [
-            self._peer(address) for address in self._unheard_since(moment, now=now)
+            self._peer(address) for address in self._unreported_since(moment, now=now)
         ]
         return [
-            (peer.address, self._composer.tell(peer, now=now))
+            (peer.address, self._composer.start_exchange(peer, now=now))
             for peer in peers
             if peer is not None and now - peer.sent_at >= ANSWER_INTERVAL
         ]
@@ -286,30 +298,32 @@
     # Receiving
 
     def receive(self, message: Message, *, address: str, now: float) -> Received:
-        """Take a datagram whose key is right."""
+        """Process a datagram with a valid key."""
         received = Received()
         peer = self._peer(address)
         if peer is None or message.boot == self._boot:
             self.n_by_fault["too_many_peers" if peer is None else "own"] += 1
             return received
         before = peer.current
-        receipt = peer.receive(message, now=now)
-        if receipt.fault:
-            self.n_by_fault[receipt.fault] += 1
-        if receipt.fault == "unproven":
-            if now - peer.answered_at >= ANSWER_INTERVAL:
-                peer.answered_at = now
-                answer = self._composer.message(peer, receipt.link, now=now)
+        result = peer.receive(message, now=now)
+        if result.fault:
+            self.n_by_fault[result.fault] += 1
+        if result.fault == "unproven":
+            if now - peer.unproven_answered_at >= ANSWER_INTERVAL:
+                peer.unproven_answered_at = now
+                answer = self._composer.message(peer, result.link, now=now)
                 received.messages.append((address, answer))
             return received
-        if receipt.fault == "replayed":
+        if result.fault == "replayed":
             return received
-        if receipt.newest:
-            if message.step in (Step.ASK, Step.ANSWER):
-                receipt.link.take_haves(message.haves)
-            self._take_configuration(message, address=address, now=now, into=received)
-        if receipt.composed_at is not None:
-            self._take_tables(message, receipt.composed_at, now=now, into=received)
+        if result.newest:
+            if message.step in (Step.REQUEST, Step.RESPONSE):
+                result.link.set_haves(message.haves)
+            self._process_configuration(
+                message, address=address, now=now, into=received
+            )
+        if result.composed_at is not None:
+            self._apply_tables(message, result.composed_at, now=now, into=received)
         proven = peer.current is not before
         answer = self._answer(peer, message, proven=proven, now=now)
         if answer is not None:
@@ -319,24 +333,25 @@
     def _answer(
         self, peer: Peer, message: Message, *, proven: bool, now: float
     ) -> Message | None:
-        if message.step is Step.ASK:
-            # A process that was paused wakes to many questions and answers one.
-            if now - peer.brought_at < ANSWER_INTERVAL:
+        if message.step is Step.REQUEST:
+            # A process that resumes after a pause finds many requests of a peer in its
+            # buffer, and answers only one of them.
+            if now - peer.request_answered_at < ANSWER_INTERVAL:
                 return None
-            peer.brought_at = now
-            return self._composer.bring(peer, Step.ANSWER, now=now)
-        if message.step is Step.ANSWER:
-            rest = self._composer.bring(peer, Step.REST, now=now)
+            peer.request_answered_at = now
+            return self._composer.updates_message(peer, Step.RESPONSE, now=now)
+        if message.step is Step.RESPONSE:
+            rest = self._composer.updates_message(peer, Step.UPDATES, now=now)
             return rest if rest.tables else None
-        return self._composer.tell(peer, now=now) if proven else None
+        return self._composer.start_exchange(peer, now=now) if proven else None
 
-    def _take_tables(
+    def _apply_tables(
         self, message: Message, composed_at: float, *, now: float, into: Received
     ) -> None:
-        # Never later than now, whatever a peer's clock makes of its hold.
+        # A peer whose clock overstates the hold must not make the time later than now.
         composed_at = min(composed_at, now)
         for update in message.tables:
-            taken = self.tables.take(
+            taken = self.tables.apply(
                 update,
                 zone=message.availability_zone,
                 composed_at=composed_at,
@@ -347,16 +362,16 @@
                 if not (member.digest and member.availability_zone == self._zone):
                     into.deliveries += deliveries(member, taken, now=now)
 
-    def _take_configuration(
+    def _process_configuration(
         self, message: Message, *, address: str, now: float, into: Received
     ) -> None:
-        spread = self.configuration
-        spread.heard(message.configuration_version, address=address, now=now)
+        transfer = self.configuration
+        transfer.note_version(message.configuration_version, address=address, now=now)
         for piece in message.pieces:
-            whole = spread.take(piece, address=address, now=now)
-            into.configuration = whole or into.configuration
+            completed_row = transfer.add_piece(piece, address=address, now=now)
+            into.configuration = completed_row or into.configuration
         peer = self.peers_by_address[address]
-        pieces = [piece for want in message.wants for piece in spread.pieces(want)]
+        pieces = [piece for want in message.wants for piece in transfer.pieces(want)]
         for piece in pieces:
             answer = self._composer.message(
                 peer, peer.current, now=now, step=Step.TRANSFER, pieces=(piece,)
--- a/ryelever/coordination/soft_state/links.py
+++ b/ryelever/coordination/soft_state/links.py
@@ -1,18 +1,17 @@
-"""Keep what is known of each peer: its tokens, its sequence, its clock's offset.
-
-Three things go wrong between peers, and none may be noticed by a wall clock:
-
-* A datagram that was recorded is sent again.  Each process draws a random token for
-  every boot of every peer that it hears; rows are taken only from datagrams which
-  bring that token, so what was recorded before a restart of either side is void,
-  and a window over the sequence numbers refuses what was recorded since.
-* A datagram is late, in the network or in the buffer of a paused process.  An age
-  alone would then be too young by the delay.  Ages are counted from the moment at
-  which this process sent the datagram that the peer echoes, plus the peer's hold:
-  the peer composed its datagram after that moment, so the result errs only towards
-  older.
-* A peer restarts.  Its new boot proves itself by sending back the token that it was
-  granted; only then is the earlier boot forgotten.
+"""Track each peer's tokens, sequence numbers and clock offset.
+
+Three faults between peers must be detected without relying on a wall clock:
+
+* A recorded datagram is sent again.  Each process draws a random token for every boot
+  of every peer from which it receives; rows are accepted only from datagrams with that
+  token.  Datagrams recorded before a restart of either side are therefore invalid, and
+  a window over the sequence numbers refuses those recorded since.
+* A datagram is delayed, in the network or in the buffer of a paused process, so the
+  ages in it are too low by the delay.  Ages are counted from the time at which this
+  process sent the datagram that the peer echoes, plus the peer's hold.  The peer
+  composed its datagram after that time, so an error only makes a row seem older.
+* A peer restarts.  Its new boot authenticates itself by sending back the token that it
+  was granted; only then is the earlier boot dropped.
 """
 
 from __future__ import annotations
@@ -23,48 +22,49 @@
 
 from .messages import Have, Message
 
-__all__ = ["MAX_DRIFT", "Link", "Peer", "Receipt"]
+__all__ = ["MAX_DRIFT", "Link", "Peer", "ReceiveResult"]
 
-#: By how much a peer's monotonic clock may run differently from the own one.
+#: Maximum relative difference in rate between a peer's monotonic clock and this host's.
 MAX_DRIFT = 0.01
 
-#: How many sequence numbers back a reordered datagram is still taken.
+#: Distance in sequence numbers within which a reordered datagram is still accepted.
 WINDOW = 64
 
-#: How many own datagrams to a peer can still be echoed.
+#: Number of this host's newest datagrams to a peer that the peer can echo.
 N_ECHOED = 64
 
-#: Seconds of silence after which a greeting may replace the token of a known boot.
-GRANT_KEPT = 10.0
+#: Seconds of a peer's silence after which a greeting may replace a known boot's token.
+TOKEN_REPLACEABLE_AFTER = 10.0
 
-#: Boots of one peer that may be waiting to prove themselves.
+#: Maximum boots of one peer that may wait for their authentication.
 MAX_LINKS = 4
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Link:
-    """Hold what belongs to one boot of a peer.
+    """State kept for one boot of a peer.
 
     Attributes
     ----------
-    given, granted : int
-        The token that this process draws for the boot, and the one it was given;
-        ``granted`` is 0 until known.
+    issued_token : int
+        The token that this process has drawn for the boot.
+    granted_token : int
+        The token that the boot has granted to this process; 0 until known.
     confirmed : bool
-        The boot has proved itself.
+        The boot has authenticated itself.
     """
 
     boot: int
-    given: int
-    granted: int = 0
+    issued_token: int
+    granted_token: int = 0
     confirmed: bool = False
     highest: int = 0
     seen: int = 0
     haves: dict[int, int] = field(default_factory=dict)
     configuration_version: int = -1
 
-    def take_sequence(self, sequence: int) -> bool:
-        """Note a sequence number; tell whether it is new and not too old."""
+    def accept_sequence(self, sequence: int) -> bool:
+        """Record a sequence number; return whether it is new and not too old."""
         if sequence > self.highest:
             shift = min(sequence - self.highest, WINDOW)
             self.seen = ((self.seen << shift) | 1) & ((1 << WINDOW) - 1)
@@ -76,24 +76,25 @@
         self.seen |= bit
         return True
 
-    def take_haves(self, haves: tuple[Have, ...]) -> None:
-        """Replace what the peer has told that it has."""
+    def set_haves(self, haves: tuple[Have, ...]) -> None:
+        """Replace the table versions that the peer has reported to have."""
         self.haves = {have.origin: have.version for have in haves}
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Receipt:
-    """Say what became of a datagram.
+class ReceiveResult:
+    """Result of the checks of a received datagram.
 
     Attributes
     ----------
     fault : str
-        Why its rows are not taken; empty when they are.
+        Reason why the datagram's rows are ignored; empty if they are accepted.
     link : Link or None
-        The link whose boot sent it, unless the datagram was a repetition.
+        The link of the boot that sent the datagram; None if the datagram was replayed.
     composed_at : float or None
-        Own monotonic time at or before which the peer composed it; None while the
-        peer has echoed nothing.
+        Time on this host's monotonic clock from which the ages in the datagram are
+        counted, a lower bound of the time at which the peer composed it; None while
+        the peer has echoed no datagram.
     newest : bool
         No later datagram of this boot has been received before.
     """
@@ -106,7 +107,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Peer:
-    """Hold what is known of the process behind one address.
+    """State kept for the process at one address.
 
     Attributes
     ----------
@@ -122,8 +123,8 @@
     heard_at: float = float("-inf")
     sent_at: float = float("-inf")
     greeted_at: float = float("-inf")
-    answered_at: float = float("-inf")
-    brought_at: float = float("-inf")
+    unproven_answered_at: float = float("-inf")
+    request_answered_at: float = float("-inf")
     links_by_boot: OrderedDict[int, Link] = field(default_factory=OrderedDict)
     _sequence: int = 0
     _sent_at_by_sequence: OrderedDict[int, float] = field(default_factory=OrderedDict)
@@ -131,7 +132,7 @@
     _received_at: float = 0.0
 
     def next_sequence(self, *, now: float) -> int:
-        """Count a datagram that is about to be sent."""
+        """Return the sequence number of a datagram that is about to be sent."""
         self._sequence += 1
         self.sent_at = now
         self._sent_at_by_sequence[self._sequence] = now
@@ -140,23 +141,23 @@
         return self._sequence
 
     def echo(self, *, now: float) -> tuple[int, float]:
-        """Return the newest sequence received and for how long it has been held."""
+        """Return the newest sequence number received and the seconds since then."""
         if not self._received_sequence:
             return 0, 0.0
         return self._received_sequence, now - self._received_at
 
-    def receive(self, message: Message, *, now: float) -> Receipt:
-        """Judge a datagram that bears the right key."""
+    def receive(self, message: Message, *, now: float) -> ReceiveResult:
+        """Check the token and the sequence number of a datagram with a valid key."""
         link = self._link(message.boot)
-        if message.token != link.given:
-            # A recorded greeting must not replace a token that works.
-            works = link.confirmed and now - self.heard_at <= GRANT_KEPT
+        if message.token != link.issued_token:
+            # A replayed greeting must not replace a token that works.
+            works = link.confirmed and now - self.heard_at <= TOKEN_REPLACEABLE_AFTER
             if message.grant and not works:
-                link.granted = message.grant
-            return Receipt(fault="unproven", link=link)
+                link.granted_token = message.grant
+            return ReceiveResult(fault="unproven", link=link)
         newest = message.sequence > link.highest
-        if not link.take_sequence(message.sequence):
-            return Receipt(fault="replayed")
+        if not link.accept_sequence(message.sequence):
+            return ReceiveResult(fault="replayed")
         self._confirm(link, message)
         self.heard_at = now
         if newest:
@@ -164,12 +165,14 @@
             self._received_at = now
         composed_at = self._composed_at(message)
         fault = "" if composed_at is not None else "no_echo"
-        return Receipt(fault=fault, link=link, composed_at=composed_at, newest=newest)
+        return ReceiveResult(
+            fault=fault, link=link, composed_at=composed_at, newest=newest
+        )
 
     def _link(self, boot: int) -> Link:
         link = self.links_by_boot.get(boot)
         if link is None:
-            link = Link(boot=boot, given=self.draw())
+            link = Link(boot=boot, issued_token=self.draw())
             self.links_by_boot[boot] = link
         while len(self.links_by_boot) > MAX_LINKS:
             del self.links_by_boot[self._oldest_unproven()]
@@ -184,10 +187,10 @@
 
     def _confirm(self, link: Link, message: Message) -> None:
         if message.grant:
-            link.granted = message.grant
+            link.granted_token = message.grant
         if link is self.current:
             return
-        # The tokens of earlier boots die here: what they sent is void from now on.
+        # Drop the tokens of earlier boots, whose datagrams are invalid from now on.
         link.confirmed = True
         self.current = link
         self.links_by_boot = OrderedDict({link.boot: link})
--- a/ryelever/coordination/soft_state/own.py
+++ b/ryelever/coordination/soft_state/local_table.py
@@ -1,4 +1,4 @@
-"""Number the changes of what this entry host observes itself, at a bounded rate."""
+"""Publish this entry host's observations as numbered changes at a bounded rate."""
 
 from __future__ import annotations
 
@@ -7,49 +7,50 @@
 
 from ...state.observations import DemandRow, LoadRow, ReportRow
 from .messages import AliveRow, GoneRow, Member, SoftRow
-from .tables import ALIVE_SLOT, TABLE_EXPIRY, KeptRow, Table, row_key
+from .tables import ALIVE_SLOT, TABLE_EXPIRY, Table, TableRow, row_key
 
 if TYPE_CHECKING:
     from ...state.fleet import HostReport
 
-__all__ = ["OwnTable"]
+__all__ = ["LocalTable"]
 
-#: Seconds between two signs of life.
+#: Seconds between two signs of life: with many entry hosts, and with few.
 ALIVE_INTERVAL = 0.45
 FLAT_ALIVE_INTERVAL = 0.2
 
-#: Age of an own report in seconds from which its owner no longer stands by it.
+#: Age in seconds above which this host no longer confirms a report of its own.
 MAX_REPORT_AGE = 0.8
 
-#: Changes of mere quantities that are told: a second, and at once after a quiet time.
+#: Published changes of quantities: per second, and in a burst after a quiet time.
 QUANTITY_RATE = 1.5
 QUANTITY_BURST = 6.0
 
-#: The same where entry hosts are few; everything that moved is then told.
+#: The same limits with few entry hosts, where even small changes are published.
 FLAT_QUANTITY_RATE = 8.0
 FLAT_QUANTITY_BURST = 20.0
 
-#: Part by which demand must change to be told.
+#: Fraction by which a demand must change before the change is published.
 DEMAND_CHANGE = 0.1
 
 
-class OwnTable:
-    """Keep the table that this process owns.
+class LocalTable:
+    """The table that this process owns.
 
-    Suspicion, departures and what reports confirm are told at once.  Quantities,
-    which move all the time, share ``QUANTITY_RATE``; those told longest ago go first.
+    Suspicions, departures and the confirming fields of reports (``_confirmed_part``)
+    are published at once.  Quantities, which change all the time, share
+    ``QUANTITY_RATE``; those published longest ago go first.
 
     Parameters
     ----------
     flat : bool
-        Entry hosts are so few that every movement may be told.
+        There are so few entry hosts that every change of a quantity may be published.
     """
 
     def __init__(self, *, origin: int, member: Member, flat: bool = False) -> None:
         self._rate = FLAT_QUANTITY_RATE if flat else QUANTITY_RATE
         self._alive_interval = FLAT_ALIVE_INTERVAL if flat else ALIVE_INTERVAL
         self._burst = FLAT_QUANTITY_BURST if flat else QUANTITY_BURST
-        self._least_change = 0.0 if flat else DEMAND_CHANGE
+        self._min_change = 0.0 if flat else DEMAND_CHANGE
         self.table = Table(origin=origin, member=member)
         self._slots_by_key: dict[tuple[str, ...], int] = {}
         self._n_slots = ALIVE_SLOT
@@ -58,30 +59,30 @@
         self._report_age = 0.0
 
     def set_rows(self, rows: Iterable[tuple[SoftRow, float]], *, now: float) -> None:
-        """Replace all rows by these and the times at which they were observed."""
+        """Replace all rows by the given ones, each with its time of observation."""
         keys = set()
-        moved: list[tuple[KeptRow, SoftRow]] = []
+        changed: list[tuple[TableRow, SoftRow]] = []
         self._report_age = 0.0
         for row, observed_at in rows:
             if isinstance(row, ReportRow) and now - observed_at > MAX_REPORT_AGE:
                 continue
             key = row_key(row)
             keys.add(key)
-            kept = self._kept(key, row, observed_at=observed_at, now=now)
+            kept = self._row_for_key(key, row, observed_at=observed_at, now=now)
             kept.observed_at = observed_at
             if isinstance(row, ReportRow):
                 self._report_age = max(self._report_age, now - observed_at)
             if _is_urgent(kept.row, row):
                 self._change(kept, row, now=now)
-            elif _is_moved(kept.row, row, least=self._least_change):
-                moved.append((kept, row))
-        self._tell_moved(moved, now=now)
-        self._take_back(keys, now=now)
-        self._tell_alive(now=now)
+            elif _has_changed(kept.row, row, min_change=self._min_change):
+                changed.append((kept, row))
+        self._publish_quantities(changed, now=now)
+        self._withdraw_missing(keys, now=now)
+        self._publish_alive(now=now)
 
-    def _kept(
+    def _row_for_key(
         self, key: tuple[str, ...], row: SoftRow, *, observed_at: float, now: float
-    ) -> KeptRow:
+    ) -> TableRow:
         slot = self._slots_by_key.get(key)
         if slot is None:
             self._n_slots += 1
@@ -91,33 +92,39 @@
 
     def _add(self, slot: int, row: SoftRow, *, observed_at: float, now: float) -> None:
         self.table.version += 1
-        self.table.rows_by_slot[slot] = KeptRow(
+        self.table.rows_by_slot[slot] = TableRow(
             slot=slot,
             row=row,
             version=self.table.version,
             observed_at=observed_at,
-            told_at=now,
+            last_update_at=now,
         )
 
-    def _change(self, kept: KeptRow, row: SoftRow, *, now: float) -> None:
+    def _change(self, kept: TableRow, row: SoftRow, *, now: float) -> None:
         self.table.version += 1
         kept.row = row
         kept.version = self.table.version
-        kept.told_at = now
+        kept.last_update_at = now
 
-    def _tell_moved(self, moved: list[tuple[KeptRow, SoftRow]], *, now: float) -> None:
+    def _publish_quantities(
+        self, changed: list[tuple[TableRow, SoftRow]], *, now: float
+    ) -> None:
         gained = (now - self._allowance_at) * self._rate
         self._allowance = min(self._burst, self._allowance + gained)
         self._allowance_at = now
-        # Loads in reports serve only as a hint, so they take what is left.
-        moved.sort(
-            key=lambda change: (isinstance(change[1], ReportRow), change[0].told_at)
+        # The loads in reports serve only as a hint, so they use the allowance that
+        # other quantities leave.
+        changed.sort(
+            key=lambda change: (
+                isinstance(change[1], ReportRow),
+                change[0].last_update_at,
+            )
         )
-        for kept, row in moved[: int(self._allowance)]:
+        for kept, row in changed[: int(self._allowance)]:
             self._change(kept, row, now=now)
             self._allowance -= 1
 
-    def _take_back(self, keys: set[tuple[str, ...]], *, now: float) -> None:
+    def _withdraw_missing(self, keys: set[tuple[str, ...]], *, now: float) -> None:
         for key in self._slots_by_key.keys() - keys:
             kept = self.table.rows_by_slot[self._slots_by_key.pop(key)]
             kept.observed_at = now
@@ -127,8 +134,8 @@
             if gone and now - kept.observed_at > 3 * TABLE_EXPIRY:
                 del self.table.rows_by_slot[slot]
 
-    def _tell_alive(self, *, now: float) -> None:
-        # Always last: it stands for all rows with lower versions.
+    def _publish_alive(self, *, now: float) -> None:
+        # Always last: the sign of life confirms all rows with lower versions.
         kept = self.table.rows_by_slot.get(ALIVE_SLOT)
         if kept is None or now - kept.observed_at >= self._alive_interval:
             row = AliveRow(report_age=self._report_age)
@@ -141,10 +148,11 @@
     return known != row and not isinstance(row, DemandRow | LoadRow)
 
 
-def _is_moved(known: SoftRow, row: SoftRow, *, least: float) -> bool:
-    if least and isinstance(known, DemandRow) and isinstance(row, DemandRow):
+def _has_changed(known: SoftRow, row: SoftRow, *, min_change: float) -> bool:
+    if min_change and isinstance(known, DemandRow) and isinstance(row, DemandRow):
         return any(
-            abs(new - old) > max(0.5, least * max(old, new)) or bool(new) != bool(old)
+            abs(new - old) > max(0.5, min_change * max(old, new))
+            or bool(new) != bool(old)
             for old, new in (
                 (known.rate, row.rate),
                 (known.n_in_flight, row.n_in_flight),
--- a/ryelever/coordination/soft_state/messages.py
+++ b/ryelever/coordination/soft_state/messages.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class AliveRow:
-    """Say that the owner lives and stands by every row of its table.
+    """Sign of life of a table's owner, which confirms every current row of the table.
 
     Attributes
     ----------
@@ -43,20 +43,21 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class GoneRow:
-    """Say that the owner no longer stands by what the slot held."""
+    """Withdrawal: the owner no longer confirms the row that the slot held."""
 
 
 class Step(enum.IntEnum):
-    """Say which part of an exchange a datagram is.
+    """Step of an exchange to which a datagram belongs.
 
-    ``ASK`` tells what the sender has.  ``ANSWER`` brings what it lacks and tells what
-    the answering side has.  ``REST`` brings what that side lacks.
+    ``REQUEST`` lists the table versions that the sender has.  ``RESPONSE`` carries the
+    updates that the requester lacks and lists the responder's versions.  ``UPDATES``
+    carries the updates that the receiver lacks, and expects no response.
     """
 
     GREETING = 0
-    ASK = 1
-    ANSWER = 2
-    REST = 3
+    REQUEST = 1
+    RESPONSE = 2
+    UPDATES = 3
     TRANSFER = 4
 
 
@@ -67,14 +68,16 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Member:
-    """Name the owner of a table.
+    """Owner of a table.
 
     Attributes
     ----------
     digest : bool
-        The table sums up the owner's availability zone for the other zones.
+        The table aggregates the rows of the owner's availability zone for the other
+        zones.
     alone : bool
-        It sums up the owner alone: entry hosts are so few that all hear of each.
+        The digest covers the owner alone: there are so few entry hosts that each
+        sends its own digest to all zones.
     """
 
     host: str
@@ -86,7 +89,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Have:
-    """Tell up to which version the sender has a table."""
+    """Version up to which the sender has a table."""
 
     origin: int
     version: int
@@ -94,7 +97,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Update:
-    """Bring one row.
+    """New or changed row of a table.
 
     Attributes
     ----------
@@ -110,12 +113,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class TableUpdate:
-    """Bring updates of one table in the order of their versions.
+    """Updates of one table, in the order of their versions.
 
     Attributes
     ----------
+    origin : int
+        Number of the table, as ``origin_of`` returns it.
     member : Member or None
-        Set when the receiver may not know the table yet.
+        Owner of the table; set when the receiver may not know the table yet.
     """
 
     origin: int
@@ -125,7 +130,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Want:
-    """Ask for pieces of a configuration, from ``first`` on."""
+    """Request for pieces of a configuration, starting at index ``first``."""
 
     version: int
     first: int
@@ -133,12 +138,12 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Piece:
-    """Hold one piece of a configuration's compressed text.
+    """One piece of a configuration's compressed text.
 
     Attributes
     ----------
     checksum : bytes
-        SHA-256 of the whole compressed text.
+        SHA-256 of the complete compressed text.
     """
 
     version: int
@@ -150,23 +155,26 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Message:
-    """Hold one datagram.
+    """Contents of one datagram.
 
     Attributes
     ----------
     boot : int
         Random number of the sender's process.
     token : int
-        What the receiver has granted to this boot of the sender; 0 in a greeting.
+        Token that the receiver has granted to this boot of the sender; 0 in a
+        greeting.
     grant : int
-        What the receiver has to send as ``token``.
+        Token that the receiver has to put into ``token`` of its datagrams.
     sequence : int
-        Counts the sender's datagrams to this receiver from 1.
+        Number of this datagram among the sender's datagrams to this receiver, counted
+        from 1.
     echo : int
-        Newest sequence that the sender has received from the receiver; 0 for none.
+        Newest sequence number that the sender has received from the receiver; 0 for
+        none.
     hold : float
-        Seconds, on the sender's clock, from that receipt to this sending; rounded
-        down.
+        Seconds on the sender's clock between receiving the echoed datagram and sending
+        this one; rounded down.
     """
 
     sender: str
--- a/ryelever/coordination/soft_state/soft_state.py
+++ b/ryelever/coordination/soft_state/soft_state.py
@@ -1,4 +1,4 @@
-"""Exchange observations among entry hosts: who tells what, who takes it."""
+"""Define the sources and sinks of the observations that entry hosts exchange."""
 
 from __future__ import annotations
 
@@ -18,42 +18,47 @@
 
 
 class ObservationSource(Protocol):
-    """Tell what this entry host has observed itself."""
+    """Source of the rows that this entry host has observed itself."""
 
     def observations(self, *, now: float) -> list[Observation]:
-        """Return the current rows; the exchange sends only what has changed."""
+        """Return all current rows; the exchange sends only the changed ones."""
 
 
 class UrgentSource(Protocol):
-    """Tell what has changed that other entry hosts must hear at once."""
+    """Source of changes that other entry hosts must receive at once."""
 
     def changes(self, *, since: float) -> Sequence[Observation]:
-        """Return the rows that have changed since some monotonic time."""
+        """Return the rows that have changed since a monotonic time."""
 
     def unsettled_since(self, *, now: float) -> float | None:
-        """Return up to when the zone's hosts must be heard for a decision, or None."""
+        """Return the time up to which a pending decision needs the zone's reports.
+
+        The decision waits until the zone's hosts have reported everything that they
+        had observed by this monotonic time.  None if no decision is pending.
+        """
 
 
 class AgedObservationSource(Protocol):
-    """Tell what this entry host observed itself at some earlier moment."""
+    """Source of rows that this entry host observed itself at earlier times."""
 
     def aged_observations(self, *, now: float) -> list[tuple[Observation, float]]:
-        """Return rows, each with its own monotonic time of observation."""
+        """Return each row with the monotonic time at which it was observed."""
 
 
 class ObservationSink(Protocol):
-    """Take what a peer has observed."""
+    """Receiver of the rows that peers have observed."""
 
     def observed(
         self, observation: Observation, *, peer: str, observed_at: float, now: float
     ) -> None:
-        """Take one row.
+        """Process one row.
 
         Parameters
         ----------
         peer : str
-            The entry host that observed it.
+            The entry host that observed the row.
         observed_at : float
-            Monotonic time on this host's clock, at the latest: the peer's own age of
-            the row is subtracted from the time of arrival.
+            Latest time on this host's monotonic clock at which the row can have been
+            observed: the age that the peer states is subtracted from the time of
+            arrival.
         """
--- a/ryelever/coordination/soft_state/tables.py
+++ b/ryelever/coordination/soft_state/tables.py
@@ -1,12 +1,13 @@
-"""Keep tables of observed rows and choose what a peer lacks of them.
+"""Keep tables of observed rows and select the updates that a peer lacks.
 
-Every table has one owner, which numbers each change of it.  A peer tells up to which
-version it has each table and gets what is newer, in the order of the versions, from
-whoever has it.  A lost datagram thus needs no repair of its own: the peer's next word
-still shows the gap, and repeated or reordered datagrams change nothing.
+Every table has one owner, which numbers each change to it.  A peer reports the version
+up to which it has each table, and any host that has newer rows sends them in the order
+of their versions.  A lost datagram thus needs no retransmission of its own: the peer's
+next request still shows the gap, and repeated or reordered datagrams change nothing.
 
-Unchanged rows are not told again.  Each sign of life of the owner stands for all the
-rows with lower versions, which the order of the versions has brought before.
+Unchanged rows are not sent again.  Each sign of life of the owner confirms all rows
+with lower versions, which the receiver already has, since updates come in the order of
+their versions.
 """
 
 from __future__ import annotations
@@ -30,26 +31,27 @@
     "ALIVE_SLOT",
     "ROW_EXPIRY",
     "TABLE_EXPIRY",
-    "KeptRow",
+    "TableRow",
     "Table",
     "Tables",
     "origin_of",
     "row_key",
 ]
 
-#: Slot of the row that says that the owner lives.
+#: Slot of the row that is the owner's sign of life.
 ALIVE_SLOT = 0
 
-#: Age in seconds at which a row no longer counts.
+#: Age in seconds at which a row is no longer valid.
 ROW_EXPIRY = 10.0
 
-#: Age in seconds of the owner's last sign of life at which its table is dropped.
+#: Seconds after the owner's last sign of life at which its table is dropped.
 TABLE_EXPIRY = 10.0
 
-#: Seconds between two deliveries of a row that has not changed, but for reports.
+#: Seconds between two deliveries of an unchanged row to the sinks.  Reports are
+#: delivered again at each sign of life of their table's owner.
 REDELIVERY_INTERVAL = 1.0
 
-#: Estimated bytes of parts of a message, packed, on the large side.
+#: Estimated bytes of the parts of a packed message, rounded up generously.
 TABLE_SIZE = 12
 MEMBER_SIZE = 64
 HAVE_SIZE = 9
@@ -59,59 +61,67 @@
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class KeptRow:
-    """Hold one row of a table.
+class TableRow:
+    """One row of a table.
 
     Attributes
     ----------
     observed_at : float
-        Own monotonic time at which it was observed, at the latest.
-    told_at : float
-        When the owner last changed it, or when it was last delivered.
+        Latest time on this host's monotonic clock at which the row can have been
+        observed.
+    last_update_at : float
+        Monotonic time at which this host last changed the row (in its own table) or
+        last delivered it to the sinks (in a peer's table).
     """
 
     slot: int
     row: SoftRow
     version: int
     observed_at: float
-    told_at: float
+    last_update_at: float
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Table:
-    """Hold a table as far as it is known here.
+    """The part of a table that this host has.
 
     Attributes
     ----------
-    told_until : float
-        Own monotonic time up to which the owner has told all that it had seen: that
-        of its last sign of life but one, as it may give one before it has read what
-        lay in its sockets.
+    complete_until : float
+        Time on this host's monotonic clock up to which the owner has reported all its
+        observations.  This is the time of the owner's last sign of life but one, since
+        it may send a sign of life before it has read the data in its sockets.
     """
 
     origin: int
     member: Member
     created_at: float = float("-inf")
-    told_until: float = float("-inf")
+    complete_until: float = float("-inf")
     version: int = 0
-    rows_by_slot: dict[int, KeptRow] = field(default_factory=dict)
+    rows_by_slot: dict[int, TableRow] = field(default_factory=dict)
 
     def alive_at(self) -> float:
-        """Return when the owner last gave a sign of life, at the latest."""
+        """Return the latest possible time of the owner's newest sign of life."""
         alive = self.rows_by_slot.get(ALIVE_SLOT)
         return alive.observed_at if alive is not None else float("-inf")
 
-    def heard_at(self) -> float:
-        """Return when the owner was last known to live, or first heard of.
+    def last_seen_at(self) -> float:
+        """Return the time of the newest sign of life, or of the table's creation.
 
-        The sign of life may come a few datagrams later than the first rows.
+        The first sign of life may arrive a few datagrams later than the first rows.
         """
         return max(self.alive_at(), self.created_at)
 
     def updates_after(
         self, version: int, *, budget: int, now: float
     ) -> tuple[list[Update], int]:
-        """Return what is newer than a version, oldest first, and its size."""
+        """Return the updates newer than a version, oldest first, and their size.
+
+        Parameters
+        ----------
+        budget : int
+            Maximum estimated bytes of the updates.
+        """
         newer = [row for row in self.rows_by_slot.values() if row.version > version]
         newer.sort(key=lambda row: row.version)
         updates: list[Update] = []
@@ -132,14 +142,14 @@
 
 
 class Tables:
-    """Keep the tables of all others.
+    """Keep the tables of all other owners.
 
     Parameters
     ----------
     accepts : callable
-        Tell whether the table of a member may come from a peer of a zone.
+        Return whether a member's table may be received from a peer of a zone.
     redelivery_interval : float
-        Seconds between two deliveries of a row that has not changed.
+        Seconds between two deliveries of an unchanged row to the sinks.
     """
 
     def __init__(
@@ -153,36 +163,38 @@
         self.tables_by_origin: dict[int, Table] = {}
         self._origin_by_owner: dict[tuple[str, bool], int] = {}
 
-    def take(
+    def apply(
         self, update: TableUpdate, *, zone: str, composed_at: float, now: float
-    ) -> list[KeptRow]:
-        """Take what a peer brings of one table; return the rows to deliver."""
+    ) -> list[TableRow]:
+        """Apply a peer's updates of one table; return the rows to deliver."""
         table = self._table(update, zone=zone, composed_at=composed_at)
         if table is None or not self._accepts(table.member, zone):
             return []
-        taken: dict[int, KeptRow] = {}
+        taken: dict[int, TableRow] = {}
         for row in update.updates:
-            # Repeated, reordered, or brought by another peer before.
+            # Repeated, reordered, or already received from another peer.
             if row.version <= table.version:
                 continue
             table.version = row.version
             observed_at = composed_at - row.age * (1 + MAX_DRIFT)
             if isinstance(row.row, AliveRow):
-                table.told_until = table.alive_at()
-                taken |= self._vouch(table, row.row, observed_at=observed_at, now=now)
-            kept = KeptRow(
+                table.complete_until = table.alive_at()
+                taken |= self._refresh_rows(
+                    table, row.row, observed_at=observed_at, now=now
+                )
+            kept = TableRow(
                 slot=row.slot,
                 row=row.row,
                 version=row.version,
                 observed_at=observed_at,
-                told_at=now,
+                last_update_at=now,
             )
             table.rows_by_slot[row.slot] = taken[row.slot] = kept
         return list(taken.values()) if self._is_latest_boot(table) else []
 
-    def _vouch(
+    def _refresh_rows(
         self, table: Table, alive: AliveRow, *, observed_at: float, now: float
-    ) -> dict[int, KeptRow]:
+    ) -> dict[int, TableRow]:
         reports_at = observed_at - alive.report_age * (1 + MAX_DRIFT)
         renewed = {}
         for slot, kept in table.rows_by_slot.items():
@@ -192,8 +204,8 @@
             kept.observed_at = max(
                 kept.observed_at, reports_at if report else observed_at
             )
-            if report or now - kept.told_at >= self._redelivery_interval:
-                kept.told_at = now
+            if report or now - kept.last_update_at >= self._redelivery_interval:
+                kept.last_update_at = now
                 renewed[slot] = kept
         return renewed
 
@@ -212,8 +224,9 @@
         return table
 
     def _is_latest_boot(self, table: Table) -> bool:
-        # After a restart the table of the earlier boot would count the same requests
-        # twice until it expires.  Of two boots the one that lived later stays.
+        # After a restart of the owner, the same requests would count twice until the
+        # earlier boot's table expires.  Of two boots, the one with the later sign of
+        # life is kept.
         owner = (table.member.host, table.member.digest)
         origin = self._origin_by_owner.setdefault(owner, table.origin)
         other = self.tables_by_origin.get(origin)
@@ -233,13 +246,13 @@
             del self._origin_by_owner[owner]
 
     def expire(self, *, now: float) -> None:
-        """Drop tables whose owner has given no sign of life for too long."""
+        """Drop the tables whose owners have sent no sign of life for too long."""
         for table in list(self.tables_by_origin.values()):
-            if now - table.heard_at() > TABLE_EXPIRY:
+            if now - table.last_seen_at() > TABLE_EXPIRY:
                 self._drop(table)
                 continue
-            # A slot is never used again, so what its owner took back can go once
-            # nobody who still keeps this table can have missed it.
+            # A slot is never reused, so a withdrawal can be deleted once every host
+            # that still has this table must have received the withdrawal.
             for slot, kept in list(table.rows_by_slot.items()):
                 gone = isinstance(kept.row, GoneRow)
                 if gone and now - kept.observed_at > 3 * TABLE_EXPIRY:
@@ -247,13 +260,13 @@
 
 
 def origin_of(host: str, boot: int, *, digest: bool) -> int:
-    """Return the number of a table, unlike for each boot of its owner."""
+    """Return the number of a table, which differs between boots of its owner."""
     text = f"{host}/{boot}/{int(digest)}".encode()
     return int.from_bytes(hashlib.sha256(text).digest()[:4], "big")
 
 
 def row_key(row: SoftRow) -> tuple[str, ...]:
-    """Return what a row is about."""
+    """Return the kind and the subject of a row, which identify it in its table."""
     kind = type(row).__name__
     for name in ("client_account", "fingerprint", "target", "host"):
         value = getattr(row, name, None)
--- a/ryelever/schema/soft_state.capnp
+++ b/ryelever/schema/soft_state.capnp
@@ -1,6 +1,6 @@
 @0xd1b9a3f24c7e5a11;
-# What entry hosts tell each other over UDP; docs/PEERS.md describes the exchange.
-# Ages and holds are lengths of time on the sender's monotonic clock, never dates.
+# Datagrams that entry hosts exchange over UDP; docs/PEERS.md describes the exchange.
+# Ages and holds are durations on the sender's monotonic clock, never dates.
 
 struct Message {
   sender @0 :Text;
@@ -12,13 +12,13 @@
   echo @6 :UInt32;
   holdMs @7 :UInt32;
   configurationVersion @8 :Int64;
-  # Columns, which cost far less to read and write than a struct for each line.
+  # Columns cost far less to read and write than one struct per entry.
   haves @9 :Haves;
   tables @10 :List(Table);
   wants @11 :List(Want);
   pieces @12 :List(Piece);
   step @13 :UInt8;
-  # Tables of which nothing but the sign of life is new.
+  # Tables in which only the sign of life is new.
   alives @14 :Alives;
 }
 
@@ -53,8 +53,8 @@
   version @1 :UInt32;
   ageCs @2 :UInt16;
   union {
-    # The value vouches for the table's reports: how much older than this row they
-    # may be, in hundredths of a second.
+    # Sign of life.  The value is the time by which the table's reports may be older
+    # than this row, in hundredths of a second.
     alive @3 :UInt16;
     demand @4 :Demand;
     suspicion @5 :Suspicion;
--- a/tests/test_coordination/test_soft_state/__init__.py
+++ b/tests/test_coordination/test_soft_state/__init__.py
@@ -1,1 +1,1 @@
-"""Test the family of soft state decisions."""
+"""Tests of the exchange of soft state between entry hosts."""
--- a/tests/test_coordination/test_soft_state/soft_state_network.py
+++ b/tests/test_coordination/test_soft_state/soft_state_network.py
@@ -1,4 +1,4 @@
-"""Pass the exchange's messages between nodes in one process, with faults."""
+"""Simulate a network of entry hosts that exchange soft state, with faults."""
 
 from __future__ import annotations
 
@@ -31,7 +31,16 @@
 
 @dataclass(kw_only=True, eq=False)
 class Node:
-    """Hold one entry host's exchange and what it was told."""
+    """One entry host's exchange and the deliveries that it has received.
+
+    Attributes
+    ----------
+    rows : list
+        The host's observations, each with its time of observation, or None for rows
+        that are observed anew at each update.
+    inbox : list
+        Datagrams that arrived while the process was paused, with their sources.
+    """
 
     name: str
     zone: str
@@ -46,20 +55,21 @@
     inbox: list[tuple[str, Message]] = field(default_factory=list)
 
     def last(self, row: SoftRow, *, peer: str) -> Delivery | None:
-        """Return the newest delivery of a row by its observer."""
+        """Return the newest delivery of a row that a peer has observed."""
         found = [d for d in self.deliveries if d.observation == row and d.peer == peer]
         return found[-1] if found else None
 
 
 class Network:
-    """Own the nodes, the time and the datagrams on their way.
+    """Own the nodes, the simulated time and the datagrams in flight.
 
     Parameters
     ----------
     zones : sequence of str
         Zone of each node.
     route : callable
-        Return the delays of a datagram: none when lost, two when repeated.
+        Return the delays in seconds of a datagram's copies: an empty tuple if it is
+        lost, two delays if it is repeated.
     """
 
     def __init__(
@@ -89,7 +99,7 @@
         return list(self.nodes_by_address.values())
 
     def boot(self, name: str, *, zone: str, address: str, addresses: list[str]) -> Node:
-        """Start a node, in place of an earlier one at this address."""
+        """Start a node; it replaces an earlier node at the same address."""
         node = Node(
             name=name,
             zone=zone,
@@ -109,7 +119,7 @@
         return node
 
     def reboot(self, node: Node) -> Node:
-        """Replace a node by a new process of the same name."""
+        """Replace a node by a new process with the same name."""
         return self.boot(
             node.name,
             zone=node.zone,
@@ -118,7 +128,7 @@
         )
 
     def run(self, seconds: float, *, until: Callable[[], bool] | None = None) -> float:
-        """Let time pass; return how much did until the condition held."""
+        """Advance the time until a condition holds; return the seconds that passed."""
         start = self.now
         while self.now < start + seconds - 1e-9:
             if until is not None and until():
@@ -133,7 +143,7 @@
         return self.now - start
 
     def inject(self, message: Message, *, source: str, to: Node) -> None:
-        """Deliver a datagram at once, whoever made it."""
+        """Deliver a datagram at once, as if it came from an address."""
         self._receive(to, source, message)
 
     def _clock(self, node: Node) -> float:
--- a/tests/test_coordination/test_soft_state/test_soft_state.py
+++ b/tests/test_coordination/test_soft_state/test_soft_state.py
@@ -1,4 +1,4 @@
-"""Test the exchange of soft state under the faults of datagrams and peers."""
+"""Test the exchange of soft state under faults of the network and of peers."""
 
 from __future__ import annotations
 
@@ -70,22 +70,22 @@
 def test_rows_arrive_with_the_newest_last(
     fault: Callable[[Network], Route],
 ) -> None:
-    """Keep what is known equal to what was told, whatever becomes of datagrams.
+    """Converge to the observer's newest row under any fault of datagrams.
 
-    Symptom: a peer counts demand that its observer took back long ago.
-    Sequence: datagrams are lost, repeated, overtaken or late while rows change.
-    Cause: each datagram would be taken for the newest word.
+    Guards against a peer that counts demand which its observer withdrew long ago.
+    Datagrams are lost, repeated, reordered or delayed while rows change; the fault
+    occurs if each received datagram is treated as the newest.
     """
     network = Network(zones=["a"] * 4, seed=SEED)
     network.route = fault(network)
-    teller, *others = network.nodes
+    observer, *others = network.nodes
     for n_crashes in range(1, 61):
-        teller.rows = [(SuspicionRow(fingerprint="f", n_crashes=n_crashes), None)]
+        observer.rows = [(SuspicionRow(fingerprint="f", n_crashes=n_crashes), None)]
         network.run(0.3)
     network.run(20.0)
     for node in others:
-        told = [d.observation for d in node.deliveries if d.peer == teller.name]
-        counts = [row.n_crashes for row in told]
+        delivered = [d.observation for d in node.deliveries if d.peer == observer.name]
+        counts = [row.n_crashes for row in delivered]
         assert counts[-1] == 60
         assert counts == sorted(counts)
 
@@ -93,23 +93,23 @@
 @pytest.mark.parametrize(
     "clock_rates",
     [(1.0, 1.0, 1.0), (1.005, 1.0, 0.995), (0.995, 1.0, 1.005)],
-    ids=["equal", "teller_fast", "teller_slow"],
+    ids=["equal", "observer_fast", "observer_slow"],
 )
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.__name__)
 def test_a_report_never_seems_younger_than_it_is(
     fault: Callable[[Network], Route], clock_rates: tuple[float, ...]
 ) -> None:
-    """Count a report's age from no later than its question, on any clock.
+    """Never date a report later than the query it answers, whatever the clock rates.
 
-    Symptom: a group counts as whole by a report older than the judge allows.
-    Sequence: the datagram with the report is late, or the clocks differ.
-    Cause: the age in it was right when it was sent, not when it arrived.
+    Guards against a group that counts as complete by a report older than allowed.  The
+    datagram with the report is delayed, or the clocks run at different rates; the age
+    in the datagram was right when it was sent, not when it arrived.
     """
     network = Network(zones=["a"] * 3, seed=SEED)
     network.route = fault(network)
     for node, rate in zip(network.nodes, clock_rates, strict=True):
         node.clock_rate = rate
-    teller, *others = network.nodes
+    observer, *others = network.nodes
     asked_at_by_running: dict[int, float] = {}
     for running in range(40):
         asked_at_by_running[running] = network.now
@@ -118,7 +118,7 @@
                 host="w1", boot=str(running), state="ready", running=running
             )
         )
-        teller.rows = [(row, network.now * teller.clock_rate)]
+        observer.rows = [(row, network.now * observer.clock_rate)]
         network.run(0.5)
     n_checked = 0
     for node in others:
@@ -131,24 +131,25 @@
 
 
 def test_a_paused_peer_wakes_to_old_datagrams_and_calls_them_old() -> None:
-    """Take what waited in the buffer of a paused process for as old as it is.
+    """Add the length of a pause to the age of datagrams buffered during it.
 
-    Symptom: after a pause a dead backend server counts as confirmed.
-    Sequence: a process is paused; datagrams wait; the server dies; it goes on.
-    Cause: their ages were right when they were sent, a pause ago.
+    Guards against a dead backend server that counts as confirmed after a pause.  A
+    process is paused, datagrams wait in its buffer, the server dies, and the process
+    resumes; the ages in the datagrams were right when they were sent, not after the
+    pause.
     """
     network = Network(zones=["a"] * 3, seed=SEED)
-    teller, paused, witness = network.nodes
-    teller.rows = [(report(), network.now)]
+    observer, paused, witness = network.nodes
+    observer.rows = [(report(), network.now)]
     network.run(3.0)
     paused.paused = True
     n_before = len(paused.deliveries)
     last_asked_at = network.now
     for _ in range(8):
         last_asked_at = network.now
-        teller.rows = [(report(), last_asked_at)]
+        observer.rows = [(report(), last_asked_at)]
         network.run(0.5)
-    teller.rows = []
+    observer.rows = []
     network.run(20.0)
     assert paused.name not in witness.exchange.live_members(now=network.now)
     paused.paused = False
@@ -172,39 +173,39 @@
 
 @pytest.mark.parametrize("restarted", ["nobody", "receiver", "sender", "both"])
 def test_recorded_datagrams_change_nothing(restarted: str) -> None:
-    """Refuse every datagram that has been sent before.
+    """Refuse every replayed datagram.
 
-    Symptom: demand and suspicion of an hour ago come back.
-    Sequence: datagrams are recorded and sent again, also after either end restarts.
-    Cause: they bear the right key, and a restarted process remembers no sequence.
+    Guards against the return of demand and suspicions from an hour ago.  Datagrams are
+    recorded and sent again, also after a restart of either end; their key is valid, and
+    a restarted process remembers no sequence numbers.
     """
     network = Network(zones=["a"] * 2, seed=SEED)
-    teller, receiver = network.nodes
+    observer, receiver = network.nodes
     recorded = _record(network, to=receiver)
-    teller.rows = [(SuspicionRow(fingerprint="old", n_crashes=1), None)]
+    observer.rows = [(SuspicionRow(fingerprint="old", n_crashes=1), None)]
     network.run(5.0)
     network.on_send = None
-    teller.rows = []
+    observer.rows = []
     if restarted in ("sender", "both"):
-        teller = network.reboot(teller)
+        observer = network.reboot(observer)
     if restarted in ("receiver", "both"):
         receiver = network.reboot(receiver)
     network.run(5.0)
     receiver.deliveries.clear()
-    haves_before = dict(_current_haves(receiver, teller))
+    haves_before = dict(_current_haves(receiver, observer))
     network.route = lambda sender, receiver: ()
-    sent = _record(network, to=teller)
+    sent = _record(network, to=observer)
     for source, message in recorded:
         network.inject(message, source=source, to=receiver)
-    # At most one answer, to a greeting: its sender might have restarted.
+    # At most one reply is sent, to a greeting, since its sender may have restarted.
     assert len(sent) <= 1
     network.on_send = None
     assert receiver.deliveries == []
-    assert _current_haves(receiver, teller) == haves_before
+    assert _current_haves(receiver, observer) == haves_before
     network.route = lambda sender, receiver: (0.002,)
-    teller.rows = [(demand(5.0), None)]
+    observer.rows = [(demand(5.0), None)]
     network.run(5.0)
-    assert receiver.last(demand(5.0), peer=teller.name) is not None
+    assert receiver.last(demand(5.0), peer=observer.name) is not None
 
 
 def _current_haves(node: Node, other: Node) -> dict[int, int]:
@@ -212,34 +213,34 @@
 
 
 def test_a_restarted_peer_is_not_counted_twice() -> None:
-    """Drop the table of an earlier boot once the later one is known.
+    """Drop the table of an earlier boot once the later boot is known.
 
-    Symptom: an account's demand doubles for seconds whenever an entry host restarts.
-    Sequence: a process restarts within the expiry of its rows.
-    Cause: the tables of both boots live side by side.
+    Guards against an account's demand that doubles for seconds whenever an entry host
+    restarts.  The process restarts before its rows expire, and the tables of both boots
+    exist side by side.
     """
     network = Network(zones=["a"] * 3, seed=SEED)
-    teller, *others = network.nodes
-    teller.rows = [(demand(10.0), None)]
+    observer, *others = network.nodes
+    observer.rows = [(demand(10.0), None)]
     network.run(4.0)
-    teller = network.reboot(teller)
-    teller.rows = [(demand(3.0), None)]
+    observer = network.reboot(observer)
+    observer.rows = [(demand(3.0), None)]
     network.run(4.0)
     for node in others:
         tables = node.exchange.tables.tables_by_origin.values()
         owners = [t.member.host for t in tables if not t.member.digest]
-        assert owners.count(teller.name) == 1
-        told = [d.observation for d in node.deliveries if d.peer == teller.name]
-        assert told[-1] == demand(3.0)
+        assert owners.count(observer.name) == 1
+        delivered = [d.observation for d in node.deliveries if d.peer == observer.name]
+        assert delivered[-1] == demand(3.0)
 
 
 def test_two_faults_at_once_lose_nothing() -> None:
-    """Agree again after a restart during a partition with lost datagrams.
+    """Converge after a restart during a partition, in spite of lost datagrams.
 
-    Symptom: a peer never again hears of one that restarted.
-    Sequence: a partition begins; a peer restarts inside it; a third of the datagrams
-    is lost when it heals.
-    Cause: proving a new boot needs several datagrams, each of which may be lost.
+    Guards against a peer that never again receives rows of a restarted host.  A host
+    restarts during a partition, and a third of the datagrams is lost once the partition
+    has healed; authenticating a new boot takes several datagrams, any of which may be
+    lost.
     """
     network = Network(zones=["a", "a", "b", "b"], seed=SEED, max_flat=0)
     network.run(8.0)
@@ -250,8 +251,8 @@
     network.route = lossy(network)
     restarted.rows = [(demand(9.0), None)]
     network.run(90.0)
-    told = network.nodes[0].deliveries[-20:]
-    assert any(d.peer == "zone/b" and d.observation == demand(9.0) for d in told)
+    delivered = network.nodes[0].deliveries[-20:]
+    assert any(d.peer == "zone/b" and d.observation == demand(9.0) for d in delivered)
 
 
 def _cut(network: Network, first: str, second: str) -> Route:
@@ -262,11 +263,11 @@
 
 
 def test_zones_go_on_during_a_partition_and_meet_after_it() -> None:
-    """Exchange inside each zone while zones are cut off, and across once healed.
+    """Exchange inside each zone during a partition, and between zones after it.
 
-    Symptom: zones that lost each other for an hour never share demand again.
-    Sequence: all datagrams between two zones are lost for long, then flow.
-    Cause: peers that were silent for long would be given up.
+    Guards against zones that never share demand again after an hour's partition.  All
+    datagrams between two zones are lost for a long time and then arrive again; the
+    fault occurs if peers are dropped for good after a long silence.
     """
     network = Network(zones=["a", "a", "a", "b", "b", "b"], seed=SEED, max_flat=0)
     network.run(10.0)
@@ -278,23 +279,23 @@
     network.run(5.0)
     assert second.last(demand(10.0), peer=first.name) is not None
     far = network.nodes[5]
-    assert not any(d.peer == "zone/a" and now_is(d, network) for d in far.deliveries)
+    assert not any(d.peer == "zone/a" and is_recent(d, network) for d in far.deliveries)
     network.route = lambda sender, receiver: (0.002,)
     network.run(130.0)
-    told = [d for d in far.deliveries if d.peer == "zone/a"]
-    # The sum of what the zone's hosts tell, and nothing of a single host.
-    assert told[-1].observation.rate == 15.0
+    delivered = [d for d in far.deliveries if d.peer == "zone/a"]
+    # The other zone receives the zone's digest, and no rows of single hosts.
+    assert delivered[-1].observation.rate == 15.0
     assert {d.peer for d in far.deliveries if d.peer.startswith("e")} <= {
         "e003",
         "e004",
     }
 
 
-def now_is(delivery: object, network: Network) -> bool:
+def is_recent(delivery: object, network: Network) -> bool:
     return network.now - delivery.observed_at < 20.0
 
 
-def test_only_sums_cross_between_zones() -> None:
+def test_only_digests_cross_between_zones() -> None:
     """Keep reports and loads inside their zone."""
     network = Network(zones=["a", "a", "b", "b"], seed=SEED, max_flat=0)
     for node in network.nodes[:2]:
@@ -311,12 +312,12 @@
     assert SuspicionRow(fingerprint="f", n_crashes=2) in crossed
 
 
-def test_few_hosts_hear_of_each_other_by_name() -> None:
-    """Tell every zone of each host while hosts are few, and keep that fresh.
+def test_few_hosts_receive_each_others_rows_by_name() -> None:
+    """Send each host's digest to every zone while hosts are few, at least every 3 s.
 
-    Symptom: limits split over all hosts count whole zones as cut off.
-    Sequence: eight hosts in three zones; nothing fails.
-    Cause: the split needs to hear of each host within 3 s, and heard sums of zones.
+    Guards against a split of limits that counts complete zones as cut off.  It occurs
+    without any fault, with eight hosts in three zones: the split needs a row from each
+    host within 3 s, and received zones' digests instead.
     """
     network = Network(zones=["a", "b", "c", "a", "b", "c", "a", "b"], seed=SEED)
     for index, node in enumerate(network.nodes):
@@ -335,60 +336,62 @@
     assert far.last(report("e000"), peer="e000") is None
 
 
-def test_what_the_observer_took_back_is_not_told_any_more() -> None:
-    """Stop delivering a row once its observer no longer stands by it.
+def test_withdrawn_row_is_not_delivered_again() -> None:
+    """Stop delivering a row once its observer has withdrawn it.
 
-    Symptom: a backend server stays marked as leaving after it has come back.
-    Sequence: an observer tells of a departure, then takes it back; it lives on.
-    Cause: its signs of life would keep standing for a row it took back.
+    Guards against a backend server that stays marked as leaving after its return.  An
+    observer reports a departure, withdraws it and stays alive; the fault occurs if the
+    observer's signs of life still confirm the withdrawn row.
     """
     network = Network(zones=["a"] * 3, seed=SEED)
-    teller, receiver, _ = network.nodes
-    teller.rows = [(LeavingRow(host="w1"), None)]
+    observer, receiver, _ = network.nodes
+    observer.rows = [(LeavingRow(host="w1"), None)]
     network.run(4.0)
-    assert receiver.last(LeavingRow(host="w1"), peer=teller.name) is not None
-    teller.rows = []
+    assert receiver.last(LeavingRow(host="w1"), peer=observer.name) is not None
+    observer.rows = []
     network.run(4.0)
     receiver.deliveries.clear()
     network.run(10.0)
-    assert receiver.last(LeavingRow(host="w1"), peer=teller.name) is None
+    assert receiver.last(LeavingRow(host="w1"), peer=observer.name) is None
 
 
-def test_an_observer_stops_standing_by_a_report_that_gets_no_younger() -> None:
-    """Let a report grow old everywhere once its askers get no answer.
+def test_report_without_newer_answers_is_not_confirmed() -> None:
+    """Let a report age on all hosts once the backend server stops answering queries.
 
-    Symptom: a frozen backend server counts as confirmed for as long as askers live.
-    Sequence: its asker's questions stay unanswered; the asker lives on.
-    Cause: a sign of life would stand for reports whatever their age.
+    Guards against a frozen backend server that counts as confirmed for as long as the
+    entry host that queries it is alive.  The queries stay unanswered; the fault occurs
+    if a sign of life of that entry host confirms reports of any age.
     """
     network = Network(zones=["a"] * 3, seed=SEED)
-    teller, receiver, _ = network.nodes
+    observer, receiver, _ = network.nodes
     asked_at = network.now
-    teller.rows = [(report(), asked_at)]
+    observer.rows = [(report(), asked_at)]
     network.run(15.0)
-    told = [d for d in receiver.deliveries if d.observation == report()]
-    assert told
-    assert all(delivery.observed_at <= asked_at for delivery in told)
+    delivered = [d for d in receiver.deliveries if d.observation == report()]
+    assert delivered
+    assert all(delivery.observed_at <= asked_at for delivery in delivered)
 
 
-def test_a_report_that_gets_no_younger_does_not_age_the_others() -> None:
-    """Leave a frozen backend server's report out of what the owner stands by.
+def test_report_without_newer_answers_does_not_age_other_reports() -> None:
+    """Exclude a frozen backend server's report from the reports the owner confirms.
 
-    Symptom: all groups of a zone stop counting as whole when one host freezes.
-    Sequence: one of an asker's servers stays silent; the others answer.
-    Cause: one age stands for all reports of a table, that of the oldest.
+    Guards against all groups of a zone that stop counting as complete when one host
+    freezes.  One of the servers that an entry host queries stays silent while the
+    others answer; the sign of life carries one age for all reports of a table, that of
+    the oldest report.
     """
     network = Network(zones=["a"] * 3, seed=SEED)
-    teller, receiver, _ = network.nodes
+    observer, receiver, _ = network.nodes
     frozen = (report("frozen"), network.now)
     for _ in range(40):
-        teller.rows = [frozen, (report("well"), network.now)]
+        observer.rows = [frozen, (report("well"), network.now)]
         network.run(0.25)
-    told = [d for d in receiver.deliveries if d.observation == report("well")]
-    assert network.now - told[-1].observed_at < 2.0
+    delivered = [d for d in receiver.deliveries if d.observation == report("well")]
+    assert network.now - delivered[-1].observed_at < 2.0
 
 
-# (peer's hold, age of the row, true seconds since: own sending, observation)
+# (peer's hold, age of the row, true seconds since sending the echoed datagram, true
+# seconds since the observation)
 @pytest.mark.parametrize(
     ("hold", "age", "since_sending", "since_observation"),
     [
@@ -400,7 +403,7 @@
 def test_a_clock_that_runs_differently_makes_no_row_younger(
     hold: float, age: float, since_sending: float, since_observation: float
 ) -> None:
-    """Allow for clocks that differ by half a hundredth."""
+    """Allow for clocks whose rates differ by half a hundredth."""
     peer = Peer(address="p", draw=lambda: 5)
     sequence = peer.next_sequence(now=100.0)
     now = 100.0 + since_sending
@@ -416,12 +419,12 @@
         member=Member(host="e2", availability_zone="a"),
         updates=(Update(slot=1, version=1, age=age, row=demand(1.0)),),
     )
-    (kept,) = tables.take(update, zone="a", composed_at=composed_at, now=now)
+    (kept,) = tables.apply(update, zone="a", composed_at=composed_at, now=now)
     assert kept.observed_at <= now - since_observation
 
 
 def test_datagrams_stay_under_the_usual_path_size() -> None:
-    """Bound each datagram and the rate of them in a zone of the size designed for."""
+    """Bound the size and the rate of datagrams in a zone of the intended size."""
     network = Network(zones=["a"] * 35, seed=SEED)
     sizes: list[int] = []
     network.on_send = lambda source, address, message: sizes.append(
@@ -441,11 +444,11 @@
 
 
 def test_greetings_are_answered_at_a_bounded_rate() -> None:
-    """Let nobody use a peer to flood another with recorded greetings.
+    """Prevent a peer from flooding another peer when greetings are replayed.
 
-    Symptom: one entry host sends without end to an address that greets it.
-    Sequence: a recorded greeting is sent again a thousand times.
-    Cause: each is answered, since its sender might have restarted.
+    Guards against an entry host that sends without end to the address of a greeting.  A
+    recorded greeting is sent a thousand times, and each copy is answered because its
+    sender may have restarted.
     """
     network = Network(zones=["a"] * 2, seed=SEED)
     first, second = network.nodes
--- a/tests/test_coordination/test_soft_state/test_soft_state_configuration.py
+++ b/tests/test_coordination/test_soft_state/test_soft_state_configuration.py
@@ -1,4 +1,4 @@
-"""Test that the newest configuration reaches hosts that are cut off from the log."""
+"""Test that the newest configuration reaches hosts without access to the log."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 import pytest
 
 from ryelever.coordination.soft_state.configuration import (
-    GRACE,
+    LOG_GRACE_PERIOD,
     MAX_PIECES,
-    ConfigurationSpread,
+    ConfigurationTransfer,
 )
 from ryelever.coordination.soft_state.messages import Piece, Want
 from ryelever.state.configuration import ClientAccount, Configuration
@@ -37,12 +37,12 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_a_configuration_of_many_pieces_arrives_whole(loss: float) -> None:
-    """Put a configuration together that no datagram could hold.
+def test_a_configuration_of_many_pieces_arrives_complete(loss: float) -> None:
+    """Reassemble a configuration that is longer than a datagram.
 
-    Symptom: a host cut off from the log stays at an old version.
-    Sequence: a large configuration is published; pieces of it are lost.
-    Cause: nobody would send a lost piece again.
+    Guards against a host without access to the log that stays at an old version.  A
+    large configuration is published and pieces of it are lost; the fault occurs if no
+    peer sends a lost piece again.
     """
     network = Network(zones=["a", "a", "b", "b"], seed=SEED)
     network.route = lambda *_: () if network.rng.random() < loss else (0.002,)
@@ -53,7 +53,7 @@
 
 
 def test_no_host_steps_below_a_version() -> None:
-    """Keep the highest version on every host, whoever restarts with an old one."""
+    """Keep the highest version on every host when a host restarts with an old one."""
     network = Network(zones=["a"] * 3, seed=SEED)
     network.nodes[0].configuration = configuration(9)
     network.run(8.0)
@@ -68,15 +68,15 @@
     assert all(old <= new for old, new in zip(seen, seen[1:], strict=False))
 
 
-def _spread(current: ConfigurationRow | None) -> ConfigurationSpread:
-    return ConfigurationSpread(current=lambda: current)
+def _spread(current: ConfigurationRow | None) -> ConfigurationTransfer:
+    return ConfigurationTransfer(current=lambda: current)
 
 
-def _fetching(version: int) -> ConfigurationSpread:
+def _fetching(version: int) -> ConfigurationTransfer:
     spread = _spread(None)
-    spread.heard(version, address="p", now=0.0)
-    assert spread.wants(now=GRACE / 2) is None
-    assert spread.wants(now=GRACE) == ("p", Want(version=version, first=0))
+    spread.note_version(version, address="p", now=0.0)
+    assert spread.wants(now=LOG_GRACE_PERIOD / 2) is None
+    assert spread.wants(now=LOG_GRACE_PERIOD) == ("p", Want(version=version, first=0))
     return spread
 
 
@@ -91,36 +91,36 @@
     ],
     ids=lambda broken: next(iter(broken)),
 )
-def test_a_broken_piece_is_not_taken(broken: dict[str, object]) -> None:
+def test_invalid_piece_is_refused(broken: dict[str, object]) -> None:
     spread = _fetching(8)
     (piece,) = _spread(configuration(8)).pieces(Want(version=8, first=0))
-    assert spread.take(replace(piece, **broken), address="p", now=1.0) is None
+    assert spread.add_piece(replace(piece, **broken), address="p", now=1.0) is None
 
 
-def test_a_piece_of_somebody_else_is_not_taken() -> None:
+def test_piece_from_another_peer_is_refused() -> None:
     spread = _fetching(8)
     (piece,) = _spread(configuration(8)).pieces(Want(version=8, first=0))
-    assert spread.take(piece, address="q", now=1.0) is None
-    assert spread.take(piece, address="p", now=1.0) == configuration(8)
+    assert spread.add_piece(piece, address="q", now=1.0) is None
+    assert spread.add_piece(piece, address="p", now=1.0) == configuration(8)
 
 
 def test_another_peer_is_asked_when_the_first_falls_silent() -> None:
-    """Ask the next peer that tells of the version, not the silent one for ever."""
+    """Replace a silent provider by the next peer that announces the version."""
     spread = _fetching(8)
-    spread.heard(8, address="q", now=0.8)
+    spread.note_version(8, address="q", now=0.8)
     assert spread.wants(now=0.9)[0] == "p"
-    spread.heard(8, address="q", now=3.0)
+    spread.note_version(8, address="q", now=3.0)
     assert spread.wants(now=3.0)[0] == "q"
 
 
-def test_a_compressed_flood_is_not_unpacked() -> None:
-    """Bound the memory that a small text can unfold to."""
+def test_decompression_bomb_is_not_unpacked() -> None:
+    """Bound the memory that a small compressed text can expand to."""
     spread = _fetching(8)
     author = b"a" * (16 << 20)
     data = zlib.compress(b'{"author":"' + author + b'","document":{}}', 9)
     pieces = [data[at : at + 1100] for at in range(0, len(data), 1100)]
     taken = [
-        spread.take(
+        spread.add_piece(
             Piece(
                 version=8,
                 index=index,
@@ -134,4 +134,4 @@
         for index, piece in enumerate(pieces)
     ]
     assert taken[-1] is None
-    assert spread.n_broken == 1
+    assert spread.n_invalid == 1
--- a/tests/test_coordination/test_soft_state/test_soft_state_limits.py
+++ b/tests/test_coordination/test_soft_state/test_soft_state_limits.py
@@ -1,4 +1,4 @@
-"""Test that the split of limits counts hosts that it hears only in zones' sums."""
+"""Test that the split of limits counts hosts that appear only in zones' digests."""
 
 from __future__ import annotations
 
@@ -29,35 +29,40 @@
             node.deliveries.clear()
 
 
-def _judged(
+def _limit_states(
     network: Network, limits_by_host: dict[str, AccountLimits]
 ) -> dict[str, set[tuple[bool, int]]]:
-    judged: dict[str, set[tuple[bool, int]]] = {}
+    states_by_zone: dict[str, set[tuple[bool, int]]] = {}
     for node in network.nodes:
         limits = limits_by_host[node.name]
         limits.rate("pawroute", 100.0, now=network.now)
-        judged.setdefault(node.zone, set()).add((limits.cut_off, limits.n_live))
-    return judged
+        states_by_zone.setdefault(node.zone, set()).add((limits.cut_off, limits.n_live))
+    return states_by_zone
 
 
-def test_a_zone_that_is_heard_as_a_sum_counts_for_its_hosts() -> None:
-    """Count the hosts behind a zone's sum.
+def test_zone_digest_counts_as_all_its_hosts() -> None:
+    """Count all hosts that a zone's digest represents.
 
-    Symptom: beyond 16 entry hosts callers are refused far below their limits.
-    Sequence: demand crosses zones as sums under one name a zone.
-    Cause: each name counted for one host, so every host held most hosts for silent
-    and itself for cut off.
+    Guards against callers that are refused far below their limits with more than 16
+    entry hosts.  Demand crosses zones as digests under one name per zone; if each name
+    counts as one host, every host considers most hosts silent and itself cut off.
     """
     network = Network(zones=ZONES, seed=SEED, max_flat=0)
     limits_by_host = {
         node.name: AccountLimits(n_hosts=lambda: len(ZONES)) for node in network.nodes
     }
     _run(network, limits_by_host, n=20)
-    assert _judged(network, limits_by_host) == {"a": {(False, 7)}, "b": {(False, 7)}}
+    assert _limit_states(network, limits_by_host) == {
+        "a": {(False, 7)},
+        "b": {(False, 7)},
+    }
 
     def cut(sender: Node, receiver: Node) -> tuple[float, ...]:
         return (0.002,) if sender.zone == receiver.zone else ()
 
     network.route = cut
     _run(network, limits_by_host, n=8)
-    assert _judged(network, limits_by_host) == {"a": {(True, 3)}, "b": {(False, 4)}}
+    assert _limit_states(network, limits_by_host) == {
+        "a": {(True, 3)},
+        "b": {(False, 4)},
+    }
