--- a/ryelever/coordination/quarantine/__init__.py
+++ b/ryelever/coordination/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Find the requests that crash backend servers, on either interface."""
+"""Quarantine the requests that crash backend servers, on either interface."""
 
 from .evidence import Crash
 from .quarantine import Quarantine, Quarantined, is_crash, quarantine_error
--- a/ryelever/coordination/quarantine/reports.py
+++ b/ryelever/coordination/quarantine/reports.py
@@ -1,4 +1,4 @@
-"""Say what a quarantine decided by."""
+"""Define the receiver of a quarantine's evidence and verdicts."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class QuarantineReports(Protocol):
-    """Take the evidence and the verdicts, in the order in which they come."""
+    """Receiver of the evidence and the verdicts, in the order of their occurrence."""
 
     def crash_noted(self, crash: Crash) -> None:
-        """Take a crash with all that is known of it after a failed attempt."""
+        """Process a crash with all evidence collected up to a failed attempt."""
 
     def suspicion_received(self, row: SuspicionRow, *, peer: str) -> None:
-        """Take what another host has observed that changes the evidence here."""
+        """Process a peer's observation that changes the evidence on this host."""
 
     def condemned(self, fingerprint: str, *, n_crashes: int, after: float) -> None:
-        """Take the first verdict against a request.
+        """Process the first verdict against a request.
 
         Parameters
         ----------
@@ -31,7 +31,7 @@
 
 
 class NoReports:
-    """Drop all reports."""
+    """Receiver that discards all evidence and verdicts."""
 
     __slots__ = ()
 
--- a/tests/test_coordination/test_quarantine/test_quarantine.py
+++ b/tests/test_coordination/test_quarantine/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Test that crashing requests are found and bystanders are not."""
+"""Test that poison requests are quarantined and bystanders are not."""
 
 from __future__ import annotations
 
@@ -24,8 +24,9 @@
 
 from ..test_requests.request_fakes import FakeLog, OpenAdmission
 
-# Steps: ("crash", target, what ran, time), ("done", what, time),
-# ("proved", what, time), ("peer", what, its count, time).
+# Each case: steps, the time of the check and the fingerprints condemned by then.
+# Steps: ("crash", target, fingerprints that ran, time), ("done", fingerprint, time),
+# ("proved", fingerprint, time), ("peer", fingerprint, the peer's count, time).
 CASES = {
     "one crash": ([("crash", "g1", "pab", 0.0)], 1.0, ""),
     "two crashes": (
@@ -33,7 +34,7 @@
         10,
         "p",
     ),
-    "one crash, told by each attempt": (
+    "one crash, recorded by each attempt": (
         [
             ("crash", "g1", "pab", 0.0),
             ("crash", "g1", "ab", 0.5),
@@ -52,7 +53,7 @@
         10.0,
         "",
     ),
-    "bystander in two by chance, past the first one's place": (
+    "bystander in two by chance, past the first crash's position": (
         [
             ("crash", "g1", "pab", 0.0),
             ("proved", "a", 1.0),
@@ -61,7 +62,7 @@
         10.0,
         "p",
     ),
-    "crashes at a later place each time": (
+    "crashes at a later position each time": (
         [("crash", "g1", "p", 0.0), ("proved", "p", 1.0), ("crash", "g2", "pc", 9.0)],
         10.0,
         "p",
@@ -75,7 +76,7 @@
         16.0,
         "p",
     ),
-    "third crash tells them apart": (
+    "third crash distinguishes them": (
         [
             ("crash", "g1", "pab", 0.0),
             ("crash", "g2", "pac", 9.0),
@@ -85,7 +86,7 @@
         16.0,
         "p",
     ),
-    "completed between": (
+    "completed between two crashes": (
         [("crash", "g1", "ab", 0.0), ("done", "a", 5.0), ("crash", "g2", "ac", 9.0)],
         10.0,
         "",
@@ -174,11 +175,12 @@
 def test_two_crashes_condemn_and_chance_does_not(
     steps: list[tuple], now: float, condemned: str
 ) -> None:
-    """Play crashes, completions and words of peers.
+    """Condemn a request that ran in two crashes, but no bystander.
 
-    Symptom: groups die one after the other, or innocent requests are refused.
-    Sequence: a request that crashes what runs it is sent again, beside others.
-    Cause: nobody counted over crashes, or everybody near them was condemned.
+    Guards against groups that die one after the other, and against bystanders that are
+    refused.  A request that crashes its backend server is sent again and runs beside
+    other requests; the fault occurs if crashes are not counted by request, or if every
+    request near a crash is condemned.
     """
     quarantine = Quarantine(seed=1)
     _play(quarantine, steps)
@@ -186,7 +188,7 @@
     assert found == set(condemned)
 
 
-def test_time_to_come_back_is_what_is_left_and_spread() -> None:
+def test_retry_time_is_the_remaining_time_randomly_extended() -> None:
     quarantine = Quarantine(seed=1)
     _play(quarantine, CASES["two crashes"][0])
     times = [quarantine.verdict("p", now=109.0).retry_after for _ in range(20)]
@@ -204,25 +206,25 @@
 
 
 def _exchange(hosts: dict[str, Quarantine], *, now: float) -> None:
-    """Let each entry host tell the others what it saw."""
+    """Send the observations of each entry host to the others."""
     for name, quarantine in hosts.items():
         for row in quarantine.observations(now=now):
-            for other, hearer in hosts.items():
+            for other, receiver in hosts.items():
                 if other != name:
-                    hearer.observed(row, peer=name, observed_at=now, now=now)
+                    receiver.observed(row, peer=name, observed_at=now, now=now)
 
 
 def test_a_suspect_that_proved_itself_elsewhere_explains_no_crash() -> None:
-    """Let a poison meet another entry host's bystander that has proved itself.
-
-    Symptom: a third group dies of one request, or a bystander is told that it is
-    quarantined.  Sequence: a group dies under a poison of one entry host and a
-    bystander of another; the bystander runs well past the place of that crash
-    elsewhere; the poison, which had to wait for its turn, is sent to the same
-    group, since the parts of the two hosts shifted when the dead group was
-    dissolved.  Cause: hosts told each other that a suspect was in a second crash,
-    but not that it had proved itself, so the one that saw the poison took the
-    bystander for as likely a cause and let the poison run once more.
+    """Exclude a peer's bystander that ran past the position of its first crash.
+
+    Guards against a third group that dies of one request, and against a bystander that
+    is quarantined.  A group dies while it runs a poison request of one entry host and a
+    bystander of another.  The bystander then runs well past the position of that crash
+    on another group.  The poison request, which had to wait until it could run apart,
+    is sent to the same group, since the hosts' parts of the targets shifted when the
+    dead group was dissolved.  If the hosts report only that a suspect was in a second
+    crash, and not that it has proved itself, the host with the poison request considers
+    the bystander an equally likely cause and runs the poison request once more.
     """
     first = Quarantine(settle=1.0, seed=1)
     second = Quarantine(settle=1.0, seed=1)
@@ -253,13 +255,13 @@
         (Category.UNAVAILABLE, "call_service", "", False, False),
     ],
     ids=[
-        "died",
+        "server died",
         "service died",
         "refused",
         "answered 500",
         "gap",
         "silence",
-        "died under a kept connection",
+        "server died under a pooled connection",
         "cannot connect",
         "service answered 503",
     ],
@@ -293,7 +295,7 @@
     )
 
 
-def _died(attempt: SendAttempt) -> RyeleverError:
+def _connection_broken(attempt: SendAttempt) -> RyeleverError:
     return RyeleverError(
         "connection broke",
         category=Category.BROKEN,
@@ -303,11 +305,12 @@
 
 
 def test_poison_request_ends_after_two_crashes_and_bystanders_are_served() -> None:
-    """Run a poison request among bystanders until it is found.
+    """Run a poison request among bystanders until it is quarantined.
 
-    Symptom: one caller's request takes down group after group.  Sequence: it crashes
-    its group, is retried, crashes the next, and its caller sends it again.  Cause:
-    the table retried it like any other, and knew no fingerprints.
+    Guards against one caller's request that takes down group after group.  The request
+    crashes its group, is retried, crashes the next group, and its caller sends it
+    again; the fault occurs if the request table retries it like any other request,
+    without regard to its fingerprint.
     """
     fleet = FakeFleet(zones={"a": 12})
     fleet.report_all(asked_at=0.0)
@@ -327,7 +330,10 @@
             waiting = [one for one in waiting if one not in dead]
             for broken in [attempt, *dead]:
                 for action in table.failed(
-                    broken.attempt_id, error=_died(broken), refused=False, now=0.2
+                    broken.attempt_id,
+                    error=_connection_broken(broken),
+                    refused=False,
+                    now=0.2,
                 ):
                     if isinstance(action, SendAttempt):
                         waiting.append(action)
@@ -350,7 +356,9 @@
     assert resent.error.retry_after > 800.0
 
 
-def _told(rows_of: Quarantine, to: Quarantine, *, peer: str, now: float) -> None:
+def _send_observations(
+    rows_of: Quarantine, to: Quarantine, *, peer: str, now: float
+) -> None:
     for row in rows_of.observations(now=now):
         to.observed(row, peer=peer, observed_at=now, now=now)
 
@@ -360,17 +368,18 @@
 def test_suspects_of_two_hosts_in_one_crash_are_not_condemned(
     first_crashes: tuple[str, str], exchanged_between: bool
 ) -> None:
-    """Let two entry hosts each have one suspect in the same second crash.
+    """Condemn no suspect while two entry hosts each have one in the same second crash.
 
-    Symptom: a bystander is refused for a quarter of an hour.  Sequence: what the
-    first crash broke off runs again, from two entry hosts on one target; it dies.
-    Cause: each saw a single repeated suspect, its own, and condemned it.
+    Guards against a bystander that is refused for a quarter of an hour.  Two requests
+    that the first crash interrupted run again, from two entry hosts on one target,
+    which dies.  Each host sees a single repeated suspect, its own, and would condemn
+    it.
     """
     hosts = [Quarantine(settle=1.0, seed=1) for _ in range(2)]
 
     def exchange(now: float) -> None:
-        _told(hosts[0], hosts[1], peer="e0", now=now)
-        _told(hosts[1], hosts[0], peer="e1", now=now)
+        _send_observations(hosts[0], hosts[1], peer="e0", now=now)
+        _send_observations(hosts[1], hosts[0], peer="e1", now=now)
 
     hosts[0].crashed(first_crashes[0], "p", now=0.0)
     hosts[1].crashed(first_crashes[1], "b", now=0.1)
@@ -383,7 +392,7 @@
         for host in hosts:
             assert [host.verdict(name, now=now) for name in "pb"] == [None, None]
     assert hosts[0].is_suspect("p", now=12.0) and hosts[1].is_suspect("b", now=12.0)
-    # Another run apart tells them apart.
+    # Another run apart from each other distinguishes the two.
     hosts[1].completed("b", now=13.0)
     hosts[0].crashed("g3", "p", now=14.0)
     for now in (14.4, 16.0):
@@ -392,28 +401,28 @@
     assert all(host.verdict("b", now=16.0) is None for host in hosts)
 
 
-def test_one_crash_that_two_hosts_saw_counts_once() -> None:
-    """Run one prompt through two entry hosts on a target that dies.
+def test_one_crash_observed_by_two_hosts_counts_once() -> None:
+    """Count a crash once if two entry hosts ran the same prompt on the dead target.
 
-    Symptom: a request that was in one crash is refused.  Sequence: both entry hosts
-    tell of the crash; the word of one comes before the other's own notice, or after.
-    Cause: crashes were counted for each entry host.
+    Guards against a refused request that was in one crash only.  Both entry hosts
+    report the crash, and a peer's report arrives before or after the host's own
+    observation; the fault occurs if crashes are counted separately for each host.
     """
-    told_before, told_after, teller = (Quarantine(seed=1) for _ in range(3))
-    teller.crashed("g1", "a", now=0.0)
-    _told(teller, told_before, peer="e0", now=0.2)
-    told_before.crashed("g1", "a", now=0.3)
-    told_after.crashed("g1", "a", now=0.1)
-    _told(teller, told_after, peer="e0", now=0.2)
-    assert told_before.verdict("a", now=1.0) is None
-    assert told_after.verdict("a", now=1.0) is None
+    reported_before, reported_after, reporter = (Quarantine(seed=1) for _ in range(3))
+    reporter.crashed("g1", "a", now=0.0)
+    _send_observations(reporter, reported_before, peer="e0", now=0.2)
+    reported_before.crashed("g1", "a", now=0.3)
+    reported_after.crashed("g1", "a", now=0.1)
+    _send_observations(reporter, reported_after, peer="e0", now=0.2)
+    assert reported_before.verdict("a", now=1.0) is None
+    assert reported_after.verdict("a", now=1.0) is None
 
 
 class _PoisonedZone:
-    """Run entry hosts before groups that die of one request, in steps of 0.1 s.
+    """Simulate entry hosts and groups, which a poison request kills, in 0.1 s steps.
 
-    A poisonous attempt kills its group in the step after it was sent; any other
-    yields a token in each step.  Dead groups stay dead.
+    An attempt of the poison request kills its group in the step after the sending; any
+    other attempt yields a token in each step.  Dead groups stay dead.
     """
 
     def __init__(self, *, n_hosts: int, n_groups: int) -> None:
@@ -433,22 +442,22 @@
         self._n_requests = 0
 
     def send(self, at: int, text: str) -> None:
-        """Let a caller send a request to one entry host."""
+        """Send a caller's request to one entry host."""
         self._n_requests += 1
         arrival = replace(
             chat(text, now=self.now), request_id=f"{text}/{self._n_requests}"
         )
-        self._take(at, self.tables[at].arrive(arrival, now=self.now))
+        self._process(at, self.tables[at].arrive(arrival, now=self.now))
 
     def step(self) -> None:
-        """Let reports come, timers run and engines work."""
+        """Advance the time by 0.1 s with reports, timers and generated tokens."""
         self.now = round(self.now + 0.1, 3)
         for at, fleet in enumerate(self.fleets):
             for name in set(fleet.groups) - self.dead:
                 fleet.report(f"{name}-0", asked_at=self.now)
-            self._take(at, self.tables[at].tick(now=self.now))
+            self._process(at, self.tables[at].tick(now=self.now))
         if round(self.now * 10) % 5 == 0:
-            self._tell_peers()
+            self._exchange_suspicions()
         running, self._running = self._running, []
         killed = {
             attempt.target.name
@@ -458,11 +467,11 @@
         self.dead |= killed
         for at, attempt, n_tokens in running:
             if attempt.target.name in killed:
-                self._break(at, attempt)
+                self._fail_attempt(at, attempt)
             else:
                 self._generate(at, attempt, n_tokens)
 
-    def _tell_peers(self) -> None:
+    def _exchange_suspicions(self) -> None:
         for at, fleet in enumerate(self.fleets):
             for row in fleet.quarantine.observations(now=self.now):
                 for other in self.fleets[:at] + self.fleets[at + 1 :]:
@@ -470,11 +479,14 @@
                         row, peer=f"e{at}", observed_at=self.now, now=self.now
                     )
 
-    def _break(self, at: int, attempt: SendAttempt) -> None:
+    def _fail_attempt(self, at: int, attempt: SendAttempt) -> None:
         actions = self.tables[at].failed(
-            attempt.attempt_id, error=_died(attempt), refused=False, now=self.now
+            attempt.attempt_id,
+            error=_connection_broken(attempt),
+            refused=False,
+            now=self.now,
         )
-        self._take(at, actions)
+        self._process(at, actions)
 
     def _generate(self, at: int, attempt: SendAttempt, n_tokens: int) -> None:
         table = self.tables[at]
@@ -488,9 +500,9 @@
             actions = table.finished(
                 attempt.attempt_id, finish_reason="stop", usage=Usage(), now=self.now
             )
-        self._take(at, actions)
+        self._process(at, actions)
 
-    def _take(self, at: int, actions: list) -> None:
+    def _process(self, at: int, actions: list) -> None:
         for action in actions:
             if isinstance(action, SendAttempt):
                 self._running.append((at, action, 0))
@@ -506,12 +518,13 @@
 def test_second_crash_singles_out_the_poison(n_hosts: int, n_groups: int) -> None:
     """Send a poison request among open streams, and again after each answer.
 
-    Symptom: group after group dies, and the bystanders' streams end with errors.
-    Sequence: a group dies, and all that it ran is sent again at once, several to one
-    target; the next death finds more than one repeated suspect and names nobody.
-    Or the caller asks another entry host before that has heard of the suspicion.
-    Cause: suspects were kept apart only while there were as many targets, and by
-    each entry host alone; the verdict was told before it had got about.
+    Guards against group after group that dies, and bystanders' streams that end with
+    errors.  A group dies, and all its requests are sent again at once, several to one
+    target; at the next crash there is more than one repeated suspect, and none is
+    condemned.  Or the caller sends the request to another entry host before that host
+    has received the suspicion.  This happens if suspects are kept apart only while
+    there are as many targets, and by each entry host alone, or if the verdict is given
+    to the caller before the suspicion has reached the peers.
     """
     zone = _PoisonedZone(n_hosts=n_hosts, n_groups=n_groups)
     zone.step()
@@ -529,21 +542,22 @@
     assert len(zone.poison_answers) == 4
     assert {one.error.code for one in zone.poison_answers} == {"request_quarantined"}
     assert all(one.error.retry_after > 800.0 for one in zone.poison_answers)
-    whole = [
+    completed_ids = [
         request_id
         for request_id, answer in zone.answers_by_request.items()
         if isinstance(answer, StreamFinished)
     ]
-    assert len(whole) == 10 * n_hosts
+    assert len(completed_ids) == 10 * n_hosts
     assert [table.n_left() for table in zone.tables] == [0] * n_hosts
 
 
-def test_resend_is_answered_at_once_while_others_wait() -> None:
-    """Resend a quarantined request to a full entry host.
+def test_resent_quarantined_request_is_refused_without_queueing() -> None:
+    """Refuse a resent quarantined request at once on a fully loaded entry host.
 
-    Symptom: the resends of one caller fill its queue, and the answer that names the
-    quarantine comes after the wait.  Sequence: the host is busy, so arrivals queue.
-    Cause: the quarantine was asked only when a request was about to be sent.
+    Guards against the resent requests of one caller that fill the caller's queue, and
+    get the error that names the quarantine only after the wait.  The host is busy, so
+    arrivals queue; the fault occurs if the quarantine is checked only when a request is
+    about to be sent to a backend server.
     """
     fleet = FakeFleet(zones={"a": 1})
     admission = _FullAdmission()
