--- a/ryelever/platform/__init__.py
+++ b/ryelever/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translate between the users' platform and the product; it decides nothing."""
+"""Translate between the users' platform and the product, without any decisions."""
--- a/ryelever/platform/documents.py
+++ b/ryelever/platform/documents.py
@@ -26,16 +26,16 @@
 
     from ..errors import RyeleverError
 
-__all__ = ["ReportedGroup", "read_configuration", "read_reported", "read_server"]
+__all__ = ["ReportedGroup", "read_configuration", "merge_report", "read_server"]
 
-#: Fields that a backend server's report and its record have in common, besides those
-#: by which records differ from one heartbeat to the next.
-_REPORTED = ("models", "domain", "staged", "group", "born")
+#: Fields that a backend server's report and its record have in common, without those
+#: that change from one record renewal to the next.
+_REPORTED_FIELDS = ("models", "domain", "staged", "group", "born")
 
-#: Addresses of servers that are known to be well formed.
+#: Maximum number of cached server addresses that have passed the check.
 MAX_ADDRESSES = 4096
 
-_KINDS = {
+_ROUTE_KINDS = {
     "safe": RouteKind.IDEMPOTENT,
     "unsafe": RouteKind.AT_MOST_ONCE,
     "streaming": RouteKind.STREAM,
@@ -56,7 +56,7 @@
     target_latency_ms: float = 0.0
     target_gap_ms: float = 0.0
     priority: int = 0
-    # Exactly one of the two is there.
+    # Exactly one of the two is present.
     service: str = ""
     traffic_split: list[_Split] = []
     max_attempts: int = 1
@@ -73,7 +73,7 @@
     warm_s: float = 0.0
 
 
-class _Usual(msgspec.Struct, frozen=True):
+class _UsualLengths(msgspec.Struct, frozen=True):
     prompt: float = 0.0
     answer: float = 0.0
 
@@ -88,13 +88,14 @@
     form_ms: float = 0.0
     loads_per_s: float = 1.0
     loads_at_once: float = 1.0
-    usual: _Usual = _Usual()
+    usual: _UsualLengths = _UsualLengths()
 
 
 class _Service(msgspec.Struct):
     name: str
     max_conns: int = 0
-    # What a server of it bears while it is cold; 0 where it never is.
+    # Requests per second that a cold server of the service can take; 0 if its servers
+    # are never cold.
     cold_per_s: float = 0.0
     engine: _Engine | None = None
 
@@ -120,40 +121,40 @@
     tenants: list[_Tenant] | None = None
 
 
-class _Loaded(msgspec.Struct):
+class _LoadedModel(msgspec.Struct):
     name: str
 
 
 class ReportedGroup(msgspec.Struct):
-    """Say which group a backend server is in, as it writes it itself."""
+    """Group of a backend server, as the server reports it."""
 
     name: str
     epoch: int
     rank: int = -1
-    # Absent where there is no group.
+    # Absent if the server is in no group.
     state: GroupState | None = None
 
 
 class _Server(msgspec.Struct):
-    """What a backend server writes of itself.
+    """Record that a backend server writes about itself.
 
-    An entry that lacks one of the first fields, or holds something else in one, comes
-    from another writer and names no server to use.
+    A record without one of the required fields, or with another type in one, comes
+    from another writer, and its server is not used.
     """
 
     service: str
     address: str
     zone: str
     state: Literal["ready", "draining"]
-    # Requests that it works on at once.
+    # Requests that the server processes concurrently.
     slots: Annotated[int, msgspec.Meta(ge=1)]
-    # For how much longer it stays cold, as of this entry.
+    # Milliseconds for which the server stays cold, counted from this record.
     cold_remaining_ms: float = 0.0
-    # Unix milliseconds of its start; some don't say.
+    # Unix time in milliseconds of the server's start; some servers omit it.
     born: int | msgspec.UnsetType = msgspec.UNSET
-    models: list[_Loaded] = []
+    models: list[_LoadedModel] = []
     domain: str | int = ""
-    staged: list[str | _Loaded] = []
+    staged: list[str | _LoadedModel] = []
     group: ReportedGroup | None = None
 
     def __post_init__(self) -> None:
@@ -162,12 +163,12 @@
 
 @lru_cache(maxsize=MAX_ADDRESSES)
 def _check_address(address: str) -> None:
-    """Check an address, which stays the same in all entries of a server.
+    """Check an address; cached, since all records of a server have the same address.
 
     Raises
     ------
     ValueError
-        If it isn't one of IPv4 with a port.
+        If the address isn't an IPv4 address with a port.
     """
     ip, _, port = address.rpartition(":")
     ipaddress.IPv4Address(ip)
@@ -181,42 +182,53 @@
     Parameters
     ----------
     data : bytes
-        JSON as it lies in the store.
+        JSON as stored.
     peer : str
-        Who gave it, for the error.
+        Name of the source, for the error.
     """
     return decode(data, _Configuration, step="read_configuration", peer=peer).map(
-        _table_of
+        _route_table
     )
 
 
 def read_server(
     server_id: str, data: bytes, *, peer: str
 ) -> Result[BackendServer, RyeleverError]:
-    """Read what a backend server has written of itself."""
+    """Read a backend server's record."""
     read = decode(data, _Server, step="read_server", peer=peer)
     return read.map(lambda found: _server_of(server_id, found))
 
 
-def read_reported(
+def merge_report(
     data: bytes, report: bytes, *, peer: str
 ) -> Result[bytes, RyeleverError]:
-    """Put what a backend server says of itself now in the place of what it wrote."""
+    """Return a backend server's record, updated with the fields of its report."""
     known = decode(data, dict[str, msgspec.Raw], step="read_server", peer=peer)
-    said = decode(report, dict[str, msgspec.Raw], step="read_report", peer=peer)
-    merged = known.map2(said, _merged)
-    return merged.bind(lambda record: _checked(record, peer=peer))
-
-
-def _merged(known: dict[str, msgspec.Raw], said: dict[str, msgspec.Raw]) -> bytes:
-    return encode(known | {name: said[name] for name in _REPORTED if name in said})
+    report_fields = decode(
+        report, dict[str, msgspec.Raw], step="read_report", peer=peer
+    )
+    merged = known.map2(report_fields, _merge_fields)
+    return merged.bind(lambda record: _validated(record, peer=peer))
+
+
+def _merge_fields(
+    known: dict[str, msgspec.Raw], report_fields: dict[str, msgspec.Raw]
+) -> bytes:
+    return encode(
+        known
+        | {
+            name: report_fields[name]
+            for name in _REPORTED_FIELDS
+            if name in report_fields
+        }
+    )
 
 
-def _checked(record: bytes, *, peer: str) -> Result[bytes, RyeleverError]:
+def _validated(record: bytes, *, peer: str) -> Result[bytes, RyeleverError]:
     return read_server(peer, record, peer=peer).map(lambda _: record)
 
 
-def _table_of(found: _Configuration) -> RouteTable:
+def _route_table(found: _Configuration) -> RouteTable:
     routes_by_host: dict[str, list[Route]] = {}
     for route in found.routes:
         routes_by_host.setdefault(route.host.lower(), []).append(_route_of(route))
@@ -248,8 +260,8 @@
         name=found.name,
         host=found.host.lower(),
         path_prefix=found.path_prefix,
-        # What is not known may at least not be repeated.
-        kind=_KINDS.get(found.kind, RouteKind.AT_MOST_ONCE),
+        # Requests of an unknown kind must not be repeated.
+        kind=_ROUTE_KINDS.get(found.kind, RouteKind.AT_MOST_ONCE),
         timeout=found.timeout_ms / 1000,
         latency_objective=found.target_latency_ms / 1000,
         pause_objective=found.target_gap_ms / 1000,
--- a/ryelever/platform/messages.py
+++ b/ryelever/platform/messages.py
@@ -1,4 +1,4 @@
-"""Read callers' requests and backend servers' answers as the platform has them."""
+"""Read callers' requests and backend servers' answers in the platform's format."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 __all__ = ["PlatformMessages"]
 
-#: Headers that concern one connection only, and are never passed on.
-PER_CONNECTION = frozenset(
+#: Hop-by-hop headers, which concern one connection and are never passed on.
+HOP_BY_HOP = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -28,28 +28,29 @@
     }
 )
 
-#: Statuses by which the platform promises that a request was not run.
+#: Status by which the platform promises that a request was not run.
 WRONG_SERVER = 421
 
-#: Milliseconds kept of a caller's deadline for the way of the answer back.
-WAY_BACK = 20
+#: Milliseconds of a caller's deadline that are reserved for returning the answer.
+RETURN_TIME_MS = 20
 
 
 class PlatformMessages:
-    """Decode requests and answers once; ``RelayInterface`` of the platform."""
+    """``RelayInterface`` of the platform, which decodes requests and answers once."""
 
     def arrival(
         self, *, head: Headers, target: bytes, content: str, now: float
     ) -> RelayArrival:
-        """Read what decides about a request from its head.
+        """Read the fields of a request's head that determine its handling.
 
-        Headers that cannot be read count as absent: they are the caller's, and the
-        request is passed on as it is.
+        Headers that cannot be read count as absent: the caller is responsible for
+        them, and the request is passed on unchanged.
         """
         found = dict(head)
-        # The second number, the most tokens to write, says little of how many come.
-        n_prompt = _number(found.get(wire_names.TOKENS, b"").partition(b",")[0])
-        deadline = _number(found.get(wire_names.DEADLINE, b""))
+        # The second number, the maximum of generated tokens, predicts little about how
+        # many tokens are generated.
+        n_prompt = _parse_number(found.get(wire_names.TOKENS, b"").partition(b",")[0])
+        deadline = _parse_number(found.get(wire_names.DEADLINE, b""))
         host = found.get(b"host", b"").decode("latin-1").lower()
         path = target.partition(b"?")[0].decode("latin-1")
         key = found.get(wire_names.KEY)
@@ -70,12 +71,12 @@
         self, head: Headers, attempt: RelayAttempt, *, now: float
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers of one attempt at a backend server."""
-        dropped = PER_CONNECTION | wire_names.SET_BY_ENTRY_HOST | _nominated(head)
+        dropped = HOP_BY_HOP | wire_names.SET_BY_ENTRY_HOST | _connection_headers(head)
         if attempt.last_event_id:
             dropped = dropped | {wire_names.LAST_EVENT_ID}
         headers = [pair for pair in head if pair[0] not in dropped]
-        left = max(1, int((attempt.deadline - now) * 1000) - WAY_BACK)
-        headers.append((wire_names.DEADLINE, str(left).encode()))
+        remaining_ms = max(1, int((attempt.deadline - now) * 1000) - RETURN_TIME_MS)
+        headers.append((wire_names.DEADLINE, str(remaining_ms).encode()))
         headers.append((wire_names.EXPECTED_SERVER, attempt.server_id.encode()))
         if attempt.account:
             headers.append((wire_names.ACCOUNT, attempt.account.encode()))
@@ -96,40 +97,40 @@
             not_run=not_run,
             wrong_server=status == WRONG_SERVER,
             encoded=b"content-encoding" in found,
-            rate_limit=_named_limit(found.get(wire_names.RATE_LIMIT)),
-            headers=self._passed_back(headers),
+            rate_limit=_parse_rate_limit(found.get(wire_names.RATE_LIMIT)),
+            headers=self._response_headers(headers),
         )
 
     def refusal(
         self, request_id: str, *, retry_after: float | None
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an answer that the entry host gives itself."""
+        """Return the headers of an answer that the entry host composes itself."""
         headers = [(wire_names.REQUEST_ID, request_id.encode("latin-1"))]
         if retry_after is not None:
             headers.append((wire_names.RETRY_AFTER, f"{retry_after:.2f}".encode()))
         return headers
 
-    def _passed_back(self, headers: Headers) -> list[tuple[bytes, bytes]]:
-        dropped = PER_CONNECTION | _nominated(headers)
+    def _response_headers(self, headers: Headers) -> list[tuple[bytes, bytes]]:
+        dropped = HOP_BY_HOP | _connection_headers(headers)
         return [pair for pair in headers if pair[0] not in dropped]
 
 
-def _nominated(head: Headers) -> frozenset[bytes]:
-    """Return the headers that ``Connection`` names as its own."""
+def _connection_headers(head: Headers) -> frozenset[bytes]:
+    """Return the names of the headers that ``Connection`` declares hop-by-hop."""
     for name, value in head:
         if name == b"connection":
             return frozenset(token.strip().lower() for token in value.split(b","))
     return frozenset()
 
 
-def _number(text: bytes) -> int:
+def _parse_number(text: bytes) -> int:
     try:
         return max(0, int(text))
     except ValueError:
         return 0
 
 
-def _named_limit(text: bytes | None) -> NamedLimit | None:
+def _parse_rate_limit(text: bytes | None) -> NamedLimit | None:
     if text is None:
         return None
     try:
--- a/ryelever/platform/orders.py
+++ b/ryelever/platform/orders.py
@@ -1,4 +1,4 @@
-"""Write the orders to backend servers that make up groups."""
+"""Write the orders by which backend servers form groups, and read the answers."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 _OUTCOMES = {
     200: OrderOutcome.APPLIED,
     202: OrderOutcome.IN_PROGRESS,
-    # There is no such order.
+    # The order is unknown to the backend server.
     400: OrderOutcome.REFUSED,
-    # The order does not fit the state that the backend server is in.
+    # The order does not fit the state of the backend server.
     409: OrderOutcome.REFUSED,
-    # It has seen a higher epoch, or other members under this one.
+    # The backend server has seen a higher epoch, or other members under this epoch.
     412: OrderOutcome.SUPERSEDED,
     # Another incarnation or another backend server has the address now.
     421: OrderOutcome.WRONG_INSTANCE,
@@ -45,17 +45,17 @@
 
 
 class _Report(msgspec.Struct):
-    #: None where the backend server is in no group; unset where it doesn't say.
+    #: None if the backend server is in no group; unset if the field is missing.
     group: ReportedGroup | None | msgspec.UnsetType = msgspec.UNSET
-    #: Unix milliseconds of the backend server's start; some don't say.
+    #: Unix time in milliseconds of the backend server's start; some servers omit it.
     born: int | None = None
 
 
 class PlatformOrders:
-    """Write orders and read their answers, as ``GroupInterface`` has them."""
+    """``GroupInterface`` of the platform, which writes orders and reads answers."""
 
     def order(self, order: GroupOrder) -> LogCall:
-        """Return an order as it goes to the backend server."""
+        """Return the call that sends an order to its backend server."""
         if order.kind is OrderKind.PROBE:
             return LogCall(method="GET", path="/report")
         body = _Body(op=_OPERATIONS[order.kind])
@@ -71,21 +71,21 @@
         return LogCall(method="POST", path="/order", body=encode(body))
 
     def order_headers(self, order: GroupOrder) -> tuple[tuple[str, str], ...]:
-        """Return the headers that keep an order from another incarnation."""
+        """Return the headers that make any other incarnation refuse an order."""
         return (
             ("Content-Type", "application/json"),
             (EXPECTED_SERVER.decode(), order.server_id),
         )
 
     def outcome(self, order: GroupOrder, status: int, body: bytes) -> OrderOutcome:
-        """Read the answer to an order."""
+        """Return the outcome of an order from the answer to it."""
         if order.kind is OrderKind.PROBE and status == 200:
-            return _probed(order, body)
+            return _probe_outcome(order, body)
         return _OUTCOMES.get(status, OrderOutcome.UNKNOWN)
 
 
-def _probed(order: GroupOrder, body: bytes) -> OrderOutcome:
-    """Tell whether a backend server that answers is in the group it is asked about.
+def _probe_outcome(order: GroupOrder, body: bytes) -> OrderOutcome:
+    """Return whether a probed backend server is a member of the probe's group.
 
     An answer that can't be read is still a sign of life.
     """
@@ -98,7 +98,10 @@
     group = read.ok.group
     if group is msgspec.UNSET:
         return OrderOutcome.APPLIED
-    same = group is not None and (group.name, group.epoch) == (order.group, order.epoch)
+    is_same_group = group is not None and (group.name, group.epoch) == (
+        order.group,
+        order.epoch,
+    )
     if None not in (order.started_at, read.ok.born):
-        same = same and order.started_at == read.ok.born
-    return OrderOutcome.APPLIED if same else OrderOutcome.NOT_A_MEMBER
+        is_same_group = is_same_group and order.started_at == read.ok.born
+    return OrderOutcome.APPLIED if is_same_group else OrderOutcome.NOT_A_MEMBER
--- a/ryelever/platform/records.py
+++ b/ryelever/platform/records.py
@@ -11,7 +11,7 @@
 from ..logs import log_warning
 from ..protocol.json_codec import decode, encode
 from . import wire_names
-from .documents import read_configuration, read_reported, read_server
+from .documents import merge_report, read_configuration, read_server
 
 if TYPE_CHECKING:
     from expression import Result
@@ -35,12 +35,12 @@
     # Id and address of each member, the head first.
     members: list[tuple[str, str]]
     epoch: int
-    # Whether the group never opens.
+    # True if the group only warms up and never opens.
     warms_up: bool = False
 
 
 class PlatformRecords:
-    """Read and write records, as ``StoreDocuments`` has them."""
+    """``StoreDocuments`` of the platform, which reads and writes records."""
 
     operator_topic = wire_names.OPERATOR_TOPIC
     configuration_key = wire_names.CONFIGURATION_KEY
@@ -55,7 +55,7 @@
         return read_configuration(data, peer=peer)
 
     def evacuated_zone(self, key: str) -> str | None:
-        """Return the zone that a key of the operator's topic asks to evacuate."""
+        """Return the zone to evacuate by a key of the operator's topic, or None."""
         if not key.startswith(wire_names.EVACUATION_KEY):
             return None
         return key.removeprefix(wire_names.EVACUATION_KEY)
@@ -63,18 +63,18 @@
     def server(
         self, server_id: str, data: bytes, *, peer: str
     ) -> Result[BackendServer, RyeleverError]:
-        """Read what a backend server has written of itself."""
+        """Read a backend server's record."""
         return read_server(server_id, data, peer=peer)
 
     def reported(
         self, data: bytes, report: bytes, *, peer: str
     ) -> Result[bytes, RyeleverError]:
-        """Return a backend server's record with what it says when it is asked."""
-        return read_reported(data, report, peer=peer)
+        """Return a backend server's record, updated with the fields of its report."""
+        return merge_report(data, report, peer=peer)
 
     def host(self, name: str, data: bytes) -> HostAddress | None:
-        """Read an entry host's address; None where the record is dropped."""
-        found = self._decoded(data, _Host, step="read_host", peer=name)
+        """Read an entry host's address; None if the record is deleted or unreadable."""
+        found = self._decode_record(data, _Host, step="read_host", peer=name)
         if found is None:
             return None
         return HostAddress(
@@ -82,12 +82,12 @@
         )
 
     def host_record(self, *, address: str, zone: str) -> bytes:
-        """Write this host's address."""
+        """Return the record with this host's address."""
         return encode(_Host(address=address, zone=zone))
 
     def group(self, name: str, data: bytes) -> GroupRecord | None:
-        """Read a group; None where the record is dropped or can't be read."""
-        found = self._decoded(data, _Group, step="read_group", peer=name)
+        """Read a group; None if the record is deleted or unreadable."""
+        found = self._decode_record(data, _Group, step="read_group", peer=name)
         if found is None or not found.members:
             return None
         return GroupRecord(
@@ -104,7 +104,7 @@
         )
 
     def group_record(self, record: GroupRecord) -> bytes:
-        """Write a group."""
+        """Return the record of a group."""
         members = [(member.server_id, member.address) for member in record.members]
         return encode(
             _Group(
@@ -117,7 +117,9 @@
             )
         )
 
-    def _decoded(self, data: bytes, type_: type, *, step: str, peer: str) -> object:
+    def _decode_record(
+        self, data: bytes, type_: type, *, step: str, peer: str
+    ) -> object:
         if not data:
             return None
         read = decode(data, type_, step=step, peer=peer)
--- a/ryelever/platform/settings.py
+++ b/ryelever/platform/settings.py
@@ -22,12 +22,12 @@
 #: A line of the file.
 _LINE = re.compile(r"^[A-Za-z_][\w.-]*=")
 
-#: Seconds of a graceful shutdown that stay for the last bytes to leave.
-LAST_BYTES = 0.7
+#: Seconds of a graceful shutdown that are reserved for sending the last bytes.
+LAST_BYTES_TIME = 0.7
 
 
 class _Field(msgspec.Struct, kw_only=True, frozen=True):
-    """Declare one field of the file: its key, how it is read and what is expected."""
+    """One field of the file: its key, its parser and the expected value in words."""
 
     key: str
     read: Callable[[str], Any]
@@ -47,19 +47,19 @@
     return text
 
 
-def _seconds(text: str) -> float:
+def _milliseconds_as_seconds(text: str) -> float:
     value = float(text) / 1000
     if not 0 <= value < float("inf"):
         raise ValueError(text)
     return value
 
 
-def _megabits(text: str) -> float:
-    """Return bytes a second."""
-    return _positive(text) * 125_000
+def _megabits_as_bytes(text: str) -> float:
+    """Convert megabits per second to bytes per second."""
+    return _non_negative(text) * 125_000
 
 
-def _positive(text: str) -> float:
+def _non_negative(text: str) -> float:
     value = float(text)
     if not 0 <= value < float("inf"):
         raise ValueError(text)
@@ -89,38 +89,50 @@
         key="platform.parts", read=int, expected="a whole number", default="1"
     ),
     "heartbeat_interval": _Field(
-        key="heartbeat_ms", read=_seconds, expected=_MILLISECONDS, default="1200"
+        key="heartbeat_ms",
+        read=_milliseconds_as_seconds,
+        expected=_MILLISECONDS,
+        default="1200",
     ),
     "grace": _Field(
-        key="bounds.grace_s", read=_positive, expected=_NUMBER, default="8"
+        key="bounds.grace_s", read=_non_negative, expected=_NUMBER, default="8"
     ),
     "stall_time": _Field(
-        key="bounds.stall_ms", read=_seconds, expected=_MILLISECONDS, default="6000"
+        key="bounds.stall_ms",
+        read=_milliseconds_as_seconds,
+        expected=_MILLISECONDS,
+        default="6000",
     ),
     "repeat_ratio": _Field(
-        key="bounds.retry_budget_ratio", read=_positive, expected=_NUMBER, default="0.2"
+        key="bounds.retry_budget_ratio",
+        read=_non_negative,
+        expected=_NUMBER,
+        default="0.2",
     ),
     "repeat_window": _Field(
-        key="bounds.budget_window_s", read=_positive, expected=_NUMBER, default="10"
+        key="bounds.budget_window_s", read=_non_negative, expected=_NUMBER, default="10"
     ),
     "link_rate": _Field(
         key="limits.link_mbps",
-        read=_megabits,
+        read=_megabits_as_bytes,
         expected="megabits a second",
         default="10",
     ),
     "repeat_slack": _Field(
-        key="bounds.budget_slack", read=_positive, expected=_NUMBER, default="100"
+        key="bounds.budget_slack", read=_non_negative, expected=_NUMBER, default="100"
     ),
 }
 
 
 def is_node_file(path: Path) -> bool:
-    """Tell whether a file is the platform's by its first line that says anything."""
+    """Return whether a file is the platform's settings file.
+
+    The first line that is neither empty nor a comment decides.
+    """
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError):
-        # Whoever reads it next says what is wrong with it.
+        # The reader of the other settings format reports the fault.
         return False
     lines = (line.strip() for line in text.splitlines())
     first = next((line for line in lines if line and not line.startswith("#")), "")
@@ -130,13 +142,15 @@
 def read_node_settings(path: Path) -> Result[RelaySettings, list[Fault]]:
     """Read and check the settings; every fault names its key.
 
-    Keys that are not known are ignored: the platform adds new ones.
+    Unknown keys are ignored, since the platform adds new ones.
     """
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         fault = Fault(
-            place=str(path), expected="a readable text file", remedy=f"mend it: {error}"
+            place=str(path),
+            expected="a readable text file",
+            remedy=f"correct it: {error}",
         )
         return Error([fault])
     found = _lines(text)
@@ -162,7 +176,7 @@
     return Ok(
         RelaySettings(
             zones=tuple(zones) or (values["availability_zone"],),
-            last_bytes=LAST_BYTES,
+            last_bytes=LAST_BYTES_TIME,
             **values,
         )
     )
--- a/ryelever/platform/store.py
+++ b/ryelever/platform/store.py
@@ -1,8 +1,8 @@
 """Write the calls to the platform's store and read its answers.
 
-Records travel as four bytes of length, big-endian, and the record.  A record of a
-keyed topic is one byte of length, the key and the value; without a value it takes
-the key out.
+Each record is sent as four bytes of length, big-endian, and the record itself.  A
+record of a keyed topic consists of one byte with the key's length, the key and the
+value; a record without a value deletes the key.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 
 __all__ = ["StoreCalls"]
 
-_ENDS = struct.Struct(">QQ")
+_OFFSETS = struct.Struct(">QQ")
 _LENGTH = struct.Struct(">I")
 
-#: Status of a read whose records were deleted meanwhile.
+#: Status of a read whose records have been deleted.
 EXPIRED = 410
 
-#: Statuses of an append that another writer has come before.
+#: Statuses of an append that lost to an earlier append of another writer.
 APPEND_CONFLICT = frozenset({409, 412})
 
 
@@ -64,19 +64,19 @@
 
 
 class StoreCalls(msgspec.Struct, kw_only=True, frozen=True):
-    """Shape calls to the store, as ``KeyedLogInterface`` has them."""
+    """``KeyedLogInterface`` of the platform, which writes calls and reads answers."""
 
     address: str
 
     def newest(self, topic: str, *, partition: int, after: str = "") -> LogCall:
-        """Ask for the newest record of each key."""
+        """Request the newest record of each key."""
         query = {"topic": topic, "part": partition}
         if after:
             query["after"] = after
         return LogCall(method="GET", path=f"/log-newest?{urlencode(query)}")
 
     def read(self, topic: str, *, partition: int, offset: int, wait_ms: int) -> LogCall:
-        """Ask for records from an offset, or for the next one to come."""
+        """Request the records from an offset, or wait for the next record."""
         query = urlencode(
             {"topic": topic, "part": partition, "from": offset, "wait_ms": wait_ms}
         )
@@ -90,15 +90,15 @@
         partition: int,
         at: int | None = None,
     ) -> LogCall:
-        """Append records of keys; with ``at``, only if the partition ends there."""
+        """Append keyed records; with ``at``, only if the partition ends there."""
         query: dict[str, object] = {"topic": topic, "part": partition}
         if at is not None:
             query["at"] = at
-        body = b"".join(_framed(key, value) for key, value in records)
+        body = b"".join(_frame(key, value) for key, value in records)
         return LogCall(method="POST", path=f"/log-append?{urlencode(query)}", body=body)
 
     def era(self, headers: Mapping[str, str]) -> int | None:
-        """Return the era that an answer bears; None where it bears none."""
+        """Return the era in an answer's headers, or None without a valid one."""
         text = headers.get(wire_names.ERA, "")
         return int(text) if text.isascii() and text.isdecimal() else None
 
@@ -107,7 +107,7 @@
     ) -> Result[NewestPage, RyeleverError]:
         """Read the answer to ``newest``."""
         if status != 200:
-            return Error(self._refusal(status, step="read_newest"))
+            return Error(self._unexpected_status(status, step="read_newest"))
         read = decode(body, _Newest, step="read_newest", peer=self.address)
         return read.map(
             lambda found: NewestPage(
@@ -130,18 +130,18 @@
         """Read the answer to ``read`` from ``offset``."""
         if status == EXPIRED:
             return Ok(ReadPage(records=[], end=offset, expired=True))
-        if status != 200 or len(body) < _ENDS.size:
-            return Error(self._refusal(status, step="read_log"))
-        end, first = _ENDS.unpack_from(body)
+        if status != 200 or len(body) < _OFFSETS.size:
+            return Error(self._unexpected_status(status, step="read_log"))
+        end, first = _OFFSETS.unpack_from(body)
         records = []
-        place = _ENDS.size
+        place = _OFFSETS.size
         at = max(offset, first)
         while place + _LENGTH.size <= len(body):
             (length,) = _LENGTH.unpack_from(body, place)
             place += _LENGTH.size
             record = body[place : place + length]
             if len(record) < length:
-                return Error(self._refusal(status, step="read_log"))
+                return Error(self._unexpected_status(status, step="read_log"))
             place += length
             key_length = record[0] if record else 0
             key = record[1 : 1 + key_length].decode("utf-8", "replace")
@@ -160,9 +160,9 @@
         if status in APPEND_CONFLICT:
             read = decode(body, _Refused, step="append", peer=self.address)
             return read.map(lambda found: AppendRefused(end=found.end))
-        return Error(self._refusal(status, step="append"))
+        return Error(self._unexpected_status(status, step="append"))
 
-    def _refusal(self, status: int, *, step: str) -> RyeleverError:
+    def _unexpected_status(self, status: int, *, step: str) -> RyeleverError:
         return RyeleverError(
             f"the store answered {status}",
             category=Category.UNAVAILABLE,
@@ -171,7 +171,7 @@
         )
 
 
-def _framed(key: str, value: bytes) -> bytes:
+def _frame(key: str, value: bytes) -> bytes:
     name = key.encode()
     record = bytes([len(name)]) + name + value
     return _LENGTH.pack(len(record)) + record
--- a/tests/test_platform/__init__.py
+++ b/tests/test_platform/__init__.py
@@ -1,1 +1,1 @@
-"""Test the platform's side of each interface."""
+"""Tests of the translation between the platform and the product."""
--- a/tests/test_platform/test_documents.py
+++ b/tests/test_platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Test how configurations and the backend servers' entries are read."""
+"""Test the reading of configurations and of backend servers' records."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     )
 
 
-def test_the_longest_prefix_decides() -> None:
+def test_route_with_the_longest_prefix_matches() -> None:
     longer = ROUTE | {"name": "r2", "path_prefix": "/a/b/"}
     table = _table(routes=[ROUTE, longer])
     assert table.match(host="calls.example", path="/a/b/c").name == "r2"
@@ -69,7 +69,7 @@
         pytest.param("new", True, RouteKind.AT_MOST_ONCE, False, id="unknown"),
     ],
 )
-def test_what_may_be_repeated_follows_from_the_kind(
+def test_kind_of_a_route_determines_whether_requests_are_repeated(
     kind: str, resumable: bool, expected: RouteKind, repeatable: bool
 ) -> None:
     table = _table(routes=[ROUTE | {"kind": kind, "resumable": resumable}])
@@ -77,7 +77,7 @@
     assert (route.kind, route.repeatable) == (expected, repeatable)
 
 
-def test_a_split_gives_each_service_its_share() -> None:
+def test_traffic_split_selects_services_by_weight() -> None:
     split = [{"service": "s1", "weight": 90}, {"service": "s2", "weight": 10}]
     route = dict(ROUTE) | {"traffic_split": split}
     del route["service"]
@@ -87,7 +87,7 @@
     assert found.service_of("request-1") == found.service_of("request-1")
 
 
-def test_keys_name_their_accounts() -> None:
+def test_api_keys_map_to_their_accounts() -> None:
     accounts = [{"name": "a", "api_keys": ["k1", "k2"], "priority": 3}]
     table = _table(tenants=accounts)
     assert table.asks_for_keys
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"{}", b"[1]", b'{"version": "x"}'])
-def test_a_broken_configuration_is_an_error(data: bytes) -> None:
+def test_invalid_configuration_is_an_error(data: bytes) -> None:
     error = read_configuration(data, peer="store").error
     assert (error.step, error.peer) == ("read_configuration", "store")
 
@@ -145,13 +145,13 @@
         {"group": {"name": "g", "epoch": 1, "rank": 0, "state": "odd"}},
     ],
 )
-def test_a_broken_entry_is_an_error(changes: dict) -> None:
+def test_invalid_record_is_an_error(changes: dict) -> None:
     data = json.dumps(SERVER | changes).encode()
     assert read_server("i1", data, peer="store").error.step == "read_server"
 
 
 @pytest.mark.parametrize("field", ["service", "address", "zone", "slots", "state"])
-def test_an_entry_that_lacks_a_field_is_an_error(field: str) -> None:
+def test_record_without_a_required_field_is_an_error(field: str) -> None:
     data = json.dumps({name: SERVER[name] for name in SERVER if name != field}).encode()
     assert read_server("i1", data, peer="store").error.step == "read_server"
 
@@ -169,12 +169,12 @@
     ],
     ids=["empty", "bytes", "not-utf-8", "deep", "deep-unknown", "null", "nan"],
 )
-def test_bytes_that_make_no_sense_are_an_error(data: bytes) -> None:
+def test_malformed_bytes_are_an_error(data: bytes) -> None:
     assert read_server("i1", data, peer="store").error.step == "read_server"
 
 
 @given(data=st.binary(max_size=200))
-def test_any_bytes_are_read_or_are_an_error(data: bytes) -> None:
+def test_any_bytes_are_a_record_or_an_error(data: bytes) -> None:
     read = read_server("i1", data, peer="store")
     assert read.is_ok() or read.error.peer == "store"
 
@@ -197,7 +197,7 @@
         _JSON,
     )
 )
-def test_an_entry_with_any_values_can_be_used_or_is_an_error(
+def test_record_with_any_values_is_valid_or_an_error(
     changes: dict[str, Any],
 ) -> None:
     read = read_server("i1", json.dumps(SERVER | changes).encode(), peer="store")
@@ -208,24 +208,26 @@
         assert server.started_at is None or isinstance(server.started_at, int)
 
 
-def test_an_entry_tells_its_start() -> None:
+def test_start_of_a_server_is_read_from_its_record() -> None:
     data = json.dumps(SERVER | {"born": 1767000000000}).encode()
     assert read_server("i1", data, peer="store").ok.started_at == 1767000000000
-    unsaid = read_server("i1", json.dumps(SERVER).encode(), peer="store").ok
-    assert unsaid.started_at is None
+    without_start = read_server("i1", json.dumps(SERVER).encode(), peer="store").ok
+    assert without_start.started_at is None
 
 
 @pytest.mark.parametrize(
     ("milliseconds", "seconds"),
     [(0, 0.0), (2500, 2.5), (0.5, 0.0005), (-3, 0.0)],
 )
-def test_for_how_long_a_server_stays_cold(milliseconds: float, seconds: float) -> None:
+def test_remaining_cold_time_is_read_in_seconds(
+    milliseconds: float, seconds: float
+) -> None:
     entry = SERVER | {"cold_remaining_ms": milliseconds}
     server = read_server("i1", json.dumps(entry).encode(), peer="store").ok
     assert server.cold_for == seconds
 
 
-def test_what_a_cold_server_of_a_service_bears() -> None:
+def test_rate_of_cold_servers_is_read_for_each_service() -> None:
     table = _table(services=[{"name": "a", "cold_per_s": 17.0}, {"name": "b"}])
     rates = {name: item.cold_rate for name, item in table.services_by_name.items()}
     assert rates == {"a": 17.0, "b": None}
--- a/tests/test_platform/test_messages.py
+++ b/tests/test_platform/test_messages.py
@@ -1,4 +1,4 @@
-"""Test what is passed on of requests and answers, and what is not."""
+"""Test which headers of requests and answers are read, dropped and passed on."""
 
 from __future__ import annotations
 
@@ -37,20 +37,20 @@
     return RelayAttempt(**(values | changes))
 
 
-def test_a_head_is_decoded_once() -> None:
+def test_request_head_is_decoded() -> None:
     arrival = MESSAGES.arrival(head=HEAD, target=b"/a/b?q=/c", content="c", now=100.0)
     assert (arrival.host, arrival.path, arrival.key) == ("calls.example", "/a/b", "key")
     assert (arrival.model, arrival.n_prompt) == ("m", 1460)
     assert arrival.deadline == 108.0
 
 
-def test_headers_that_are_no_numbers_count_as_absent() -> None:
+def test_headers_without_valid_numbers_count_as_absent() -> None:
     head = [(b"deadline-ms", b"soon"), (b"token-usage", b"many")]
     arrival = MESSAGES.arrival(head=head, target=b"/", content="c", now=100.0)
     assert (arrival.deadline, arrival.n_prompt, arrival.key) == (None, 0, None)
 
 
-def test_what_the_entry_host_sets_is_never_the_callers() -> None:
+def test_callers_cannot_set_the_entry_hosts_headers() -> None:
     forged = [
         (b"tenant", b"other"),
         (b"target-instance", b"i9"),
@@ -68,27 +68,34 @@
     assert [text for name, text in sent if name == b"x-own"] == [b"1", b"2"]
 
 
-def test_headers_of_one_connection_stay_there() -> None:
-    own = [(b"connection", b"close, X-Hop"), (b"x-hop", b"1"), (b"te", b"trailers")]
-    names = {name for name, _ in MESSAGES.forwarded([*HEAD, *own], _attempt(), now=1.0)}
+def test_hop_by_hop_headers_are_not_passed_on() -> None:
+    hop_by_hop = [
+        (b"connection", b"close, X-Hop"),
+        (b"x-hop", b"1"),
+        (b"te", b"trailers"),
+    ]
+    names = {
+        name
+        for name, _ in MESSAGES.forwarded([*HEAD, *hop_by_hop], _attempt(), now=1.0)
+    }
     assert not names & {b"connection", b"x-hop", b"te"}
 
 
-def test_a_stream_goes_on_after_the_last_event_passed_on() -> None:
+def test_stream_is_resumed_after_the_last_event_passed_on() -> None:
     head = [*HEAD, (b"last-event-id", b"3")]
     sent = MESSAGES.forwarded(head, _attempt(last_event_id="12"), now=1.0)
     assert [text for name, text in sent if name == b"last-event-id"] == [b"12"]
 
 
-def test_a_public_route_names_no_account() -> None:
+def test_requests_of_public_routes_have_no_account_header() -> None:
     sent = MESSAGES.forwarded([*HEAD, (b"tenant", b"x")], _attempt(account=""), now=1.0)
     assert b"tenant" not in dict(sent)
 
 
-def test_heads_of_answers() -> None:
+def test_answer_head_is_decoded() -> None:
     passed = [(b"request-id", b"r1"), (b"response-seal", b"s"), (b"x", b"1")]
-    own = [(b"connection", b"keep-alive"), (b"content-length", b"12")]
-    head = MESSAGES.answer_head(200, [*passed, *own])
+    hop_by_hop = [(b"connection", b"keep-alive"), (b"content-length", b"12")]
+    head = MESSAGES.answer_head(200, [*passed, *hop_by_hop])
     assert (head.signed, head.not_run) == (True, False)
     assert head.headers == passed
     assert MESSAGES.answer_head(503, [(b"not-executed", b"1")]).not_run
@@ -98,7 +105,7 @@
     assert MESSAGES.answer_head(200, [(b"content-encoding", b"gzip")]).encoded
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
+def test_refusal_has_a_retry_after_header() -> None:
     assert MESSAGES.refusal("r1", retry_after=0.3) == [
         (b"request-id", b"r1"),
         (b"retry-after", b"0.30"),
@@ -120,10 +127,10 @@
         pytest.param(b"1, 2", None, id="two"),
     ],
 )
-def test_the_rate_limit_that_an_answer_names(text: bytes, rate: float | None) -> None:
+def test_rate_limit_of_an_answer_is_parsed(text: bytes, rate: float | None) -> None:
     head = MESSAGES.answer_head(200, [(b"server-limit", text)])
     assert head.rate_limit == NamedLimit(text=text.decode(), rate=rate)
 
 
-def test_most_answers_name_no_rate_limit() -> None:
+def test_answer_without_a_rate_limit() -> None:
     assert MESSAGES.answer_head(200, []).rate_limit is None
--- a/tests/test_platform/test_orders.py
+++ b/tests/test_platform/test_orders.py
@@ -1,4 +1,4 @@
-"""Test orders to backend servers and how their answers are read."""
+"""Test the calls of orders to backend servers and the reading of the answers."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         (_order(OrderKind.STAGE), {"op": "stage", "model": "m"}),
     ],
 )
-def test_each_order_says_what_it_needs(order: GroupOrder, body: dict) -> None:
+def test_body_of_each_order_has_its_fields(order: GroupOrder, body: dict) -> None:
     call = ORDERS.order(order)
     assert (call.method, call.path) == ("POST", "/order")
     assert json.loads(call.body) == body
@@ -64,7 +64,7 @@
         (503, OrderOutcome.UNKNOWN),
     ],
 )
-def test_what_each_answer_means(status: int, outcome: OrderOutcome) -> None:
+def test_outcome_of_each_status(status: int, outcome: OrderOutcome) -> None:
     assert ORDERS.outcome(_order(OrderKind.LEAVE), status, b"") is outcome
 
 
@@ -76,7 +76,7 @@
             OrderOutcome.APPLIED,
             id="in-the-group",
         ),
-        pytest.param(b'{"group":null}', OrderOutcome.NOT_A_MEMBER, id="in-none"),
+        pytest.param(b'{"group":null}', OrderOutcome.NOT_A_MEMBER, id="in-no-group"),
         pytest.param(
             b'{"group":{"name":"g7","epoch":13}}',
             OrderOutcome.NOT_A_MEMBER,
@@ -85,9 +85,9 @@
         pytest.param(
             b'{"group":{"name":"g8","epoch":12}}',
             OrderOutcome.NOT_A_MEMBER,
-            id="in-another",
+            id="in-another-group",
         ),
-        pytest.param(b'{"busy":false}', OrderOutcome.APPLIED, id="does-not-say"),
+        pytest.param(b'{"busy":false}', OrderOutcome.APPLIED, id="without-field"),
         pytest.param(b"<html>", OrderOutcome.APPLIED, id="unreadable"),
     ],
 )
@@ -103,7 +103,7 @@
         (None, b"8", OrderOutcome.APPLIED),
     ],
 )
-def test_a_probe_tells_a_member_from_its_next_incarnation(
+def test_probe_distinguishes_a_member_from_its_next_incarnation(
     started_at: int | None, born: bytes, outcome: OrderOutcome
 ) -> None:
     order = replace(_order(OrderKind.PROBE), started_at=started_at)
--- a/tests/test_platform/test_settings.py
+++ b/tests/test_platform/test_settings.py
@@ -1,4 +1,4 @@
-"""Test how the platform's settings file is read."""
+"""Test the reading of the platform's settings file."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     return file
 
 
-def test_fields_are_read_in_their_units(tmp_path: Path) -> None:
+def test_fields_are_converted_from_their_units(tmp_path: Path) -> None:
     read = read_node_settings(_file(tmp_path, something__new="7")).ok
     assert (read.host, read.availability_zone) == ("front-1", "z1")
     assert read.zones == ("z1", "z2")
@@ -57,7 +57,7 @@
         pytest.param("bounds__grace_s", "nan", id="not-a-number"),
     ],
 )
-def test_a_bad_field_is_named_with_what_was_found(
+def test_fault_of_a_field_names_its_key_and_value(
     tmp_path: Path, key: str, text: str | None
 ) -> None:
     faults = read_node_settings(_file(tmp_path, **{key: text})).error
@@ -65,11 +65,11 @@
     assert repr(text) in str(faults[0])
 
 
-def test_all_faults_are_named_in_one_run(tmp_path: Path) -> None:
+def test_all_faults_are_returned_together(tmp_path: Path) -> None:
     faults = read_node_settings(_file(tmp_path, node=None, port_range="x")).error
     assert {fault.place for fault in faults} == {"node", "port_range"}
 
 
-def test_a_file_that_cannot_be_read_is_named(tmp_path: Path) -> None:
+def test_fault_of_an_unreadable_file_names_its_path(tmp_path: Path) -> None:
     faults = read_node_settings(tmp_path / "nowhere").error
     assert "nowhere" in faults[0].place
--- a/tests/test_platform/test_wire_names.py
+++ b/tests/test_platform/test_wire_names.py
@@ -1,4 +1,4 @@
-"""Test that the platform's words stay in the folder that translates them."""
+"""Test that the platform's names occur only in the package that translates them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 PACKAGE = Path(ryelever.__file__).parent
 
-#: Fields and paths of the platform that are no words of the project as well.
+#: Fields and paths of the platform that the rest of the project doesn't use as names.
 FIELDS = (
     "traffic_split",
     "target_latency_ms",
@@ -47,14 +47,14 @@
     ]
 
 
-def test_no_word_of_the_platform_stands_elsewhere() -> None:
-    """Look through all modules outside of the folder."""
-    wanted = [*FIELDS, *_headers()]
-    # The product's own interface towards callers has these two headers as well.
-    wanted.remove("retry-after")
-    wanted.remove("request-id")
-    words_only = "|".join(map(re.escape, wanted))
-    pattern = re.compile(rf"(?<![\w-])(?:{words_only})(?![\w-])", re.IGNORECASE)
+def test_platform_names_occur_in_no_other_package() -> None:
+    """Search all modules outside of the platform package."""
+    names_to_find = [*FIELDS, *_headers()]
+    # The product's own interface to callers also has these two headers.
+    names_to_find.remove("retry-after")
+    names_to_find.remove("request-id")
+    alternatives = "|".join(map(re.escape, names_to_find))
+    pattern = re.compile(rf"(?<![\w-])(?:{alternatives})(?![\w-])", re.IGNORECASE)
     found = [
         f"{path.relative_to(PACKAGE)}: {match[0]}"
         for path in PACKAGE.rglob("*.py")
@@ -65,8 +65,8 @@
     assert len(_headers()) > 8
 
 
-def test_the_folder_is_small() -> None:
-    """Count its lines: what only translates is under a tenth of the package."""
+def test_platform_package_is_small() -> None:
+    """Keep the translation under a tenth of the lines of the whole product."""
 
     def lines(folder: Path) -> int:
         return sum(len(path.read_text().splitlines()) for path in folder.rglob("*.py"))
