--- a/ryelever/coordination/quarantine/quarantine.py
+++ b/ryelever/coordination/quarantine/quarantine.py
@@ -57,7 +57,7 @@
 
 
 class Quarantine:
-    """Suspect requests that ran in a crash, and quarantine those that ran in two.
+    """Suspect requests that ran in a crash, and quarantine those with two crashes.
 
     A request that crashes each backend server which runs it takes the fleet down
     one by one, since its caller and the entry host send it again.  The operator sees
@@ -69,7 +69,7 @@
     condemned: suspects run apart from one another (``is_suspect``, used in routing); a
     repeated suspect is condemned only if it is the only repeated suspect of the crash,
     else it stays a suspect for another run apart; and a request that completed recently
-    is excused from one crash, which covers short prompts that many callers send.
+    is excused from one crash, which covers identical short prompts of many callers.
 
     A suspect that ran past the position at which its first crash interrupted it is not
     considered if another repeated suspect did not.  Once a request is condemned, it
--- a/tests/test_coordination/test_quarantine/test_quarantine.py
+++ b/tests/test_coordination/test_quarantine/test_quarantine.py
@@ -215,7 +215,7 @@
 
 
 def test_a_suspect_that_proved_itself_elsewhere_explains_no_crash() -> None:
-    """Exclude a peer's bystander that ran past the position of its first crash.
+    """Rule out a peer's bystander that has run past the position of its first crash.
 
     Guards against a third group that dies of one request, and against a bystander that
     is quarantined.  A group dies while it runs a poison request of one entry host and a
