--- a/ryelever/coordination/soft_state/deliveries.py
+++ b/ryelever/coordination/soft_state/deliveries.py
@@ -39,16 +39,19 @@
     single = member.alone or not member.digest
     observer = member.host if single else f"zone/{member.availability_zone}"
     found = []
-    for kept in updated:
-        row = kept.row
-        if isinstance(row, AliveRow | GoneRow) or now - kept.observed_at > ROW_EXPIRY:
+    for table_row in updated:
+        row = table_row.row
+        if (
+            isinstance(row, AliveRow | GoneRow)
+            or now - table_row.observed_at > ROW_EXPIRY
+        ):
             continue
         heartbeat = isinstance(row, DemandRow) and row.client_account == HEARTBEAT
         if heartbeat and not single:
-            found += _split_heartbeats(row, observer, observed_at=kept.observed_at)
+            found += _split_heartbeats(row, observer, observed_at=table_row.observed_at)
             continue
         found.append(
-            Delivery(observation=row, peer=observer, observed_at=kept.observed_at)
+            Delivery(observation=row, peer=observer, observed_at=table_row.observed_at)
         )
     return found
 
--- a/ryelever/coordination/soft_state/digest.py
+++ b/ryelever/coordination/soft_state/digest.py
@@ -35,30 +35,30 @@
     """
     rows_by_key: dict[tuple[str, ...], tuple[SoftRow, float]] = {}
     for table in tables:
-        for kept in table.rows_by_slot.values():
-            if _is_sent_to_zones(kept, now=now):
-                _add(rows_by_key, kept)
+        for table_row in table.rows_by_slot.values():
+            if _is_sent_to_zones(table_row, now=now):
+                _add(rows_by_key, table_row)
     return list(rows_by_key.values())
 
 
-def _is_sent_to_zones(kept: TableRow, *, now: float) -> bool:
-    is_shared = isinstance(kept.row, DemandRow | SuspicionRow | LeavingRow)
-    return is_shared and now - kept.observed_at <= ROW_EXPIRY
+def _is_sent_to_zones(table_row: TableRow, *, now: float) -> bool:
+    is_shared = isinstance(table_row.row, DemandRow | SuspicionRow | LeavingRow)
+    return is_shared and now - table_row.observed_at <= ROW_EXPIRY
 
 
 def _add(
-    rows_by_key: dict[tuple[str, ...], tuple[SoftRow, float]], kept: TableRow
+    rows_by_key: dict[tuple[str, ...], tuple[SoftRow, float]], table_row: TableRow
 ) -> None:
-    observed = kept.row
-    if isinstance(observed, DemandRow) and observed.client_account == HEARTBEAT:
-        observed = replace(observed, n_in_flight=1)
-    key = row_key(observed)
+    added_row = table_row.row
+    if isinstance(added_row, DemandRow) and added_row.client_account == HEARTBEAT:
+        added_row = replace(added_row, n_in_flight=1)
+    key = row_key(added_row)
     known = rows_by_key.get(key)
     if known is None:
-        rows_by_key[key] = (observed, kept.observed_at)
+        rows_by_key[key] = (added_row, table_row.observed_at)
         return
     row, observed_at = known
-    rows_by_key[key] = (_sum(row, observed), min(observed_at, kept.observed_at))
+    rows_by_key[key] = (_sum(row, added_row), min(observed_at, table_row.observed_at))
 
 
 def _sum(first: SoftRow, second: SoftRow) -> SoftRow:
--- a/ryelever/coordination/soft_state/exchange.py
+++ b/ryelever/coordination/soft_state/exchange.py
@@ -216,8 +216,8 @@
         """Replace this entry host's rows, each with its time of observation."""
         self._local_table.set_rows(rows, now=now)
         if self._digest_due_at is None:
-            # Until this host knows the other hosts of its zone, it cannot decide which
-            # of them sends the zone's digest.
+            # Until this host knows the other hosts of its zone, it cannot determine
+            # which host sends the zone's digest.
             self._digest_due_at = now if self._flat else now + LIVE_AGE
         if now >= self._digest_due_at:
             interval = FLAT_DIGEST_INTERVAL if self._flat else DIGEST_INTERVAL
--- a/ryelever/coordination/soft_state/links.py
+++ b/ryelever/coordination/soft_state/links.py
@@ -93,8 +93,8 @@
         The link of the boot that sent the datagram; None if the datagram was replayed.
     composed_at : float or None
         Time on this host's monotonic clock from which the ages in the datagram are
-        counted, a lower bound of the time at which the peer composed it; None while
-        the peer has echoed no datagram.
+        counted, never later than the peer composed the datagram; None while the peer
+        has echoed no datagram.
     newest : bool
         No later datagram of this boot has been received before.
     """
--- a/ryelever/coordination/soft_state/local_table.py
+++ b/ryelever/coordination/soft_state/local_table.py
@@ -68,14 +68,14 @@
                 continue
             key = row_key(row)
             keys.add(key)
-            kept = self._row_for_key(key, row, observed_at=observed_at, now=now)
-            kept.observed_at = observed_at
+            table_row = self._row_for_key(key, row, observed_at=observed_at, now=now)
+            table_row.observed_at = observed_at
             if isinstance(row, ReportRow):
                 self._report_age = max(self._report_age, now - observed_at)
-            if _is_urgent(kept.row, row):
-                self._change(kept, row, now=now)
-            elif _has_changed(kept.row, row, min_change=self._min_change):
-                changed.append((kept, row))
+            if _is_urgent(table_row.row, row):
+                self._change(table_row, row, now=now)
+            elif _has_changed(table_row.row, row, min_change=self._min_change):
+                changed.append((table_row, row))
         self._publish_quantities(changed, now=now)
         self._withdraw_missing(keys, now=now)
         self._publish_alive(now=now)
@@ -100,11 +100,11 @@
             last_update_at=now,
         )
 
-    def _change(self, kept: TableRow, row: SoftRow, *, now: float) -> None:
+    def _change(self, table_row: TableRow, row: SoftRow, *, now: float) -> None:
         self.table.version += 1
-        kept.row = row
-        kept.version = self.table.version
-        kept.last_update_at = now
+        table_row.row = row
+        table_row.version = self.table.version
+        table_row.last_update_at = now
 
     def _publish_quantities(
         self, changed: list[tuple[TableRow, SoftRow]], *, now: float
@@ -120,24 +120,24 @@
                 change[0].last_update_at,
             )
         )
-        for kept, row in changed[: int(self._allowance)]:
-            self._change(kept, row, now=now)
+        for table_row, row in changed[: int(self._allowance)]:
+            self._change(table_row, row, now=now)
             self._allowance -= 1
 
     def _withdraw_missing(self, keys: set[tuple[str, ...]], *, now: float) -> None:
         for key in self._slots_by_key.keys() - keys:
-            kept = self.table.rows_by_slot[self._slots_by_key.pop(key)]
-            kept.observed_at = now
-            self._change(kept, GoneRow(), now=now)
-        for slot, kept in list(self.table.rows_by_slot.items()):
-            gone = isinstance(kept.row, GoneRow)
-            if gone and now - kept.observed_at > 3 * TABLE_EXPIRY:
+            table_row = self.table.rows_by_slot[self._slots_by_key.pop(key)]
+            table_row.observed_at = now
+            self._change(table_row, GoneRow(), now=now)
+        for slot, table_row in list(self.table.rows_by_slot.items()):
+            gone = isinstance(table_row.row, GoneRow)
+            if gone and now - table_row.observed_at > 3 * TABLE_EXPIRY:
                 del self.table.rows_by_slot[slot]
 
     def _publish_alive(self, *, now: float) -> None:
         # Always last: the sign of life confirms all rows with lower versions.
-        kept = self.table.rows_by_slot.get(ALIVE_SLOT)
-        if kept is None or now - kept.observed_at >= self._alive_interval:
+        table_row = self.table.rows_by_slot.get(ALIVE_SLOT)
+        if table_row is None or now - table_row.observed_at >= self._alive_interval:
             row = AliveRow(report_age=self._report_age)
             self._add(ALIVE_SLOT, row, observed_at=now, now=now)
 
--- a/ryelever/coordination/soft_state/soft_state.py
+++ b/ryelever/coordination/soft_state/soft_state.py
@@ -58,7 +58,7 @@
         peer : str
             The entry host that observed the row.
         observed_at : float
-            Latest time on this host's monotonic clock at which the row can have been
-            observed: the age that the peer states is subtracted from the time of
-            arrival.
+            Time of the observation on this host's monotonic clock, never later than the
+            actual one: the age that the peer states is subtracted from a time at or
+            before that at which the peer composed its datagram.
         """
--- a/ryelever/coordination/soft_state/tables.py
+++ b/ryelever/coordination/soft_state/tables.py
@@ -67,8 +67,8 @@
     Attributes
     ----------
     observed_at : float
-        Latest time on this host's monotonic clock at which the row can have been
-        observed.
+        Time of the observation on this host's monotonic clock, never later than the
+        actual one.
     last_update_at : float
         Monotonic time at which this host last changed the row (in its own table) or
         last delivered it to the sinks (in a peer's table).
@@ -90,7 +90,7 @@
     complete_until : float
         Time on this host's monotonic clock up to which the owner has reported all its
         observations.  This is the time of the owner's last sign of life but one, since
-        it may send a sign of life before it has read the data in its sockets.
+        an owner may send a sign of life before it has read the data in its sockets.
     """
 
     origin: int
@@ -101,7 +101,7 @@
     rows_by_slot: dict[int, TableRow] = field(default_factory=dict)
 
     def alive_at(self) -> float:
-        """Return the latest possible time of the owner's newest sign of life."""
+        """Return a time never later than the owner's newest sign of life."""
         alive = self.rows_by_slot.get(ALIVE_SLOT)
         return alive.observed_at if alive is not None else float("-inf")
 
@@ -126,16 +126,16 @@
         newer.sort(key=lambda row: row.version)
         updates: list[Update] = []
         size = 0
-        for kept in newer:
-            size += _size(kept.row)
+        for table_row in newer:
+            size += _size(table_row.row)
             if size > budget:
-                return updates, size - _size(kept.row)
+                return updates, size - _size(table_row.row)
             updates.append(
                 Update(
-                    slot=kept.slot,
-                    version=kept.version,
-                    age=max(0.0, now - kept.observed_at),
-                    row=kept.row,
+                    slot=table_row.slot,
+                    version=table_row.version,
+                    age=max(0.0, now - table_row.observed_at),
+                    row=table_row.row,
                 )
             )
         return updates, size
@@ -182,14 +182,14 @@
                 taken |= self._refresh_rows(
                     table, row.row, observed_at=observed_at, now=now
                 )
-            kept = TableRow(
+            table_row = TableRow(
                 slot=row.slot,
                 row=row.row,
                 version=row.version,
                 observed_at=observed_at,
                 last_update_at=now,
             )
-            table.rows_by_slot[row.slot] = taken[row.slot] = kept
+            table.rows_by_slot[row.slot] = taken[row.slot] = table_row
         return list(taken.values()) if self._is_latest_boot(table) else []
 
     def _refresh_rows(
@@ -197,16 +197,16 @@
     ) -> dict[int, TableRow]:
         reports_at = observed_at - alive.report_age * (1 + MAX_DRIFT)
         renewed = {}
-        for slot, kept in table.rows_by_slot.items():
-            if isinstance(kept.row, GoneRow | AliveRow):
+        for slot, table_row in table.rows_by_slot.items():
+            if isinstance(table_row.row, GoneRow | AliveRow):
                 continue
-            report = isinstance(kept.row, ReportRow)
-            kept.observed_at = max(
-                kept.observed_at, reports_at if report else observed_at
+            report = isinstance(table_row.row, ReportRow)
+            table_row.observed_at = max(
+                table_row.observed_at, reports_at if report else observed_at
             )
-            if report or now - kept.last_update_at >= self._redelivery_interval:
-                kept.last_update_at = now
-                renewed[slot] = kept
+            if report or now - table_row.last_update_at >= self._redelivery_interval:
+                table_row.last_update_at = now
+                renewed[slot] = table_row
         return renewed
 
     def _table(
@@ -253,9 +253,9 @@
                 continue
             # A slot is never reused, so a withdrawal can be deleted once every host
             # that still has this table must have received the withdrawal.
-            for slot, kept in list(table.rows_by_slot.items()):
-                gone = isinstance(kept.row, GoneRow)
-                if gone and now - kept.observed_at > 3 * TABLE_EXPIRY:
+            for slot, table_row in list(table.rows_by_slot.items()):
+                gone = isinstance(table_row.row, GoneRow)
+                if gone and now - table_row.observed_at > 3 * TABLE_EXPIRY:
                     del table.rows_by_slot[slot]
 
 
--- a/tests/test_coordination/test_soft_state/soft_state_network.py
+++ b/tests/test_coordination/test_soft_state/soft_state_network.py
@@ -37,7 +37,7 @@
     ----------
     rows : list
         The host's observations, each with its time of observation, or None for rows
-        that are observed anew at each update.
+        that are observed again at each update.
     inbox : list
         Datagrams that arrived while the process was paused, with their sources.
     """
--- a/tests/test_coordination/test_soft_state/test_soft_state.py
+++ b/tests/test_coordination/test_soft_state/test_soft_state.py
@@ -110,9 +110,9 @@
     for node, rate in zip(network.nodes, clock_rates, strict=True):
         node.clock_rate = rate
     observer, *others = network.nodes
-    asked_at_by_running: dict[int, float] = {}
+    queried_at_by_running: dict[int, float] = {}
     for running in range(40):
-        asked_at_by_running[running] = network.now
+        queried_at_by_running[running] = network.now
         row = ReportRow(
             report=HostReport(
                 host="w1", boot=str(running), state="ready", running=running
@@ -124,8 +124,8 @@
     for node in others:
         for delivery in node.deliveries:
             if isinstance(delivery.observation, ReportRow):
-                asked_at = asked_at_by_running[delivery.observation.report.running]
-                assert delivery.observed_at <= asked_at * node.clock_rate + 1e-6
+                queried_at = queried_at_by_running[delivery.observation.report.running]
+                assert delivery.observed_at <= queried_at * node.clock_rate + 1e-6
                 n_checked += 1
     assert n_checked
 
@@ -144,18 +144,18 @@
     network.run(3.0)
     paused.paused = True
     n_before = len(paused.deliveries)
-    last_asked_at = network.now
+    last_queried_at = network.now
     for _ in range(8):
-        last_asked_at = network.now
-        observer.rows = [(report(), last_asked_at)]
+        last_queried_at = network.now
+        observer.rows = [(report(), last_queried_at)]
         network.run(0.5)
     observer.rows = []
     network.run(20.0)
     assert paused.name not in witness.exchange.live_members(now=network.now)
     paused.paused = False
     network.run(10.0)
-    woken = [d for d in paused.deliveries[n_before:] if d.observation == report()]
-    assert all(delivery.observed_at <= last_asked_at for delivery in woken)
+    after_pause = [d for d in paused.deliveries[n_before:] if d.observation == report()]
+    assert all(delivery.observed_at <= last_queried_at for delivery in after_pause)
     assert paused.name in witness.exchange.live_members(now=network.now)
     assert witness.name in paused.exchange.live_members(now=network.now)
 
@@ -171,7 +171,7 @@
     return recorded
 
 
-@pytest.mark.parametrize("restarted", ["nobody", "receiver", "sender", "both"])
+@pytest.mark.parametrize("restarted", ["neither", "receiver", "sender", "both"])
 def test_recorded_datagrams_change_nothing(restarted: str) -> None:
     """Refuse every replayed datagram.
 
@@ -364,12 +364,12 @@
     """
     network = Network(zones=["a"] * 3, seed=SEED)
     observer, receiver, _ = network.nodes
-    asked_at = network.now
-    observer.rows = [(report(), asked_at)]
+    queried_at = network.now
+    observer.rows = [(report(), queried_at)]
     network.run(15.0)
     delivered = [d for d in receiver.deliveries if d.observation == report()]
     assert delivered
-    assert all(delivery.observed_at <= asked_at for delivery in delivered)
+    assert all(delivery.observed_at <= queried_at for delivery in delivered)
 
 
 def test_report_without_newer_answers_does_not_age_other_reports() -> None:
@@ -419,8 +419,8 @@
         member=Member(host="e2", availability_zone="a"),
         updates=(Update(slot=1, version=1, age=age, row=demand(1.0)),),
     )
-    (kept,) = tables.apply(update, zone="a", composed_at=composed_at, now=now)
-    assert kept.observed_at <= now - since_observation
+    (table_row,) = tables.apply(update, zone="a", composed_at=composed_at, now=now)
+    assert table_row.observed_at <= now - since_observation
 
 
 def test_datagrams_stay_under_the_usual_path_size() -> None:
