--- a/ryelever/state/__init__.py
+++ b/ryelever/state/__init__.py
@@ -1,1 +1,1 @@
-"""Pure data and folds: no clock, no input or output."""
+"""Data types and folds of the log's records, without clocks and without I/O."""
--- a/ryelever/state/claims.py
+++ b/ryelever/state/claims.py
@@ -1,9 +1,8 @@
-"""Fold claims and outcomes of non-repeatable requests.
+"""Fold the claims and outcomes of non-repeatable requests.
 
-A key carries its time of issue.  Claims are kept for ``CLAIM_WINDOW`` seconds after
-it, counted on the log's own times of append.  What lets a claim be forgotten is
-that the same rule refuses any later claim of the key: a fold forgets exactly the
-keys that it, and every other reader, would refuse.
+Each idempotency key contains its time of issue.  A claim is kept until the log's time
+is more than ``CLAIM_WINDOW`` seconds past the key's time of issue, and is then dropped.
+This is safe because every reader refuses any later claim of the key by the same rule.
 """
 
 from __future__ import annotations
@@ -26,32 +25,33 @@
     "ClaimsSnapshot",
 ]
 
-#: Seconds after its issue for which a key can be claimed and its outcome asked for.
-#: A constant, not a setting: two hosts with two windows would judge differently.
+#: Seconds after a key's time of issue during which the key can be claimed and its
+#: outcome requested.  A constant instead of a setting, since two hosts with different
+#: windows would disagree on which claims are valid.
 CLAIM_WINDOW = 600.0
 
-#: Seconds by which a key's time of issue may lie ahead of the log's clock.
+#: Maximum seconds by which a key's time of issue may be ahead of the log's clock.
 MAX_AHEAD = 30.0
 
-#: Seconds after a claim within which its owner can free the key, by the log's time.
-#: Later a caller may have been told that the outcome stays unknown, and may have
-#: acted on that: a resend that ran after all would be the second booking.
+#: Seconds after a claim, by the log's time, within which the claim's owner can free the
+#: key.  Later, a caller may have received the answer that the outcome stays unknown and
+#: may have acted on it; a resend that then ran would be a second booking.
 FREED_WITHIN = 90.0
 
-#: The log's time from which a fold knows everything that has read nothing yet; a
-#: number, since JSON has no infinity and would turn it into "nothing is missing".
-NOTHING_KNOWN = 1e18
+#: ``_complete_since`` of a fold that has read no records yet.  A finite number, since
+#: JSON would encode infinity as null, which means that no record is missing.
+NO_HISTORY = 1e18
 
-#: The run state that frees a claimed key.
+#: Run state of an outcome that frees the claimed key.
 NOT_RUN = "not_run"
 
-#: Claims in one part of a snapshot; a stored answer takes up to four kilobytes.
+#: Claims in one part of a snapshot.  A stored answer takes up to four kilobytes.
 CLAIMS_PER_PART = 250
 
 
 @dataclass(slots=True, kw_only=True)
 class ClaimState:
-    """Hold the first claim of one key and its outcome, once there is one."""
+    """Represent the first claim of a key and, once known, its outcome."""
 
     key: str
     fingerprint: str
@@ -64,23 +64,24 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ClaimsSnapshot(SnapshotPart):
-    """Repeat a piece of the claims and their outcomes."""
+    """Snapshot part with some of the claims and their outcomes."""
 
     claims: tuple[ClaimState, ...] = ()
 
 
 class ClaimsFold(BaseFold):
-    """Keep the first claim of each key; later ones are ignored.
+    """Fold claims: the first claim of each key takes effect, later ones are ignored.
 
-    While records are missing (``gap``) nobody may take a claim read back here for
-    the first one.  The gap ends with a snapshot, or by itself: once the log's time
-    has moved on by the window and the allowed lead since the first record read
-    after it, no key that was claimed in the gap can be claimed any more.
+    While records are missing (``gap``), a claim read from the log must not be treated
+    as the first claim of its key.  A snapshot closes the gap.  The gap also closes once
+    the log's time has advanced by more than ``window`` plus ``max_ahead`` since the
+    first record read after the gap: no key claimed in the gap can be claimed then.
 
     Parameters
     ----------
     window, max_ahead : float
-        Seconds; the same for every reader.
+        Values in seconds that replace ``CLAIM_WINDOW`` and ``MAX_AHEAD``; they must be
+        the same for all readers.
     """
 
     remember_for = 60.0
@@ -94,15 +95,19 @@
         self.max_ahead = max_ahead
         self.claims_by_key: dict[str, ClaimState] = {}
         self._issue_times: list[tuple[float, str]] = []
-        self._known_from = NOTHING_KNOWN
+        # The log's time from which on no records are missing.
+        self._complete_since = NO_HISTORY
 
     def lost(self, *, before: int, reason: str) -> None:
-        """Take note that records below ``before`` cannot be read any more."""
+        """Record that records below ``before`` can no longer be read."""
         super().lost(before=before, reason=reason)
-        self._known_from = NOTHING_KNOWN
+        self._complete_since = NO_HISTORY
 
-    def reason_refused(self, issued: float, *, at: float) -> str | None:
-        """Say why a key issued at a time cannot be claimed at another, if so."""
+    def refusal_reason(self, issued: float, *, at: float) -> str | None:
+        """Return why a key issued at ``issued`` cannot be claimed at time ``at``.
+
+        Returns None if the key can be claimed.
+        """
         if at - issued > self.window:
             return f"key was issued more than {self.window:g} s ago"
         if issued - at > self.max_ahead:
@@ -112,33 +117,34 @@
     # Snapshots and gaps
 
     def improved_by(self, head: SnapshotPart) -> bool:
-        """Tell whether a snapshot knows what this fold lacks."""
+        """Return whether a snapshot contains records that this fold lacks."""
         if self.gap is None or head.as_of < self.gap.before:
             return False
         return head.incomplete_since is None or (
-            head.incomplete_since < self._known_from
+            head.incomplete_since < self._complete_since
         )
 
     def enough_history(self, *, oldest: float, newest: float) -> bool:
-        """Tell whether records from ``oldest`` on suffice to know everything."""
+        """Return whether the records from time ``oldest`` on give a complete state."""
         return newest - oldest > self.window + self.max_ahead
 
     @property
     def may_write_snapshot(self) -> bool:
-        """Tell whether others may restore from this fold's state.
+        """Return whether other hosts may restore their state from this fold's.
 
-        An incomplete one may be written too, and says so: it moves the log's time
-        on, without which a stream that nobody may append to would stay unknown.
+        An incomplete snapshot may be written, too, and is marked as incomplete.  Its
+        append advances the log's time.  While the gap lasts, no host appends claims,
+        and without the snapshot the stream would stay incomplete.
         """
         return self.next_offset > 0
 
     def _incomplete_since(self) -> float | None:
-        return None if self.gap is None else self._known_from
+        return None if self.gap is None else self._complete_since
 
-    def _time_passed(self) -> None:
+    def _drop_expired(self) -> None:
         if self.gap is not None:
-            self._known_from = min(self._known_from, self.log_time)
-            if self.enough_history(oldest=self._known_from, newest=self.log_time):
+            self._complete_since = min(self._complete_since, self.log_time)
+            if self.enough_history(oldest=self._complete_since, newest=self.log_time):
                 self.gap = None
         while self._issue_times:
             issued, key = self._issue_times[0]
@@ -147,15 +153,15 @@
             heapq.heappop(self._issue_times)
             self.claims_by_key.pop(key, None)
 
-    def _take_unreadable(self, entry: Entry, record: Unreadable) -> None:
-        # A record of a kind that only a newer program knows may be a claim.  To
-        # take the key for free would run it a second time.
+    def _handle_unreadable(self, entry: Entry, record: Unreadable) -> None:
+        # A record of a kind that only a newer release knows may be a claim.  If its
+        # key were treated as unclaimed, the request could run a second time.
         if not record.known_kind:
             self.lost(before=entry.offset + 1, reason=record.reason)
-            self._known_from = self.log_time
+            self._complete_since = self.log_time
 
     def _contents(self) -> list[dict[str, Any]]:
-        # Copied: a part is encoded later, and must not follow what happens by then.
+        # Copied, since a part is encoded later and must not contain later changes.
         claims = [replace(claim) for claim in self.claims_by_key.values()]
         return [
             {"claims": tuple(claims[start : start + CLAIMS_PER_PART])}
@@ -166,13 +172,13 @@
         head = parts[0]
         if head.incomplete_since is not None:
             super().lost(before=head.as_of, reason="the snapshot is incomplete")
-            self._known_from = head.incomplete_since
+            self._complete_since = head.incomplete_since
         self.claims_by_key = {}
         self._issue_times = []
         for part in parts:
             assert isinstance(part, ClaimsSnapshot)
             for claim in part.claims:
-                self._keep(claim)
+                self._add_claim(claim)
 
     # Records
 
@@ -189,13 +195,13 @@
         issued = issued_at(record.key.partition("/")[2])
         if issued is None:
             return "key carries no time of issue"
-        reason = self.reason_refused(issued, at=self.log_time)
+        reason = self.refusal_reason(issued, at=self.log_time)
         if reason is not None:
             return reason
         first = self.claims_by_key.get(record.key)
         if first is not None:
             return f"key is claimed already at offset {first.offset}"
-        self._keep(
+        self._add_claim(
             ClaimState(
                 key=record.key,
                 fingerprint=record.fingerprint,
@@ -207,7 +213,7 @@
         )
         return None
 
-    def _keep(self, claim: ClaimState) -> None:
+    def _add_claim(self, claim: ClaimState) -> None:
         issued = issued_at(claim.key.partition("/")[2])
         self.claims_by_key[claim.key] = claim
         heapq.heappush(self._issue_times, (issued or 0.0, claim.key))
@@ -219,16 +225,17 @@
         if claim.owner != record.owner:
             return f"claim is owned by {claim.owner}"
         if record.request_id and record.request_id != claim.request_id:
-            # The outcome of an earlier claim of the same owner, appended again
-            # late: taken for this one it would free a key that is being run.
+            # Repeated append of the outcome of an earlier claim by the same owner.
+            # Applied to the current claim, the outcome could free the key of a request
+            # that is still running.
             return f"claim is of request {claim.request_id}"
         if claim.outcome is not None:
             return "outcome is known already"
         if record.run_state == NOT_RUN:
             if self.log_time - claim.time > FREED_WITHIN:
                 return f"key was claimed more than {FREED_WITHIN:g} s ago"
-            # Nothing was run, so the key is free: the caller was told to come
-            # back, and a resend must be able to claim it.
+            # The request was not run.  The caller was asked to retry, and the resend
+            # must be able to claim the key.
             del self.claims_by_key[record.key]
             return None
         claim.outcome = record
--- a/ryelever/state/configuration.py
+++ b/ryelever/state/configuration.py
@@ -1,4 +1,4 @@
-"""Describe the desired state that operators publish."""
+"""Define the configuration that operators publish: the desired state."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Model:
-    """Declare one model that is to be served.
+    """Declare one model to serve.
 
     Attributes
     ----------
     version : str
         Version of the weights in the weight store.
     adapters : dict of str to str
-        Version by adapter name.
+        Adapter versions by adapter name.
     hosts_per_group : int
-        Members of one replica group.
+        Number of members of one replica group.
     n_groups : int
-        Replica groups wanted in each availability zone.
+        Desired number of replica groups in each availability zone.
     priority : int
-        Higher goes first when hosts are short.
+        Models with a higher priority get their hosts first when hosts are scarce.
     """
 
     version: str
@@ -39,7 +39,7 @@
 
     @property
     def adapter_versions(self) -> tuple[str, ...]:
-        """Return ``"<name>@<version>"`` of each adapter, in order of name."""
+        """Return ``"<name>@<version>"`` of each adapter, sorted by name."""
         return tuple(
             f"{name}@{version}" for name, version in sorted(self.adapters.items())
         )
@@ -54,15 +54,15 @@
     key_hash : str
         ``"<salt>$<sha256 of salt and secret, hexadecimal>"``.
     priority : int
-        Higher goes first.
+        Requests of accounts with a higher priority are served first.
     rate : float
-        Requests a second over all entry hosts.
+        Limit in requests per second over all entry hosts.
     concurrency : int
-        Requests in flight over all entry hosts.
+        Limit of requests in flight over all entry hosts.
     share : float
-        Part of the donated capacity, 0 to 1.
+        Share of the donated capacity, 0 to 1.
     models : tuple of str
-        Models it may use; all when empty.
+        Models that the account may use; empty allows all models.
     """
 
     key_hash: str
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Service:
-    """Declare one plain service beside the model engines.
+    """Declare one plain service, which runs beside the model engines.
 
     Attributes
     ----------
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Weights:
-    """Weigh the two measures against each other."""
+    """Weight group downtime and stranded accelerators against each other."""
 
     group_downtime: float = 0.5
     stranded_accelerators: float = 0.5
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Configuration:
-    """Hold one whole desired state; collections are keyed by name."""
+    """Represent the complete desired state; collections are keyed by name."""
 
     models: dict[str, Model] = field(default_factory=dict)
     client_accounts: dict[str, ClientAccount] = field(default_factory=dict)
--- a/ryelever/state/configuration_check.py
+++ b/ryelever/state/configuration_check.py
@@ -1,10 +1,9 @@
 """Check a configuration against the rules that types cannot express.
 
-The fold of publications and the check of a published document both call
-``faults_of``.  It depends on the configuration alone, so that every process finds
-the same faults in the same order.  While hosts of two releases run side by side,
-they must agree here: a rule that is tightened would make the newer ones ignore a
-publication that the older ones have in force.
+``ConfigurationFold`` and ``check_document`` both call ``faults_of``, which depends on
+the configuration alone, so that every process finds the same faults in the same order.
+A rule must not become stricter while hosts of two releases run side by side: the newer
+hosts would ignore a publication that the older hosts have in force.
 """
 
 from __future__ import annotations
@@ -26,7 +25,7 @@
 MAX_GROUPS = 10_000
 MAX_PRIORITY = 1_000
 
-#: What rounding may add to a sum of shares that was meant to be 1.
+#: Rounding error allowed in a sum of shares that is meant to be 1.
 SHARE_TOLERANCE = 1e-9
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,99}")
@@ -35,18 +34,18 @@
 _PREFIX = re.compile(r"/[!-~]{0,200}")
 
 _NAME_EXPECTED = (
-    "a name of at most 100 letters, digits, '-', '_' and '.', "
-    "which starts with a letter or a digit"
+    "a name of at most 100 letters, digits, '-', '_' and '.' "
+    "that starts with a letter or a digit"
 )
 
 
 def place_of(*parts: str) -> str:
-    """Return the JSON pointer (RFC 6901) of a place in the document."""
+    """Return the JSON pointer (RFC 6901) to a place in the document."""
     return "".join("/" + part.replace("~", "~0").replace("/", "~1") for part in parts)
 
 
 def faults_of(configuration: Configuration) -> list[Fault]:
-    """Return every fault of a configuration whose types are right."""
+    """Return all faults of a configuration whose fields have the correct types."""
     faults: list[Fault] = []
     for name, model in configuration.models.items():
         faults += _model_faults(name, model)
@@ -85,13 +84,13 @@
         yield Fault(
             place=place_of("client_accounts", name, "key_hash"),
             expected="a salt, '$' and the SHA-256 digest in 64 hexadecimal digits",
-            remedy="let the console make a new key for this client account",
+            remedy="create a new key for this client account in the console",
         )
     yield from _priority_faults(account.priority, "client_accounts", name)
     if not (math.isfinite(account.rate) and account.rate > 0):
         yield Fault(
             place=place_of("client_accounts", name, "rate"),
-            expected="a number of requests a second above 0",
+            expected="a number of requests per second above 0",
             remedy=f"replace {account.rate}",
         )
     if account.concurrency < 1:
@@ -128,7 +127,7 @@
         if not _PREFIX.fullmatch(prefix):
             yield Fault(
                 place=place_of("services", name, "non_repeatable"),
-                expected="path prefixes that begin with '/', without spaces",
+                expected="path prefixes that begin with '/' and contain no spaces",
                 remedy=f"replace {prefix!r}",
             )
 
@@ -144,7 +143,7 @@
         yield Fault(
             place=place_of("weights"),
             expected="at least one weight above 0",
-            remedy="raise the weight of the measure that matters more",
+            remedy="raise the weight of the more important measure",
         )
 
 
@@ -162,7 +161,7 @@
         yield Fault(
             place=place_of(*parts),
             expected="a version of 1 to 200 printable characters without spaces",
-            remedy="name a version that the weight store holds",
+            remedy="enter a version that the weight store contains",
         )
 
 
@@ -175,7 +174,7 @@
 def _range_faults(
     value: float, lowest: float, highest: float, place: str
 ) -> Iterator[Fault]:
-    # Written so that a value which is not a number fails, too.
+    # The negated comparison also rejects NaN.
     if not lowest <= value <= highest:
         yield Fault(
             place=place,
--- a/ryelever/state/configuration_fold.py
+++ b/ryelever/state/configuration_fold.py
@@ -1,4 +1,4 @@
-"""Fold publications into the one configuration that is in force."""
+"""Fold publications into the configuration that is in force."""
 
 from __future__ import annotations
 
@@ -14,22 +14,23 @@
 
 __all__ = ["NO_VERSION", "ConfigurationFold", "ConfigurationSnapshot"]
 
-#: Version of the state before anything was published.
+#: Version of the configuration before the first publication.
 NO_VERSION = -1
 
-#: Begins the reason of a publication that was ignored here without a verdict.
+#: Start of the reason of a publication that was ignored because this fold could not
+#: determine whether the publication takes effect.
 NOT_JUDGED = "not judged"
 
-#: How many accepted versions are remembered, so that an operator can be told.
-N_KEPT_ACCEPTED = 1000
+#: Number of accepted versions kept to tell operators that a publication took effect.
+MAX_ACCEPTED_VERSIONS = 1000
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ConfigurationSnapshot(SnapshotPart):
-    """Repeat the configuration in force under its original version.
+    """Snapshot of the configuration in force, which keeps its original version.
 
-    Were a repeated configuration to count as new, it could outrank a later
-    publication that raced with it, and the configuration would revert.
+    If a snapshot counted as a new version, it could override a publication that was
+    appended at the same time, and the configuration would revert.
     """
 
     version: int = NO_VERSION
@@ -38,17 +39,17 @@
 
 
 class ConfigurationFold(BaseFold):
-    """Keep the accepted configuration and its version, which never falls.
+    """Fold publications into one configuration whose version never decreases.
 
-    The version is the offset of the accepted publication.  Of two publications
-    with the same base, the first in the log wins and the second is ignored with
-    the winner named.
+    The version is the offset of the accepted publication.  Of two publications with
+    the same base, the first in the log is accepted; the second is ignored for a
+    reason that names the accepted one.
 
-    While records are missing (``gap``), the configuration held stays in force, but
-    no publication is judged: the version in force for others may be one that this
-    fold never read, and a publication based on the version held here would win
-    here alone.  A snapshot, a peer's version, or a publication that names
-    no base (``replaces_below``) ends this.
+    While records are missing (``gap``), the last known configuration stays in force
+    and no publication is accepted.  Other hosts may have a version in force that this
+    fold never read, and a publication based on the last known version would then be
+    accepted by this fold alone.  The gap is closed by a snapshot, by a version
+    received from a peer, or by a publication without a base (``replaces_below``).
     """
 
     snapshot_class = ConfigurationSnapshot
@@ -58,15 +59,16 @@
         self.version = NO_VERSION
         self.configuration = Configuration()
         self.author = ""
-        self.accepted_versions: deque[int] = deque(maxlen=N_KEPT_ACCEPTED)
-        self._unjudged = NO_VERSION
+        self.accepted_versions: deque[int] = deque(maxlen=MAX_ACCEPTED_VERSIONS)
+        self._last_unjudged_offset = NO_VERSION
 
     def lost(self, *, before: int, reason: str) -> None:
-        """Take note that records below ``before`` cannot be read any more.
+        """Record that records below ``before`` can no longer be read.
 
-        Nothing that counts is missing when a peer's version is as new as the last of
-        them: whoever judged that version had read them.  Were that a gap, and no host
-        left that had read the log, no publication would ever be accepted again.
+        The loss opens no gap if the version in force, adopted from a peer, is at least
+        as new as the last lost record: the host that accepted this version had read
+        those records.  If the loss opened a gap and no host was left that had read the
+        log, no publication would ever be accepted again.
         """
         if self.version + 1 >= before:
             self.next_offset = max(self.next_offset, before)
@@ -74,19 +76,20 @@
         super().lost(before=before, reason=reason)
 
     def adopt(self, *, version: int, document: Configuration, author: str) -> bool:
-        """Put a version in force that a peer has passed on.
+        """Put a version in force that was received from a peer.
 
         Returns
         -------
         bool
-            False when the version held is as new, and nothing has changed.
+            False if the current version is at least as new; nothing changes then.
         """
         if version <= self.version:
             return False
         self._accept(version=version, document=document, author=author)
         if self.gap is not None and version + 1 >= self.gap.before:
-            # What came after this version can still be read; what was read of it
-            # while records were missing was not judged, so it is read again.
+            # The records after this version can still be read.  Publications among
+            # them that were read during the gap were not evaluated, so that reading
+            # must restart directly after this version.
             self.gap = None
             self.next_offset = min(self.next_offset, version + 1)
         return True
@@ -96,14 +99,15 @@
         if not isinstance(record, Publication):
             return "not a publication"
         if entry.offset <= self.version:
-            # Judged already by the peer that passed the version on.
+            # The peer that sent the version has already evaluated this publication.
             return None
-        # The console checks before it publishes, but anybody with access to the log
-        # can append.  A group of no hosts or a share of 40 would be carried out.
+        # The console checks a document before publishing it, but anyone with access
+        # to the log can append records.  Without this check, a group of 0 hosts or a
+        # share of 40 would be put into effect.
         faults = faults_of(record.document)
         if faults:
             return f"invalid document: {faults[0]}"
-        reason = self._reason_against(entry, record)
+        reason = self._rejection_reason(entry, record)
         if reason is not None:
             return reason
         self.gap = None
@@ -112,9 +116,9 @@
         )
         return None
 
-    def _reason_against(self, entry: Entry, record: Publication) -> str | None:
-        if self.gap is not None and not self._replaces_all(record):
-            self._unjudged = entry.offset
+    def _rejection_reason(self, entry: Entry, record: Publication) -> str | None:
+        if self.gap is not None and not self._replaces_any_version(record):
+            self._last_unjudged_offset = entry.offset
             return (
                 f"{NOT_JUDGED}: the version in force is not known here, since "
                 f"{self.gap.reason}"
@@ -128,12 +132,13 @@
             f"{self.version} by {self.author or 'nobody'} is in force"
         )
 
-    def _replaces_all(self, record: Publication) -> bool:
-        # Whatever others have in force is then below the offset as well: it was
-        # either lost here, or read without being judged.  They accept it, too.
+    def _replaces_any_version(self, record: Publication) -> bool:
+        # The version that other hosts have in force was either lost to this fold or
+        # read during the gap without being evaluated.  If both kinds of records lie
+        # below ``replaces_below``, the other hosts accept the publication, too.
         return (
             record.replaces_below >= self.gap.before
-            and record.replaces_below > self._unjudged
+            and record.replaces_below > self._last_unjudged_offset
         )
 
     def _accept(self, *, version: int, document: Configuration, author: str) -> None:
--- a/ryelever/state/directory.py
+++ b/ryelever/state/directory.py
@@ -1,4 +1,4 @@
-"""Hold what the platform's list says of the backend servers."""
+"""Define the directory of backend servers, as listed by the platform's store."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class GroupState(enum.Enum):
-    """Name the states in which a backend server can be as a member of a group."""
+    """State of a backend server as a member of a group."""
 
     JOINING = "joining"
     READY = "ready"
@@ -24,14 +24,15 @@
 
 
 class GroupReport(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold what a backend server says of its own group.
+    """Represent a backend server's report of its own group.
 
     Attributes
     ----------
     epoch : int
-        Distinguishes all groups that ever were; a higher one was formed later.
+        Number unique to each group over all time; groups formed later have higher
+        epochs.
     rank : int
-        Place among the members; the head is 0.
+        Rank among the members; the head has rank 0.
     """
 
     name: str
@@ -46,20 +47,20 @@
     Attributes
     ----------
     draining : bool
-        True once it has announced its leaving.
+        True once the server has announced that it will leave.
     cold_for : float
-        Seconds for which it stays cold, as of its entry.
+        Seconds for which the server stays cold, counted from its listing.
     started_at : int or None
-        Unix time in milliseconds of its start by its own clock; None where it doesn't
-        say.  A server may start again under the same id, and holds nothing of before
-        then.  Clocks step, so a later start may have the lower time: it tells
-        incarnations apart, and never which of two is the newer.
+        Start time in Unix milliseconds by the server's own clock; None if the server
+        does not state it.  A server may restart under the same id and then has none of
+        its previous state.  Since clocks may step back, a later start may have a lower
+        time: the value distinguishes incarnations but does not order them.
     models : frozenset of str
         Models whose weights are in use.
     staged : frozenset of str
-        Models whose weights are on its host.
+        Models whose weights are stored on the server's host.
     domain : str
-        Fabric domain; groups within one are fast.
+        Fabric domain; groups with all members in one domain are fast.
     """
 
     id: str
@@ -76,33 +77,36 @@
     started_at: int | None = None
 
     def is_same_incarnation(self, other: BackendServer) -> bool:
-        """Tell whether two descriptions under one id are of the same start."""
+        """Return whether both descriptions of a server may be of the same start.
+
+        True also if either of them lacks a start time.
+        """
         return None in (self.started_at, other.started_at) or (
             self.started_at == other.started_at
         )
 
 
 class Directory:
-    """Index the backend servers that are there now.
+    """Index the backend servers that are currently listed.
 
     Attributes
     ----------
     by_id : dict of str to BackendServer
-        All of them, leaving ones included.
+        All listed servers, including those that are leaving.
     last_seen_at_by_id : dict of str to float
-        Monotonic time of the last sign of life of each that is lost: its entry lapses
-        only some time after it.
+        Monotonic time of the last sign of life of each server that was removed.  The
+        entry of a server lapses only some time after this moment.
     cold_until_by_id : dict of str to float
-        Monotonic time until which each server that is cold stays so.
+        Monotonic time until which each cold server stays cold.
     listed_since_by_id : dict of str to float
-        Monotonic time since when each has been in the list without a gap, as this
-        process saw it.
+        Monotonic time since which each server has been listed without interruption,
+        as observed by this process.
     served_by_id : dict of str to frozenset of str
-        Models of each server's last group since its start.  One that has left its
-        group shows none, and joins another of the same model in an instant all the
-        same.
+        Models of each server's last group since the server's start.  A server that has
+        left its group lists no models, but can still join another group of the same
+        model without delay.
     n_changes : int
-        Grows with each change, for those who cache what they derive.
+        Counter that grows with each change; callers use it to invalidate caches.
     """
 
     def __init__(self) -> None:
@@ -115,14 +119,15 @@
         self._by_service: dict[str, dict[str, BackendServer]] = {}
 
     def put(self, server: BackendServer, *, now: float) -> bool:
-        """Take what is known now; tell whether anything is new."""
+        """Add or update a backend server; return whether anything has changed."""
         old = self.by_id.get(server.id)
         if old == server:
             return False
         if old is not None and old.service != server.service:
             self._by_service[old.service].pop(old.id, None)
         if old is not None and not server.is_same_incarnation(old):
-            # How long the former incarnation was there says nothing of this one.
+            # Listing time and served models of the former incarnation do not apply to
+            # the new one.
             self.listed_since_by_id.pop(server.id)
             self.served_by_id.pop(server.id, None)
         if server.cold_for:
@@ -139,12 +144,12 @@
         return True
 
     def remove(self, server_id: str, *, heard_at: float) -> bool:
-        """Take a backend server out; tell whether it was there.
+        """Remove a backend server; return whether it was listed.
 
         Parameters
         ----------
         heard_at : float
-            Monotonic time before which it renewed its entry last.
+            Monotonic time at or before which the server last renewed its entry.
         """
         server = self.by_id.pop(server_id, None)
         if server is None:
@@ -159,12 +164,12 @@
         return True
 
     def listed(self, server_ids: Iterable[str]) -> Iterator[BackendServer]:
-        """Yield those of some backend servers that are there now."""
+        """Yield the backend servers among ``server_ids`` that are listed."""
         for server_id in server_ids:
             server = self.by_id.get(server_id)
             if server is not None:
                 yield server
 
     def of_service(self, service: str) -> Iterator[BackendServer]:
-        """Yield the backend servers of one service."""
+        """Yield the listed backend servers of one service."""
         yield from self._by_service.get(service, {}).values()
--- a/ryelever/state/fleet.py
+++ b/ryelever/state/fleet.py
@@ -1,4 +1,4 @@
-"""Describe hosts, as the platform lists them and as they report themselves."""
+"""Define hosts as listed by the platform and as reported by the hosts themselves."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ListedHost:
-    """Hold one row of the platform's list, which lags.
+    """Represent one row of the platform's list of hosts, which may be out of date.
 
     Attributes
     ----------
@@ -34,21 +34,22 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class HostReport:
-    """Hold what a host says of itself.
+    """Represent a host's report of its own state.
 
     Attributes
     ----------
     boot : str
-        Changes whenever the host's engine starts anew.
+        Id that changes whenever the host's engine restarts.
     group : str
-        Group it belongs to; empty when idle.
+        Group that the host is a member of; empty when idle.
     fencing : int
-        Fencing number of the newest order that it obeyed.
+        Fencing number of the newest order that the host has obeyed.
     state : str
         ``"idle"``, ``"loading"``, ``"ready"``, ``"broken"`` or ``"leaving"``.
     clock_ms : int
-        The engine's own monotonic clock; 0 when it gives none.  The deadline of an
-        order is a reading of this clock, so no clocks need to agree.
+        Reading of the engine's monotonic clock; 0 if the engine reports none.  The
+        deadline of an order is a reading of this clock, so that the clocks of hosts
+        need not be synchronized.
     """
 
     host: str
--- a/ryelever/state/fold.py
+++ b/ryelever/state/fold.py
@@ -1,9 +1,9 @@
-"""Fold the records of one stream: equal offsets mean equal state.
+"""Fold the records of one stream into a state that is the same on every host.
 
-Every process folds the same entries with the same pure functions.  An entry that
-breaks a rule is ignored by everyone for the same reason, and the reason is kept
-for the operator.  The only clock here is the log's own: the newest time of append
-that was read, which is the same for every reader of the same entries.
+Every process applies the same entries with the same pure functions, so that two folds
+at the same offset have the same state.  An entry that breaks a rule is ignored by all
+processes for the same reason, which is kept for the operator.  The only clock is the
+log's time: the newest append time read, equal for all readers of the same entries.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 __all__ = ["BaseFold", "Gap", "Ignored"]
 
-#: Seconds of the log's time for which a record id is remembered, in order to drop
-#: a second append of it.  A writer repeats a decision for ten seconds.
+#: Seconds, by the log's time, for which a record id is remembered in order to drop
+#: repeated appends of the record.  A writer repeats an append for up to ten seconds.
 REMEMBER_FOR = 3600.0
 
-#: How many ignored records are kept for the operator.
-N_KEPT_IGNORED = 100
+#: Number of the newest ignored records that are kept for the operator.
+MAX_IGNORED = 100
 
-#: Ids in one part of a snapshot.
+#: Record ids in one part of a snapshot.
 IDS_PER_PART = 5_000
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Ignored:
-    """Say why one entry was ignored."""
+    """Describe an entry that was ignored, with the reason."""
 
     offset: int
     id: str
@@ -40,32 +40,32 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Gap:
-    """Say that records below an offset were never read, and why."""
+    """Describe a gap: records below offset ``before`` were never read."""
 
     before: int
     reason: str
 
 
 class BaseFold:
-    """Drop repeated appends, keep the reasons of ignored entries.
+    """Base class of folds: drop repeated appends and keep why entries were ignored.
 
-    A subclass implements ``_apply_record``, which returns ``None`` when the record
-    took effect and a reason otherwise, and the pair ``_contents`` and
-    ``_restore`` for snapshots.
+    A subclass implements ``_apply_record``, which returns None if the record took
+    effect and the reason otherwise, and the pair ``_contents`` and ``_restore`` for
+    snapshots.
 
     Attributes
     ----------
     log_time : float
-        Newest time of append read so far, by the log service's clock.
+        Newest append time read so far, by the log service's clock.
     gap : Gap or None
-        Set while records are missing from the state.  The fold then does not
-        claim to know: see each subclass for what it still answers.
+        Set while records are missing from the state, which is then incomplete.  Each
+        subclass documents which parts of its state stay valid during a gap.
     snapshot_time : float
-        The log's time of the newest snapshot part read, or minus infinity.
+        Append time of the newest snapshot part read, or minus infinity.
     snapshot_offset : int
-        Offset of the newest snapshot part read; -1 when there was none.
+        Offset of the newest snapshot part read; -1 if none was read.
     first_time : float
-        The log's time of the first entry read, or infinity.
+        Append time of the first entry read, or infinity.
     """
 
     remember_for: ClassVar[float] = REMEMBER_FOR
@@ -84,41 +84,44 @@
 
     @property
     def complete(self) -> bool:
-        """Tell whether nothing that counts is missing."""
+        """Return whether no record that affects the state is missing."""
         return self.gap is None
 
     def apply(self, entry: Entry) -> str | None:
-        """Apply one entry.
+        """Apply one entry; return the reason if the entry is ignored, else None.
 
-        Entries below ``next_offset`` were applied before and change nothing, so a
-        read that is repeated after a lost answer is harmless.
+        Entries below ``next_offset`` were applied before and change nothing, so that
+        repeating a read whose answer was lost is harmless.
         """
         if entry.offset < self.next_offset:
             return None
         self.next_offset = entry.offset + 1
-        # The log's clock may be set back; a fold that followed it would take in
-        # again what it has refused as too old.
+        # The log's clock may be set back.  A fold whose time went back with it would
+        # accept records that it has already refused as too old.
         self.log_time = max(self.log_time, entry.time)
         self.first_time = min(self.first_time, entry.time)
-        self._forget_ids()
-        self._time_passed()
-        reason = self._reason_repeated(entry) or self._apply_known(entry)
+        self._forget_expired_ids()
+        self._drop_expired()
+        reason = self._check_repeated(entry) or self._apply_new(entry)
         if reason is not None:
-            self._keep_ignored(entry, reason)
+            self._record_ignored(entry, reason)
         return reason
 
     def lost(self, *, before: int, reason: str) -> None:
-        """Take note that records below ``before`` cannot be read any more."""
+        """Record that records below ``before`` can no longer be read."""
         self.gap = Gap(before=before, reason=reason)
         self.next_offset = max(self.next_offset, before)
 
     def offset_of(self, record_id: str) -> int | None:
-        """Return where the record with this id was read back, if it was."""
+        """Return the offset at which the record with this id was read, or None."""
         remembered = self._remembered_by_id.get(record_id)
         return None if remembered is None else remembered.offset
 
     def reason_of(self, record_id: str) -> str | None:
-        """Return why the record with this id was ignored, while that is kept."""
+        """Return why the record with this id was ignored.
+
+        Returns None if the record was not ignored or the reason is no longer kept.
+        """
         for ignored in self.ignored:
             if ignored.id == record_id:
                 return ignored.reason
@@ -127,7 +130,7 @@
     # Snapshots
 
     def to_snapshot(self, *, snapshot: str) -> list[SnapshotPart]:
-        """Return the state as records; each part holds a bounded piece.
+        """Return the state as records, each with a part of bounded size.
 
         Parameters
         ----------
@@ -156,7 +159,9 @@
         ]
 
     def from_snapshot(self, parts: Sequence[SnapshotPart]) -> None:
-        """Replace the state by that of a whole snapshot; reading goes on from it.
+        """Replace the state by that of a complete snapshot.
+
+        Reading continues at the snapshot's ``as_of`` offset.
 
         Parameters
         ----------
@@ -175,7 +180,7 @@
         self._restore(parts)
 
     def improved_by(self, head: SnapshotPart) -> bool:
-        """Tell whether a snapshot knows what this fold lacks."""
+        """Return whether a snapshot contains the records that this fold lacks."""
         return (
             self.gap is not None
             and head.incomplete_since is None
@@ -183,24 +188,30 @@
         )
 
     def enough_history(self, *, oldest: float, newest: float) -> bool:
-        """Tell whether records from ``oldest`` on suffice to know everything."""
+        """Return whether the records from time ``oldest`` on give a complete state.
+
+        Parameters
+        ----------
+        oldest, newest : float
+            Append times of the oldest and the newest available record.
+        """
         return False
 
     @property
     def may_write_snapshot(self) -> bool:
-        """Tell whether others may restore from this fold's state."""
+        """Return whether other hosts may restore their state from this fold's."""
         return self.gap is None and self.next_offset > 0
 
     def _incomplete_since(self) -> float | None:
         return None
 
-    # Steps
+    # Steps of ``apply``
 
-    def _apply_known(self, entry: Entry) -> str | None:
+    def _apply_new(self, entry: Entry) -> str | None:
         record = entry.record
         if isinstance(record, Unreadable):
             self.n_unreadable += 1
-            self._take_unreadable(entry, record)
+            self._handle_unreadable(entry, record)
             return f"cannot be read: {record.reason}"
         if isinstance(record, self.snapshot_class):
             self.snapshot_time = max(self.snapshot_time, entry.time)
@@ -208,9 +219,10 @@
             return None
         return self._apply_record(entry)
 
-    def _reason_repeated(self, entry: Entry) -> str | None:
+    def _check_repeated(self, entry: Entry) -> str | None:
         first = self._remembered_by_id.get(entry.id)
-        # A read that goes back to an earlier offset meets the record itself again.
+        # With equal offsets, the entry is the same append, read again after reading
+        # restarted at an earlier offset.
         if first is not None and first.offset < entry.offset:
             return f"repeated append of the record at offset {first.offset}"
         self._remembered_by_id[entry.id] = RememberedId(
@@ -218,35 +230,35 @@
         )
         return None
 
-    def _forget_ids(self) -> None:
+    def _forget_expired_ids(self) -> None:
         while self._remembered_by_id:
             oldest = next(iter(self._remembered_by_id.values()))
             if self.log_time - oldest.time <= self.remember_for:
                 return
             del self._remembered_by_id[oldest.id]
 
-    def _keep_ignored(self, entry: Entry, reason: str) -> None:
+    def _record_ignored(self, entry: Entry, reason: str) -> None:
         kind = type(entry.record).__name__
         if isinstance(entry.record, Unreadable):
             kind = entry.record.kind
         self.ignored.append(
             Ignored(offset=entry.offset, id=entry.id, kind=kind, reason=reason)
         )
-        del self.ignored[:-N_KEPT_IGNORED]
+        del self.ignored[:-MAX_IGNORED]
 
-    def _time_passed(self) -> None:
-        """Let go of what the log's time has made void."""
+    def _drop_expired(self) -> None:
+        """Drop state, or end a gap, that has expired by the log's time."""
 
-    def _take_unreadable(self, entry: Entry, record: Unreadable) -> None:
-        """Decide what a record that cannot be read makes uncertain."""
+    def _handle_unreadable(self, entry: Entry, record: Unreadable) -> None:
+        """Mark the state that an undecodable record makes uncertain."""
 
     def _apply_record(self, entry: Entry) -> str | None:
         raise NotImplementedError
 
     def _contents(self) -> list[dict[str, Any]]:
-        """Return the fields of each part of a snapshot, beside the common ones."""
+        """Return the fields that the subclass adds to each part of a snapshot."""
         raise NotImplementedError
 
     def _restore(self, parts: Sequence[SnapshotPart]) -> None:
-        """Take over the fields of a whole snapshot."""
+        """Replace the subclass's state by that of a complete snapshot."""
         raise NotImplementedError
--- a/ryelever/state/idempotency_key.py
+++ b/ryelever/state/idempotency_key.py
@@ -1,4 +1,4 @@
-"""Read the time of issue out of an idempotency key."""
+"""Extract the time of issue from an idempotency key."""
 
 from __future__ import annotations
 
@@ -6,21 +6,24 @@
 
 __all__ = ["MAX_KEY_LENGTH", "issued_at"]
 
-#: Longest key, in characters.
+#: Maximum length of a key, in characters.
 MAX_KEY_LENGTH = 128
 
-#: UUID version 7, RFC 9562 section 5.7: 48 bits of Unix milliseconds come first.
+#: UUID version 7, RFC 9562 section 5.7: the first 48 bits are Unix milliseconds.
 _UUID7 = re.compile(
     r"([0-9a-f]{8})-([0-9a-f]{4})-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}",
     re.IGNORECASE,
 )
 
-#: Unix milliseconds and any text; 13 digits reach from 2001 to 2286.
+#: Unix milliseconds, a hyphen and any text; 13 digits cover the years 2001 to 2286.
 _PREFIXED = re.compile(r"([1-9][0-9]{12})-.+", re.DOTALL)
 
 
 def issued_at(key: str) -> float | None:
-    """Return when a key was issued, in seconds since the epoch; None if unsaid."""
+    """Return a key's time of issue in seconds since the epoch.
+
+    Returns None if the key contains no time of issue or is too long.
+    """
     if len(key) > MAX_KEY_LENGTH:
         return None
     match = _UUID7.fullmatch(key)
--- a/ryelever/state/keyed_record.py
+++ b/ryelever/state/keyed_record.py
@@ -1,4 +1,4 @@
-"""Hold records of a keyed topic of the platform's store."""
+"""Define the records of a keyed topic of the platform's store."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class KeyedRecord(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold one record; an empty value takes the key out."""
+    """Represent one record of a key; an empty value deletes the key."""
 
     key: str
     value: bytes
@@ -16,28 +16,29 @@
 
 
 class ServerUpdates(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold a part of the backend servers' topic that one host has read.
+    """Represent a range of the backend servers' topic that one host has read.
 
     Attributes
     ----------
     start, end : int
-        Offsets of its first record, and after its last one.
+        Offset of the first record of the range, and the offset after the last one.
     records : list of KeyedRecord
-        Those that say anything new.
+        Records of the range that contain a change.
     reader : str
-        The host that has read it; the first by name goes on reading for all.
+        Host that has read the range.  Of several readers, the first by name continues
+        to read for all hosts.
     reported : bool
-        True where the records were put together of what the servers said themselves
-        when they were asked, while the store was away; then there are no offsets.
+        True if the records were composed from the servers' own reports, which hosts
+        request while the store is unavailable; such records have no offsets.
     era : int
         Era of the store that the offsets belong to.
     passed_on : bool
-        True where another host than the one that has read it sends it.
+        True if the sender is a host other than ``reader``.
     to_fetch : bool
-        True where the records are too many for datagrams, and whoever sends it is
-        asked for them.
-    giver : str
-        Address of the host that sent it; empty where that isn't known.
+        True if the records are too many for datagrams; the receiver fetches them
+        from the sender instead.
+    provider : str
+        Address of the host that sent the updates; empty if unknown.
     """
 
     reader: str
--- a/ryelever/state/observations.py
+++ b/ryelever/state/observations.py
@@ -1,4 +1,7 @@
-"""Describe what entry hosts observe and tell each other; soft, lossy and aged."""
+"""Define the rows of soft state that entry hosts exchange.
+
+Rows may be lost on the way and are valid only for a limited time.
+"""
 
 from __future__ import annotations
 
@@ -25,14 +28,14 @@
 
 
 class DemandRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Tell how much an entry host sees of a client account's demand.
+    """Report the demand of a client account as observed by one entry host.
 
     Attributes
     ----------
     rate : float
-        Requests a second that arrived lately, admitted or not.
+        Recent arrivals in requests per second, whether admitted or not.
     n_in_flight, n_waiting : int
-        Requests of the account here.
+        Requests of the account that are in flight and waiting at the entry host.
     """
 
     client_account: str
@@ -42,17 +45,18 @@
 
 
 class RateLimitRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Tell what a backend server's answer said of its rate limit.
+    """Report the rate limit that a backend server stated in an answer.
 
     Attributes
     ----------
     rate : float or None
-        Requests a second that it takes from all entry hosts; None where it names no
-        limit any more.
+        Requests per second that the server accepts from all entry hosts together;
+        None once the server states no limit any more.
     age : float
-        Seconds since the answer came.
+        Seconds since the answer was received.
     started_at : int or None
-        Tells the server's incarnations apart, where it says when it started.
+        Start time of the server, which distinguishes its incarnations; None if the
+        server does not state it.
     """
 
     server_id: str
@@ -61,24 +65,28 @@
     started_at: int | None = None
 
     def is_of(self, server: BackendServer) -> bool:
-        """Tell whether it is about this incarnation, as far as both say."""
+        """Return whether the row may be about this incarnation of the server.
+
+        True also if the row or the server lacks a start time.
+        """
         return None in (self.started_at, server.started_at) or (
             self.started_at == server.started_at
         )
 
 
 class SuspicionRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Tell in how many crashes a request's fingerprint was seen.
+    """Report the number of crashes in which a request's fingerprint was involved.
 
     Attributes
     ----------
     crash : str
-        Names the newest one, alike on all entry hosts: the target and its fencing
-        number.
+        Identifier of the newest crash, the same on all entry hosts: the target and
+        its fencing number.
     repeated : bool
-        True when it was a suspect already in that one.
+        True if the request was already a suspect when the newest crash happened.
     proved : bool
-        True when it had got past the place of an earlier crash before that one.
+        True if, before the newest crash, the request had got past the point at which
+        an earlier crash happened.
     """
 
     fingerprint: str
@@ -89,7 +97,10 @@
 
 
 def sum_suspicions(first: SuspicionRow, second: SuspicionRow) -> SuspicionRow:
-    """Add up what two entry hosts saw of the same request; each saw its own crashes."""
+    """Return the sum of two entry hosts' rows for the same request.
+
+    The crash counts are added, since each entry host counts only its own crashes.
+    """
     return SuspicionRow(
         fingerprint=first.fingerprint,
         n_crashes=first.n_crashes + second.n_crashes,
@@ -100,26 +111,26 @@
 
 
 class LeavingRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Tell that a backend server is leaving, as this entry host learned."""
+    """Report that a backend server is leaving, as this entry host has learned."""
 
     host: str
 
 
 class LoadRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Tell how many requests an entry host has in flight at a target."""
+    """Report the number of requests that an entry host has in flight at a target."""
 
     target: str
     n_in_flight: int
 
 
 class ReportRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Pass on a host's report, whose age is that of the question."""
+    """Forward a host's report; its age counts from the request for the report."""
 
     report: HostReport
 
 
 class ConfigurationRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Pass on the configuration in force with its version."""
+    """Forward the configuration in force with its version."""
 
     version: int
     author: str
--- a/ryelever/state/placement.py
+++ b/ryelever/state/placement.py
@@ -1,4 +1,4 @@
-"""Fold one availability zone's placement: leases, groups, claimed hosts."""
+"""Fold the placement of one availability zone: leases, groups and claimed hosts."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 __all__ = ["Group", "Lease", "PlacementChange", "PlacementFold", "PlacementSnapshot"]
 
-#: How many changes are kept for the operator.
-N_KEPT_CHANGES = 200
+#: Number of the newest changes that are kept for the operator.
+MAX_CHANGES = 200
 
 #: Groups in one part of a snapshot.
 GROUPS_PER_PART = 200
@@ -30,18 +30,19 @@
 
 @dataclass(slots=True, kw_only=True)
 class Group:
-    """Hold one replica group as the log has it.
+    """Represent one replica group as recorded in the log.
 
     Attributes
     ----------
     fencing : int
-        Offset of the record that formed it.
+        Fencing number: the offset of the record that formed the group.
     unreleased : set of str
-        Hosts still claimed; all members until the group is dissolved.
+        Hosts that the group still claims; all members until the group is dissolved.
     draining_since : int
-        Offset of the record that ended new work; -1 while the group takes it.
+        Offset of the record from which on the group gets no new requests; -1 if the
+        group does not drain.
     dissolved_at : int
-        Offset of the record that dissolved it; -1 before.
+        Offset of the record that dissolved the group; -1 if not dissolved.
     """
 
     name: str
@@ -61,27 +62,27 @@
 
     @property
     def adapter_names(self) -> tuple[str, ...]:
-        """Return the adapters without their versions."""
+        """Return the names of the adapters, without their versions."""
         return tuple(adapter.partition("@")[0] for adapter in self.adapters)
 
     @property
     def draining(self) -> bool:
-        """Tell whether the group finishes its requests and takes no new ones."""
+        """Return whether the group finishes its requests and gets no new ones."""
         return self.draining_since >= 0
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class PlacementChange:
-    """Tell the operator of one decision that took effect.
+    """Describe, for the operator, one decision that took effect.
 
     Attributes
     ----------
     time : float
-        The log service's own time, seconds since the epoch.
+        Append time by the log service's clock, in seconds since the epoch.
     kind : str
         ``"formed"``, ``"draining"``, ``"dissolved"`` or ``"released"``.
     replaces : str
-        Group whose place a formed one takes, where the record names one.
+        Group that a newly formed group replaces; empty if none.
     """
 
     offset: int
@@ -95,14 +96,15 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Lease:
-    """Hold the planner's lease of the zone.
+    """Represent the planner's lease of the zone.
 
     Attributes
     ----------
     offset : int
         Offset of the newest renewal.
     tenure : int
-        Offset at which this holder took the lease; decisions name it.
+        Offset at which the current holder acquired the lease.  Decisions refer to the
+        lease by this offset.
     """
 
     offset: int
@@ -113,19 +115,20 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class PlacementSnapshot(SnapshotPart):
-    """Repeat a piece of one zone's placement."""
+    """Snapshot part with the lease and some of the groups of one zone."""
 
     lease: Lease | None = None
     groups: tuple[Group, ...] = ()
 
 
 class PlacementFold(BaseFold):
-    """Keep which hosts belong to which group in one availability zone.
+    """Fold placement records into the groups and claimed hosts of one zone.
 
-    After records were lost (``gap``) nobody knows which lease is current.  The next
-    taking of the lease is then believed, whichever one it follows, and those after
-    it follow it.  A fold that went on from the lease that it held would ignore each
-    renewal by the holder and count its own: its host would plan next to the holder.
+    After a loss of records (``gap``), the current lease is unknown.  The fold then
+    accepts the next lease record, whatever its ``previous`` offset, and checks the
+    following lease records against that one.  A fold that kept its last known lease
+    would ignore every renewal by the actual holder and accept its own host's lease
+    records, so that two hosts would plan the zone at the same time.
     """
 
     snapshot_class = PlacementSnapshot
@@ -135,13 +138,13 @@
         self.lease: Lease | None = None
         self.groups_by_name: dict[str, Group] = {}
         self.group_by_host: dict[str, str] = {}
-        self.changes: deque[PlacementChange] = deque(maxlen=N_KEPT_CHANGES)
-        self._lease_lost = False
+        self.changes: deque[PlacementChange] = deque(maxlen=MAX_CHANGES)
+        self._lease_unknown = False
 
     def lost(self, *, before: int, reason: str) -> None:
-        """Take note that records below ``before`` cannot be read any more."""
+        """Record that records below ``before`` can no longer be read."""
         super().lost(before=before, reason=reason)
-        self._lease_lost = True
+        self._lease_unknown = True
 
     def _apply_record(self, entry: Entry) -> str | None:
         match entry.record:
@@ -159,7 +162,7 @@
                 return "not a record of placement"
 
     def _contents(self) -> list[dict[str, Any]]:
-        # Copied: a part is encoded later, and must not follow what happens by then.
+        # Copied, since a part is encoded later and must not contain later changes.
         groups = copy.deepcopy(list(self.groups_by_name.values()))
         starts = range(0, max(1, len(groups)), GROUPS_PER_PART)
         return [
@@ -172,7 +175,7 @@
 
     def _restore(self, parts: Sequence[SnapshotPart]) -> None:
         self.lease = parts[0].lease
-        self._lease_lost = False
+        self._lease_unknown = False
         self.groups_by_name = {
             group.name: group for part in parts for group in part.groups
         }
@@ -184,9 +187,9 @@
 
     def _apply_lease(self, entry: Entry, record: LeaseTaken) -> str | None:
         current = self.lease.offset if self.lease is not None else -1
-        if record.previous != current and not self._lease_lost:
+        if record.previous != current and not self._lease_unknown:
             return f"follows lease {record.previous}, but lease {current} is current"
-        self._lease_lost = False
+        self._lease_unknown = False
         renewed = self.lease is not None and self.lease.holder == record.holder
         self.lease = Lease(
             offset=entry.offset,
@@ -196,23 +199,23 @@
         )
         return None
 
-    def _reason_without_lease(self, lease: int) -> str | None:
-        # A planner that was paused beyond its term may append decisions made
-        # before the pause.  Its lease is no longer the current one by then, so
-        # every reader ignores them alike.
+    def _stale_lease_reason(self, lease: int) -> str | None:
+        # A planner that was paused for longer than its lease's term may append
+        # decisions that it made before the pause.  Its lease is no longer current
+        # then, so that every reader ignores these decisions.
         current = self.lease.tenure if self.lease is not None else -1
         if current != lease:
             return f"decided under lease {lease}, but lease {current} is current"
         return None
 
     def _apply_formed(self, entry: Entry, record: GroupFormed) -> str | None:
-        reason = self._reason_without_lease(record.lease) or self._reason_unformable(
+        reason = self._stale_lease_reason(record.lease) or self._formation_conflict(
             record
         )
         if reason is not None:
             return reason
         if record.replaces:
-            self._take_over(entry, record)
+            self._dissolve_replaced(entry, record)
         self.groups_by_name[record.group] = Group(
             name=record.group,
             fencing=entry.offset,
@@ -226,7 +229,7 @@
         )
         for host in record.members:
             self.group_by_host[host] = record.group
-        self._keep_change(
+        self._record_change(
             entry,
             kind="formed",
             group=record.group,
@@ -236,7 +239,7 @@
         )
         return None
 
-    def _reason_unformable(self, record: GroupFormed) -> str | None:
+    def _formation_conflict(self, record: GroupFormed) -> str | None:
         if record.group in self.groups_by_name:
             return f"group {record.group} exists already"
         if not record.members or len(set(record.members)) != len(record.members):
@@ -251,9 +254,9 @@
                 return f"host {host} belongs to group {claimed_by}"
         return None
 
-    def _take_over(self, entry: Entry, record: GroupFormed) -> None:
-        # One record ends the old group and moves the claims: at no offset is a
-        # host claimed twice, and at none is it free for a third group.
+    def _dissolve_replaced(self, entry: Entry, record: GroupFormed) -> None:
+        # A single record dissolves the old group and transfers the claims.  At no
+        # offset is a host claimed by two groups, or free to be claimed by a third.
         replaced = self.groups_by_name[record.replaces]
         replaced.dissolved = True
         replaced.dissolved_reason = record.reason
@@ -263,7 +266,7 @@
             del self.groups_by_name[replaced.name]
 
     def _apply_draining(self, entry: Entry, record: GroupDraining) -> str | None:
-        reason = self._reason_without_lease(record.lease)
+        reason = self._stale_lease_reason(record.lease)
         if reason is not None:
             return reason
         group = self.groups_by_name.get(record.group)
@@ -271,13 +274,13 @@
             return f"group {record.group} is not there to drain"
         group.draining_since = entry.offset
         group.draining_reason = record.reason
-        self._keep_change(
+        self._record_change(
             entry, kind="draining", group=record.group, reason=record.reason
         )
         return None
 
     def _apply_dissolved(self, entry: Entry, record: GroupDissolved) -> str | None:
-        reason = self._reason_without_lease(record.lease)
+        reason = self._stale_lease_reason(record.lease)
         if reason is not None:
             return reason
         group = self.groups_by_name.get(record.group)
@@ -286,13 +289,13 @@
         group.dissolved = True
         group.dissolved_reason = record.reason
         group.dissolved_at = entry.offset
-        self._keep_change(
+        self._record_change(
             entry, kind="dissolved", group=record.group, reason=record.reason
         )
         return None
 
     def _apply_released(self, entry: Entry, record: HostReleased) -> str | None:
-        reason = self._reason_without_lease(record.lease)
+        reason = self._stale_lease_reason(record.lease)
         if reason is not None:
             return reason
         group = self.groups_by_name.get(record.group)
@@ -304,7 +307,7 @@
         del self.group_by_host[record.host]
         if not group.unreleased:
             del self.groups_by_name[record.group]
-        self._keep_change(
+        self._record_change(
             entry,
             kind="released",
             group=record.group,
@@ -313,7 +316,7 @@
         )
         return None
 
-    def _keep_change(
+    def _record_change(
         self,
         entry: Entry,
         *,
--- a/ryelever/state/records.py
+++ b/ryelever/state/records.py
@@ -1,7 +1,7 @@
-"""Define the records that the platform's log holds, one class a kind.
+"""Define the records of the platform's log, one class for each kind.
 
-A record is never changed.  Its offset in its stream is its order, its version and,
-for placements, its fencing number.
+Records are immutable.  The offset of a record in its stream gives its order and its
+version; for placement records, the offset is also the fencing number.
 """
 
 from __future__ import annotations
@@ -29,20 +29,20 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Publication:
-    """Publish a configuration that was derived from ``base_version``.
+    """Record a published configuration, derived from ``base_version``.
 
     Attributes
     ----------
     base_version : int
-        Offset of the configuration it replaces; -1 for the first one.
+        Offset of the configuration that is replaced; -1 for the first publication.
     author : str
-        The operator who published it.
+        Operator who published the configuration.
     document : Configuration
-        The whole desired state.
+        The complete desired state.
     replaces_below : int
-        Replaces any version below this offset, in place of one named base; -1 for
-        none.  For the operator of a fleet that was replaced while its
-        configuration expired in the log, so that nobody can name a base.
+        If not -1, the publication replaces any version below this offset instead of
+        one given base version.  Needed when all entry hosts were replaced while the
+        configuration expired in the log: the base version is then unknown.
     """
 
     base_version: int
@@ -53,17 +53,17 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class LeaseTaken:
-    """Take or renew the planner's lease of one availability zone.
+    """Record that a planner acquired or renewed the lease of an availability zone.
 
     Attributes
     ----------
     holder : str
-        Name of the entry host together with its boot id.
+        Name and boot id of the entry host that holds the lease.
     term : float
-        Seconds, counted by each judge on its own monotonic clock from the moment
-        it read the record.  0 gives the lease back.
+        Duration in seconds.  Each reader counts it on its own monotonic clock from
+        the moment at which it read the record.  0 returns the lease.
     previous : int
-        Offset of the lease that it renews or replaces; -1 for the first one.
+        Offset of the lease that is renewed or replaced; -1 for the first lease.
     """
 
     holder: str
@@ -73,23 +73,25 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class GroupFormed:
-    """Claim hosts for one replica group; its offset is the fencing number.
+    """Record a new replica group and claim its hosts.
+
+    The offset of this record is the group's fencing number.
 
     Attributes
     ----------
     group : str
-        Unique name of the group; never used again.
+        Unique name of the group; names are never reused.
     members : tuple of str
-        Host names in rank order; rank 0 takes the requests.
+        Host names in rank order; rank 0 receives the requests.
     lease : int
-        Offset of the planner's lease under which it was decided.
+        Offset of the planner's lease under which the group was formed.
     adapters : tuple of str
         ``"<name>@<version>"`` of each adapter.
     reason : str
-        Why, for the operator.
+        Reason for the decision, shown to the operator.
     replaces : str
-        Group that this record dissolves, and whose claims it takes over for those
-        of its hosts that are members here; empty when all members are free.
+        Group that this record dissolves.  Hosts that are members of both groups
+        pass to the new group's claim.  Empty when all members are free.
     """
 
     group: str
@@ -105,7 +107,10 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class GroupDraining:
-    """Give a group no new work; requests in flight finish, then it is dissolved."""
+    """Record that a group drains: it gets no new requests and is dissolved later.
+
+    The group is dissolved after its requests in flight have ended.
+    """
 
     group: str
     lease: int
@@ -114,7 +119,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class GroupDissolved:
-    """End a group; its hosts stay claimed until each is released."""
+    """Record the end of a group, whose hosts stay claimed until each is released."""
 
     group: str
     lease: int
@@ -123,14 +128,16 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class HostReleased:
-    """Free one host of a dissolved group, with the evidence for it.
+    """Record that one host of a dissolved group is free again.
 
     Attributes
     ----------
     evidence : str
-        ``"left"`` (the host reports that it is in no group or in another one),
-        ``"gone"`` (the platform's list no longer names it, and it is silent) or
-        ``"dead"`` (still named, but silent for longer than any order is obeyed).
+        Evidence that the host no longer works for the group.  ``"left"``: the host
+        reports that it is in no group or in another one.  ``"gone"``: the platform's
+        list no longer contains the host, and the host sends no reports.  ``"dead"``:
+        the list still contains the host, but the host has sent no reports for longer
+        than any order stays valid.
     """
 
     group: str
@@ -141,16 +148,17 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Claim:
-    """Claim the single run of a non-repeatable request.
+    """Record a claim to the single run of a non-repeatable request.
 
     Attributes
     ----------
     key : str
         Client account and idempotency key, joined.
     fingerprint : str
-        Digest of the request, so that one key cannot cover two requests.
+        Digest of the request, which prevents the use of one key for two requests.
     owner : str
-        Entry host and boot id that runs the request if this claim is the first.
+        Name and boot id of the entry host that runs the request if this claim is the
+        first one of its key.
     """
 
     key: str
@@ -161,16 +169,16 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Outcome:
-    """Store how a claimed request ended.
+    """Record how a claimed request ended.
 
     Attributes
     ----------
     run_state : str
         ``"run"``, ``"not_run"`` or ``"outcome_unknown"``.
     body : str
-        The answer where it is small; empty otherwise.
+        Body of the answer if it is small; empty otherwise.
     request_id : str
-        The request whose claim it ends; empty ends any claim of the owner.
+        Request whose claim is ended; if empty, any claim of the owner is ended.
     """
 
     key: str
@@ -184,7 +192,10 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class RememberedId:
-    """Remember where a record was first read, to drop repeated appends of it."""
+    """Store the offset and time at which a record id was first read.
+
+    Later appends of the same record are dropped by this id.
+    """
 
     id: str
     offset: int
@@ -193,24 +204,26 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class SnapshotPart:
-    """Repeat a part of a fold's state before retention ends.
+    """Record one part of a snapshot of a fold's state.
 
-    Each stream's fold defines its own subclass.  A snapshot is whole only when
-    all of its parts were read; it describes the state just before ``as_of``, not
-    at its own offset, so it can never outrank what was appended in between.
+    Snapshots are written before the retention of the log deletes the records that
+    led to the state.  Each stream's fold defines its own subclass.  A snapshot is
+    complete only when all of its parts were read.  It describes the state just
+    before ``as_of``, not at its own offset, and therefore never overrides records
+    that were appended between the two.
 
     Attributes
     ----------
     snapshot : str
         Unique id shared by the parts.
     as_of : int
-        Offset of the first record that is not contained.
+        Offset of the first record that the snapshot does not include.
     log_time : float
-        Newest time of append contained, seconds since the epoch.
+        Newest append time among the included records, in seconds since the epoch.
     incomplete_since : float or None
-        The log's time before which records may be missing; None when none are.
+        Log time before which records may be missing; None if no record is missing.
     remembered : tuple of RememberedId
-        Ids whose repeated append must still be dropped.
+        Record ids whose repeated appends must still be dropped.
     """
 
     snapshot: str
@@ -224,12 +237,13 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Unreadable:
-    """Stand for a record that this program cannot decode.
+    """Represent a record that this program cannot decode.
 
     Attributes
     ----------
     known_kind : bool
-        False when a newer program may understand the record.
+        False if the kind is unknown, so that a newer release may be able to decode
+        the record.
     """
 
     kind: str
@@ -253,18 +267,18 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Entry:
-    """Hold one record as it was read back from the log.
+    """Represent one record as read from the log.
 
     Attributes
     ----------
     offset : int
         Position in the stream.
     time : float
-        The log service's own time of append, seconds since the epoch.
+        Append time by the log service's clock, in seconds since the epoch.
     id : str
-        Unique id given by the writer; a repeated append carries the same one.
+        Unique id assigned by the writer; a repeated append has the same id.
     record : Record
-        The record itself.
+        The decoded record.
     """
 
     offset: int
--- a/ryelever/state/routes.py
+++ b/ryelever/state/routes.py
@@ -1,4 +1,4 @@
-"""Hold the routes, services and client accounts of one configuration version."""
+"""Define the routes, services and client accounts of one configuration version."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class RouteKind(enum.Enum):
-    """Say what may be repeated on a route.
+    """Kind of a route, which determines whether its requests may be repeated.
 
-    ``IDEMPOTENT`` requests may run more than once, ``AT_MOST_ONCE`` ones may not.
-    ``STREAM`` answers are series of events; they may run again only where the
-    stream can be resumed after the last event delivered.
+    ``IDEMPOTENT`` requests may run more than once; ``AT_MOST_ONCE`` requests may not.
+    The answer to a ``STREAM`` request is a sequence of events.  Such a request may run
+    again only if its stream can be resumed after the last delivered event.
     """
 
     IDEMPOTENT = "idempotent"
@@ -37,24 +37,27 @@
 
 
 class Route(msgspec.Struct, kw_only=True, frozen=True):
-    """Describe what happens to the requests of one host and path prefix.
+    """Describe how requests for one host and path prefix are handled.
 
     Attributes
     ----------
     timeout : float
-        Longest time in seconds that the operator wants a request kept waiting.
+        Longest time in seconds for which a request may be kept waiting.
     latency_objective : float
-        Seconds to the answer, or to a stream's first event, for full value.
+        Objective in seconds for the answer, or for the first event of a stream; a
+        request that meets it counts with its full value.
     pause_objective : float
-        Longest pause in seconds between two events of a stream.
+        Objective in seconds for the longest pause between two events of a stream.
     priority : int
-        Rank, 0 first.
+        Rank; 0 is served first.
     weight_by_service : dict of str to float
-        Share of the requests that each service gets.
+        Relative share of the requests that each service gets.
     max_attempts : int
-        Most backend servers that one request may be sent to.
+        Maximum number of backend servers to which one request may be sent.
     public : bool
-        True where no key is asked for.
+        True if callers need no key.
+    resumable : bool
+        True if a broken stream can be resumed after its last delivered event.
     """
 
     name: str
@@ -72,13 +75,13 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request may run on a second backend server."""
+        """Return whether a request may run again on a second backend server."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
         return self.kind is RouteKind.IDEMPOTENT
 
     def service_of(self, request_id: str) -> str:
-        """Return the service of one request, the same for the same id."""
+        """Return the service for a request; equal ids give the same service."""
         total = sum(self.weight_by_service.values())
         point = zlib.crc32(request_id.encode()) / 2**32 * total
         for service, weight in self.weight_by_service.items():
@@ -94,13 +97,14 @@
     Attributes
     ----------
     size : int
-        Members of a replica group.
+        Number of members of a replica group.
     share : float
-        The model's share of the work at the start.
+        The model's share of the work when the system starts.
     pace : float
-        Factor on all times of a group of this model.
+        Factor by which all times of a group of this model are multiplied.
     load_time, warm_time : float
-        Seconds to join with weights from the weight store, and with staged ones.
+        Seconds that a server takes to join a group when it loads the weights from the
+        weight store, and when the weights are staged on its host.
     """
 
     name: str
@@ -117,19 +121,23 @@
     Attributes
     ----------
     slots : int
-        Requests that a group batches.
+        Maximum number of requests in a group's batch.
     step_time, step_time_per_request : float
-        One step of a batch, and what each request in it adds.
+        Base duration of one step of a batch, and the time added by each request in
+        the batch.
     prefill_rate : float
-        Prompt tokens read in a second.
+        Prompt tokens processed per second.
     tokens_per_event : int
-        Steps of one pass, each of which writes one token of every request.
+        Steps of one pass; each step writes one token of every request.
     form_time : float
-        From an accepted open order to the first request.
+        Time from an accepted open order to the first request.
     loads_per_second : float
-        Loads from the weight store that may begin, over all hosts.
+        Maximum rate at which loads from the weight store may begin, over all hosts.
     loads_at_once : float
-        Loads that it makes at once; of more of them each takes longer.
+        Number of concurrent loads that the weight store serves at full speed; with
+        more loads, each load takes longer.
+    usual_prompt, usual_answer : float
+        Typical lengths of a prompt and of an answer, in tokens.
     """
 
     slots: int
@@ -146,13 +154,13 @@
 
 
 class RoutedService(msgspec.Struct, kw_only=True, frozen=True):
-    """Describe one service that routes lead to.
+    """Describe one service that is the target of routes.
 
     Attributes
     ----------
     cold_rate : float or None
-        Requests a second that a server of it bears while it is cold; None where it
-        never is.
+        Requests per second that a cold server of this service can handle; None if
+        servers of this service are never cold.
     """
 
     name: str
@@ -162,14 +170,14 @@
 
 
 class RouteAccount(msgspec.Struct, kw_only=True, frozen=True):
-    """Name a client account and its rank, which goes before the route's."""
+    """Represent a client account and its rank, which overrides the route's rank."""
 
     name: str
     priority: int | None = None
 
 
 class ConnectionLimits(msgspec.Struct, kw_only=True, frozen=True):
-    """Bound what callers may send and how long they may idle, in bytes and seconds."""
+    """Limits on callers' connections: sizes in bytes and timeouts in seconds."""
 
     max_head: int = 64 * 1024
     max_body: int = 4 << 20
@@ -178,14 +186,14 @@
 
 
 class RouteTable(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold one configuration version.
+    """Represent the routes of one configuration version.
 
     Attributes
     ----------
     routes_by_host : dict of str to list of Route
-        Longest path prefix first.
+        Routes of each host, those with the longest path prefix first.
     asks_for_keys : bool
-        True where the configuration declares client accounts.
+        True if the configuration declares client accounts; callers then need a key.
     """
 
     version: int
@@ -196,13 +204,13 @@
     limits: ConnectionLimits = msgspec.field(default_factory=ConnectionLimits)
 
     def engines(self) -> Iterator[tuple[str, EngineProfile]]:
-        """Yield the services that serve models, each with its engines' profile."""
+        """Yield the name and the engine profile of each service that serves models."""
         for service in self.services_by_name.values():
             if service.engine is not None:
                 yield service.name, service.engine
 
     def match(self, *, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path, if there is one."""
+        """Return the route whose prefix is the longest match of a path, or None."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
--- a/tests/test_state/__init__.py
+++ b/tests/test_state/__init__.py
@@ -1,1 +1,1 @@
-"""Test state."""
+"""Test the data types and folds of ``ryelever.state``."""
--- a/tests/test_state/test_claims.py
+++ b/tests/test_state/test_claims.py
@@ -1,4 +1,4 @@
-"""Test the fold of claims and outcomes."""
+"""Test the fold of claims and outcomes of non-repeatable requests."""
 
 from __future__ import annotations
 
@@ -26,30 +26,34 @@
 
 UNKNOWN = Unreadable(kind="New", known_kind=False, reason="unknown kind")
 
-#: Records with their seconds after the key's time of issue.
+#: Records, each with its append time in seconds after the key's time of issue.
 FIRST, SECOND = (0, _claim("e1")), (0, _claim("e2", "r2"))
-ANEW = (0, _claim("e1", "r2"))
+CLAIMED_AGAIN = (0, _claim("e1", "r2"))
 RAN, FREED = (0, _outcome("e1", "run")), (0, _outcome("e1", "not_run"))
-STRANGE = (0, _outcome("e2", "not_run"))
+OUTCOME_OF_OTHER_OWNER = (0, _outcome("e2", "not_run"))
 LATE_SECOND = (WINDOW + 1, _claim("e2", "r2"))
-LATE_STRANGE = (WINDOW + 1, _outcome("e2", "run"))
+LATE_OUTCOME_OF_OTHER_OWNER = (WINDOW + 1, _outcome("e2", "run"))
 EARLY = (-MAX_AHEAD - 1, _claim("e1"))
-UNTIMED = (0, _claim("e1", key="acme/rex"))
+WITHOUT_ISSUE_TIME = (0, _claim("e1", key="acme/rex"))
 
 TOO_OLD = "key was issued more than 100 s ago"
 TOO_EARLY = "key was issued more than 10 s in the future"
 
-#: Records, the owner of the key in the end, and why the last record was ignored.
+#: Records, the final owner of the key, and the reason why the last record was ignored.
 CASES = {
     "first claim only": ([FIRST, SECOND], "e1", "key is claimed already at offset 0"),
     "freed key is claimed again": ([FIRST, FREED, SECOND], "e2", None),
-    "outcome of somebody else": ([FIRST, STRANGE], "e1", "claim is owned by e1"),
+    "outcome by a host that does not own the claim": (
+        [FIRST, OUTCOME_OF_OTHER_OWNER],
+        "e1",
+        "claim is owned by e1",
+    ),
     "outcome of an earlier claim, late": (
-        [FIRST, FREED, ANEW, FREED],
+        [FIRST, FREED, CLAIMED_AGAIN, FREED],
         "e1",
         "claim is of request r2",
     ),
-    "key freed too late, after a caller heard that the outcome is unknown": (
+    "key freed after a caller may have been told that the outcome is unknown": (
         [(0, _claim("e1")), (FREED_WITHIN + 1, _outcome("e1", "not_run"))],
         "e1",
         "key was claimed more than 90 s ago",
@@ -59,7 +63,7 @@
         None,
         None,
     ),
-    "late outcome of what was run": (
+    "late outcome of a request that was run": (
         [(0, _claim("e1")), (FREED_WITHIN + 9, _outcome("e1", "run"))],
         "e1",
         None,
@@ -67,28 +71,36 @@
     "second outcome": ([FIRST, RAN, RAN], "e1", "outcome is known already"),
     "key at the end of its window": ([(WINDOW, _claim("e1"))], "e1", None),
     "key too old": ([(WINDOW + 1, _claim("e1"))], None, TOO_OLD),
-    "key forgotten, then claimed again": ([FIRST, RAN, LATE_SECOND], None, TOO_OLD),
+    "key forgotten, then claimed again": (
+        [FIRST, RAN, LATE_SECOND],
+        None,
+        TOO_OLD,
+    ),
     "key forgotten, then the log's clock is set back": (
-        [FIRST, LATE_STRANGE, SECOND],
+        [FIRST, LATE_OUTCOME_OF_OTHER_OWNER, SECOND],
         None,
         TOO_OLD,
     ),
-    "key from the future": ([EARLY], None, TOO_EARLY),
-    "key without a time": ([UNTIMED], None, "key carries no time of issue"),
+    "key issued in the future": ([EARLY], None, TOO_EARLY),
+    "key without a time of issue": (
+        [WITHOUT_ISSUE_TIME],
+        None,
+        "key carries no time of issue",
+    ),
 }
 
 
 @pytest.mark.parametrize(
     ("records", "owner", "reason"), CASES.values(), ids=CASES.keys()
 )
-def test_one_claim_of_a_key_counts(
+def test_only_the_first_claim_of_a_key_takes_effect(
     records: list[tuple[float, Record]], owner: str | None, reason: str | None
 ) -> None:
-    """Fold claims, outcomes and what comes late or twice.
+    """Fold claims and outcomes, including late and repeated ones.
 
-    Symptom: a charge is made twice.  Sequence: claims of one key from several entry
-    hosts, with their outcomes, in an unlucky order.  Cause: a later claim is taken
-    for the first one, or a claim is freed or forgotten while it can be repeated.
+    Symptom: a charge is made twice.  Sequence: several entry hosts append claims of one
+    key and their outcomes in an unfavorable order.  Cause: a later claim is treated as
+    the first one, or a claim is freed or dropped while the key can still be claimed.
     """
     fold = ClaimsFold(window=WINDOW, max_ahead=MAX_AHEAD)
     last = None
@@ -99,8 +111,9 @@
     assert (claim.owner if claim else None) == owner
 
 
-#: Seconds after the gap; "unknown kind" starts to count at 0, "expired" with the
-#: first record that follows.
+#: Kind of the gap, append times of the records after it, and whether the gap has ended.
+#: Times are in seconds after the gap.  With "unknown kind", the window starts at 0;
+#: with "expired", the window starts at the first record that follows.
 GAPS = [
     ("expired", [], False),
     ("expired", [1], False),
@@ -112,14 +125,15 @@
 
 
 @pytest.mark.parametrize(("kind", "seconds", "complete"), GAPS)
-def test_gap_ends_when_no_missed_key_can_be_claimed_any_more(
+def test_gap_ends_once_no_missed_key_can_be_claimed(
     kind: str, seconds: list[float], complete: bool
 ) -> None:
-    """Read on after records were lost, with no snapshot to help.
+    """Continue reading after a loss of records, without a snapshot.
 
-    Symptom: no booking is possible any more after all hosts were replaced.  Sequence:
-    a claim expires unread.  Cause: the reader can never be sure again.  Were it sure
-    too early, a claimed key would look free.
+    Symptom: after all hosts were replaced, no booking is possible any more.  Sequence:
+    a claim expires in the log before it is read.  Cause: the reader's state never
+    counts as complete again.  If the gap ended too early instead, a claimed key would
+    be treated as unclaimed.
     """
     fold = ClaimsFold(window=WINDOW, max_ahead=MAX_AHEAD)
     if kind == "expired":
@@ -132,8 +146,8 @@
     assert fold.complete is complete
 
 
-def test_claims_are_forgotten_with_their_window() -> None:
-    """Claim for ten windows and count what is kept."""
+def test_claims_are_dropped_after_their_window() -> None:
+    """Claim a key each second for ten windows and count the claims that are kept."""
     fold = ClaimsFold(window=WINDOW, max_ahead=MAX_AHEAD)
     for second in range(int(10 * WINDOW)):
         time = EPOCH + second
--- a/tests/test_state/test_configuration_fold.py
+++ b/tests/test_state/test_configuration_fold.py
@@ -1,4 +1,4 @@
-"""Test the fold of publications."""
+"""Test the fold of publications into the configuration in force."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def _fold(*entries: Entry) -> ConfigurationFold:
-    """Return a fold that has taken version 0 by ana, then some entries."""
+    """Return a fold that has applied version 0 by ana and then the given entries."""
     fold = ConfigurationFold()
     for entry in (_publication(0, -1, id="first"), *entries):
         fold.apply(entry)
@@ -27,11 +27,11 @@
 
 
 def test_first_of_two_racing_publications_wins() -> None:
-    """Publish twice on one base.
+    """Publish two documents with the same base.
 
-    Symptom: an operator's accepted change vanishes.  Sequence: two operators derive
-    documents from version 0 and both publish.  Cause: the second did not know of the
-    first, so to accept it would undo the first.
+    Symptom: an operator's accepted change is lost.  Sequence: two operators derive
+    documents from version 0, and both publish.  Cause: the second document does not
+    contain the first operator's change, so that accepting it undoes this change.
     """
     fold = _fold()
     assert fold.apply(_publication(1, 0)) is None
@@ -43,9 +43,9 @@
 def test_repeated_append_changes_nothing() -> None:
     """Read the same record at two offsets.
 
-    Symptom: a change is refused as racing with itself.  Sequence: the answer to an
-    append is lost after it took effect, and it is appended again.  Cause: one record
-    stands in the log twice.
+    Symptom: a change is refused as conflicting with itself.  Sequence: an append
+    succeeds, its answer is lost, and the writer appends the record again.  Cause: the
+    log contains one record twice.
     """
     fold = _fold()
     reason = fold.apply(_publication(1, -1, id="first"))
@@ -53,11 +53,11 @@
     assert fold.version == 0
 
 
-def test_invalid_document_is_ignored_with_its_fault() -> None:
-    """Append a faulty document to the log by hand.
+def test_invalid_document_is_ignored_and_the_reason_names_its_fault() -> None:
+    """Append an invalid document to the log without the console.
 
-    Symptom: groups of no hosts are formed.  Sequence: somebody appends a document
-    without the console.  Cause: nothing behind the console checked it again.
+    Symptom: groups of 0 hosts are formed.  Sequence: someone appends a document
+    directly to the log.  Cause: only the console checked documents.
     """
     document = declared(model="notes", hosts_per_group=0)
     record = Publication(base_version=-1, author="ana", document=document)
@@ -68,7 +68,7 @@
 
 
 ADOPTED = [
-    # version in force, version passed on, taken, version afterwards
+    # version in force, version received, whether it is adopted, version afterwards
     (1, 5, True, 5),
     (1, 1, False, 1),
     (1, 0, False, 1),
@@ -76,29 +76,29 @@
 ]
 
 
-@pytest.mark.parametrize(("held", "passed_on", "taken", "after"), ADOPTED)
-def test_version_passed_on_by_a_peer_never_lowers_the_one_held(
-    held: int, passed_on: int, taken: bool, after: int
+@pytest.mark.parametrize(("in_force", "received", "adopted", "after"), ADOPTED)
+def test_version_from_a_peer_never_lowers_the_version_in_force(
+    in_force: int, received: int, adopted: bool, after: int
 ) -> None:
-    """Hear an older version from a peer that was cut off.
+    """Receive an older version from a peer that was disconnected.
 
     Symptom: an accepted change is undone on some hosts.  Sequence: a peer that was
-    cut off for an hour passes its version on.  Cause: the word is taken as newer
-    because it comes later.
+    disconnected for an hour sends its version.  Cause: the version is treated as newer
+    because it is received later.
     """
-    fold = _fold(_publication(held, 0))
+    fold = _fold(_publication(in_force, 0))
     document = declared("v")
-    assert fold.adopt(version=passed_on, document=document, author="bia") is taken
+    assert fold.adopt(version=received, document=document, author="bia") is adopted
     assert fold.version == after
-    assert (fold.configuration == document) is taken
+    assert (fold.configuration == document) is adopted
 
 
-def test_log_read_after_an_adopted_version_changes_nothing_up_to_it() -> None:
-    """Read the log from the start when a peer's version is in force already.
+def test_records_up_to_an_adopted_version_change_nothing() -> None:
+    """Read the log from the start after adopting a peer's version.
 
-    Symptom: an operator is told that the change in force has lost.  Sequence: a host
-    cut off from the log gets version 2 from a peer, then reads records 0 to 3.
-    Cause: the records on the way to version 2 are judged against version 2.
+    Symptom: an operator is told that the change in force was refused.  Sequence: a host
+    without access to the log adopts version 2 from a peer, then reads records 0 to 3.
+    Cause: the publications that led to version 2 are compared with version 2.
     """
     fold = ConfigurationFold()
     fold.adopt(version=2, document=declared("v"), author="ana")
@@ -121,7 +121,8 @@
 
 
 WITH_GAP = [
-    # base, replaces below, one read before at offset 11, accepted
+    # base version, replaces_below, whether an earlier publication was read at offset
+    # 11 during the gap, whether the publication is accepted
     (0, -1, False, False),
     (-1, -1, False, False),
     (7, -1, False, False),
@@ -134,15 +135,16 @@
 
 
 @pytest.mark.parametrize(("base", "replaces_below", "before", "accepted"), WITH_GAP)
-def test_publication_is_not_judged_against_an_unknown_version(
+def test_publication_is_not_accepted_while_the_version_in_force_is_unknown(
     base: int, replaces_below: int, before: bool, accepted: bool
 ) -> None:
     """Read a publication while records before offset 10 are missing.
 
-    Symptom: two hosts have two configurations in force, each for good.  Sequence: a
-    host wakes after the retention and reads a publication based on the version that
-    it holds; all others have moved on and refuse it.  Cause: it judges without
-    knowing what is in force.
+    Symptom: two hosts permanently have different configurations in force.  Sequence: a
+    host resumes after a pause longer than the log's retention and reads a publication
+    based on its own version; all other hosts have a newer version in force and refuse
+    the publication.  Cause: the host accepts a publication without knowing the version
+    in force.
     """
     fold = _gap_before(10)
     if before:
@@ -156,7 +158,7 @@
 
 
 PEERS = [
-    # version of the peer, complete afterwards, next offset to read
+    # version of the peer, whether the fold is complete, next offset to read
     (8, False, 15),
     (9, True, 10),
     (12, True, 13),
@@ -165,14 +167,14 @@
 
 
 @pytest.mark.parametrize(("version", "complete", "next_offset"), PEERS)
-def test_version_of_a_peer_ends_the_gap_and_is_read_on_from(
+def test_version_from_a_peer_ends_the_gap_and_reading_resumes_after_it(
     version: int, complete: bool, next_offset: int
 ) -> None:
-    """Adopt a version when records 10 to 14 were read but not judged.
+    """Adopt a version after records 10 to 14 were read but not evaluated.
 
-    Symptom: a host stays behind for good.  Sequence: it reads past a publication that
-    it cannot judge, then hears of the version before it from a peer.  Cause: what was
-    passed over is not read again.
+    Symptom: a host permanently keeps an old version.  Sequence: the host reads past a
+    publication that it cannot evaluate during a gap, then receives the version before
+    this publication from a peer.  Cause: the skipped records are not read again.
     """
     fold = _gap_before(10)
     for offset in range(10, 15):
@@ -183,7 +185,8 @@
 
 
 ADOPTED_FIRST = [
-    # version of the peer, offset before which records are lost, next one accepted
+    # version of the peer, offset before which records are lost, whether the next
+    # publication is accepted
     (8, 10, False),
     (9, 10, True),
     (12, 10, True),
@@ -191,15 +194,15 @@
 
 
 @pytest.mark.parametrize(("version", "before", "accepted"), ADOPTED_FIRST)
-def test_records_below_an_adopted_version_are_not_missed(
+def test_lost_records_below_an_adopted_version_open_no_gap(
     version: int, before: int, accepted: bool
 ) -> None:
     """Adopt a version, then find that the records before it have expired.
 
-    Symptom: publications are refused for good, on every entry host.  Sequence: all
-    entry hosts are replaced during an outage of the log and get the version from the
-    last that is left; the log comes back without the old records.  Cause: each takes
-    the expired records for ones that it lacks.
+    Symptom: every entry host refuses publications permanently.  Sequence: all entry
+    hosts are replaced during an outage of the log and adopt the version from the last
+    remaining old host; the log returns without the old records.  Cause: each host
+    counts the expired records as missing.
     """
     fold = ConfigurationFold()
     fold.adopt(version=version, document=declared("v"), author="ana")
@@ -213,12 +216,12 @@
 
 
 def test_snapshot_older_than_an_adopted_version_changes_nothing() -> None:
-    """Restore from the log when a peer's version is newer than the snapshot.
+    """Restore a snapshot that is older than a version adopted from a peer.
 
-    Symptom: an accepted change is undone on a host.  Sequence: a host that is cut off
-    from the log gets version 4 from a peer; the log is back, its own offset has
-    expired, and the newest snapshot is from before version 4.  Cause: the snapshot
-    replaces all that the host holds.
+    Symptom: an accepted change is undone on a host.  Sequence: a host without access to
+    the log adopts version 4 from a peer; when the log returns, the host's next offset
+    has expired, and the newest snapshot predates version 4.  Cause: the snapshot
+    replaces the host's complete state.
     """
     parts = _fold().to_snapshot(snapshot="s")
     fold = ConfigurationFold()
@@ -229,8 +232,8 @@
     assert fold.version == 4
 
 
-def test_loser_learns_the_winner() -> None:
-    """Look up why a publication was refused, by its id."""
+def test_reason_of_a_refused_publication_names_the_accepted_one() -> None:
+    """Look up the reason why a publication was refused by the publication's id."""
     fold = _fold(_publication(1, -1, author="bia", id="lost"))
     assert fold.reason_of("first") is None
     assert fold.reason_of("lost") == (
--- a/tests/test_state/test_folds_machine.py
+++ b/tests/test_state/test_folds_machine.py
@@ -1,4 +1,4 @@
-"""Drive folds, readers and writers of several hosts through random faults."""
+"""Run the folds, readers and writers of several hosts under random faults."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 
 STREAMS = ("configuration", "placement", "claims")
 N_HOSTS = 3
-#: Seconds; short, so that a run passes it.
+#: Seconds; short enough that keys expire during a run.
 WINDOW, MAX_AHEAD = 100.0, 10.0
 
-#: What becomes of an append; "kept" leaves the record with its writer for later.
+#: Possible results of an append; with "kept", the writer sends the record later.
 FATES = ("taken", "taken", "taken", "answer lost", "request lost", "delayed", "kept")
 
 hosts = st.integers(0, N_HOSTS - 1)
@@ -56,7 +56,7 @@
 
 @dataclass(kw_only=True)
 class Host:
-    """Hold the readers and writers of one entry host."""
+    """Represent one entry host by its log readers and writers."""
 
     owner: str
     readers: dict[str, LogReader] = field(
@@ -85,7 +85,7 @@
 
 
 class FoldsMachine(RuleBasedStateMachine):
-    """Compare each host with one reader that never misses a record."""
+    """Compare the state of each host with that of a reader that misses no record."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -135,7 +135,7 @@
             for stream in STREAMS:
                 self.read_to_end(index=index, stream=stream)
 
-    # What hosts decide
+    # Decisions of hosts
 
     @rule(
         index=hosts,
@@ -181,7 +181,7 @@
             if claim.owner != host.owner or claim.outcome or not ran:
                 continue
             if run_state == "not_run":
-                # A backend server refused it.
+                # A backend server refused the request without running it.
                 self.runs_by_key[claim.key].remove(claim.request_id)
             outcome = Outcome(
                 key=claim.key,
@@ -223,7 +223,7 @@
                 )
                 self._add(host, "placement", record, fate)
 
-    # What the log does
+    # Events of the log and the network
 
     @rule(index=hosts, stream=streams, fate=fates)
     def flush(self, index: int, stream: str, fate: str) -> None:
@@ -293,7 +293,7 @@
             if own and applied.certain and new:
                 self.runs_by_key[record.key].append(record.request_id)
 
-    # What hosts do for each other
+    # Snapshots, exchange between hosts, and replacement of hosts
 
     @rule(index=hosts, stream=streams, fate=fates)
     def write_snapshot(self, index: int, stream: str, fate: str) -> None:
@@ -332,7 +332,7 @@
             self.replace_host(index=reader)
         self.read_to_end(index=reader, stream=stream)
 
-    # What must always hold
+    # Invariants
 
     @invariant()
     def same_records_same_state(self) -> None:
@@ -369,7 +369,7 @@
 def _known(fold: BaseFold) -> object:
     parts = state_of(fold)
     if isinstance(fold, ConfigurationFold):
-        # A peer passes on the version, not the ids that were read on the way to it.
+        # A peer sends its version but not the record ids that were read before it.
         return [replace(part, remembered=(), log_time=0.0) for part in parts]
     return parts
 
