--- a/ryelever/protocol/__init__.py
+++ b/ryelever/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Message shapes and codecs: no sockets."""
+"""Definitions, encoders and decoders of messages, without network access."""
--- a/ryelever/protocol/backend.py
+++ b/ryelever/protocol/backend.py
@@ -1,4 +1,7 @@
-"""Shape the messages towards backend servers; docs/INTERFACES.md describes them."""
+"""Define the messages to and from backend servers and the list of hosts.
+
+The messages are described in docs/INTERFACES.md.
+"""
 
 from __future__ import annotations
 
@@ -33,8 +36,8 @@
     members : tuple of str
         Addresses in rank order.
     expires_ms : int
-        Reading of the engine's own ``clock_ms`` after which it must not begin to
-        obey; 0 sets no deadline.
+        Reading of the engine's own ``clock_ms`` after which the engine must not begin
+        to execute the order; 0 sets no deadline.
     """
 
     id: str
@@ -51,12 +54,12 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class GenerateRequest:
-    """Ask rank 0 of a group to generate tokens.
+    """Request rank 0 of a group to generate tokens.
 
     Attributes
     ----------
     delivered : tuple of str
-        Tokens that the caller already has; generation goes on after them.
+        Tokens that the caller has already received; generation continues after them.
     """
 
     attempt: str
@@ -72,14 +75,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class StreamItem:
-    """Hold one server-sent event of a generation.
+    """Represent one server-sent event of a generation.
 
     Attributes
     ----------
     index : int
         Index of the first token in ``tokens``, counted from the answer's start.
     finish_reason : str
-        Set on the terminal event only.
+        Reason why the generation ended; set only on the last event.
     """
 
     attempt: str
@@ -93,7 +96,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class HostsList:
-    """Hold the platform's lagging list of hosts."""
+    """Represent the platform's list of hosts, which may be out of date."""
 
     hosts: list[ListedHost] = field(default_factory=list)
 
@@ -104,20 +107,20 @@
 def read_report(
     data: bytes, *, host: str, peer: str
 ) -> Result[HostReport, RyeleverError]:
-    """Read a host's report of itself.
+    """Decode a host's report of its own state; a report by another host is an error.
 
-    The list of hosts lags, and an address that it names may belong to another host
-    by now, or to one that was set up with a name twice given.  Its word, taken for
-    the word of the host that was asked, would let a group serve whose member is
-    missing: callers get refusals from a group that all call whole.
+    The list of hosts may be out of date, so that an address in it may belong to another
+    host by now, or to a host that was set up with a name already in use.  If its report
+    were attributed to ``host``, a group with a missing member would count as complete
+    on all entry hosts, and callers would get refusals from this group.
     """
     report = decode(data, HostReport, step="read_report", peer=peer)
     if report.is_error() or report.ok.host == host:
         return report
     return Error(
         RyeleverError(
-            f"{report.ok.host!r} answers at the address that the list gives for "
-            f"{host!r}; correct the list, or the name that this host was given",
+            f"{report.ok.host!r} answers at the address listed for {host!r}; "
+            "correct the list of hosts or the name set on the answering host",
             category=Category.UNAVAILABLE,
             step="read_report",
             peer=peer,
@@ -127,16 +130,16 @@
 
 
 def read_hosts_list(data: bytes, *, peer: str) -> Result[HostsList, RyeleverError]:
-    """Read the platform's list of hosts."""
+    """Decode the platform's list of hosts."""
     return decode(data, HostsList, step="read_hosts_list", peer=peer)
 
 
 def read_stream_item(data: bytes) -> StreamItem:
-    """Read one streamed item.
+    """Decode one event of a generation.
 
     Raises
     ------
     msgspec.DecodeError
-        If the item is not the expected JSON.
+        If the event is not the expected JSON.
     """
     return _STREAM_ITEM_DECODER.decode(data)
--- a/ryelever/protocol/configuration_document.py
+++ b/ryelever/protocol/configuration_document.py
@@ -1,7 +1,7 @@
-"""Read, check, write and compare the document that operators publish.
+"""Decode, check, encode and compare the configuration documents of operators.
 
-The document is JSON; files may hold comments.  A check reads the whole document
-and names every fault in one run.
+Documents are JSON; files may contain comments.  A check reads the complete document
+and reports all faults at once.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 
 __all__ = ["Change", "canonical", "check_document", "difference"]
 
-#: Longest document that is read, in bytes.
+#: Maximum size of a document, in bytes.
 MAX_DOCUMENT = 1 << 20
 
-#: Characters of a faulty value that a message shows.
-MAX_SHOWN = 60
+#: Maximum number of characters of a faulty value that a message shows.
+MAX_SHOWN_CHARACTERS = 60
 
-#: Place of the document itself.
+#: JSON pointer reported for faults of the document itself.
 ROOT = "/"
 
 _CLASSES_BY_SECTION = {
@@ -42,28 +42,29 @@
     "services": Service,
 }
 
-#: Where a required field is missing, so that the rest can be checked all the same.
-_STAND_INS = {"version": "missing", "key_hash": "missing"}
+#: Values used in place of missing or faulty required fields, so that the rest of the
+#: document can still be checked.
+_PLACEHOLDERS_BY_FIELD = {"version": "missing", "key_hash": "missing"}
 
 _EXPECTED_BY_TYPE = {
-    str: "a text",
+    str: "a string",
     int: "a whole number",
     float: "a number",
-    dict[str, str]: "an object of texts",
-    tuple[str, ...]: "a list of texts",
+    dict[str, str]: "an object with strings as values",
+    tuple[str, ...]: "a list of strings",
 }
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Change:
-    """Hold one difference between two documents.
+    """Represent one difference between two documents.
 
     Attributes
     ----------
     place : str
-        JSON pointer of the field.
+        JSON pointer to the field.
     before, after : str
-        The values as JSON; empty where there is none.
+        Values as JSON; empty if the document has no such field.
     """
 
     place: str
@@ -72,16 +73,16 @@
 
 
 def check_document(data: bytes) -> Result[Configuration, list[Fault]]:
-    """Return the configuration that a document describes, or all its faults."""
+    """Return the configuration that a document describes, or all of its faults."""
     if len(data) > MAX_DOCUMENT:
         return Error([_document_fault(f"shorten it to {MAX_DOCUMENT} bytes")])
     try:
         values = _parse(data.decode("utf-8"))
     except (ValueError, RecursionError) as error:
-        return Error([_document_fault(f"mend the text: {error}")])
+        return Error([_document_fault(f"correct the syntax: {error}")])
     if not isinstance(values, dict):
         return Error([_object_fault(ROOT)])
-    reader = _Reader()
+    reader = _DocumentReader()
     configuration = reader.configuration(values)
     faulty = {fault.place for fault in reader.faults}
     faults = reader.faults + [
@@ -91,12 +92,12 @@
 
 
 def canonical(configuration: Configuration) -> bytes:
-    """Return the one encoding of a configuration: sorted keys, every field."""
+    """Return the canonical encoding of a configuration: all fields, keys sorted."""
     return msgspec.json.encode(configuration, order="deterministic")
 
 
 def difference(before: Configuration, after: Configuration) -> list[Change]:
-    """Return what differs, by place."""
+    """Return the differences between two configurations, sorted by place."""
     old = _values_by_place(before)
     new = _values_by_place(after)
     return [
@@ -106,54 +107,54 @@
     ]
 
 
-class _Reader:
-    """Build a configuration from parsed JSON and gather faults on the way."""
+class _DocumentReader:
+    """Build a configuration from parsed JSON and collect all faults found."""
 
     def __init__(self) -> None:
         self.faults: list[Fault] = []
 
     def configuration(self, values: dict[str, Any]) -> Configuration:
         known = {field.name for field in dataclasses.fields(Configuration)}
-        self._name_unknown(values, known=known, parts=())
+        self._report_unknown(values, known=known, parts=())
         sections = {
-            section: self._section(values.get(section, {}), cls, section)
+            section: self._build_section(values.get(section, {}), cls, section)
             for section, cls in _CLASSES_BY_SECTION.items()
         }
-        weights = self._object(values.get("weights", {}), Weights, ("weights",))
+        weights = self._build_object(values.get("weights", {}), Weights, ("weights",))
         return Configuration(**sections, weights=weights or Weights())
 
-    def _section(self, values: Any, cls: type, section: str) -> dict[str, Any]:
+    def _build_section(self, values: Any, cls: type, section: str) -> dict[str, Any]:
         if not isinstance(values, dict):
             self.faults.append(_object_fault(place_of(section)))
             return {}
-        read = {
-            name: self._object(value, cls, (section, name))
+        entries = {
+            name: self._build_object(value, cls, (section, name))
             for name, value in values.items()
         }
-        return {name: value for name, value in read.items() if value is not None}
+        return {name: value for name, value in entries.items() if value is not None}
 
-    def _object(self, values: Any, cls: type, parts: tuple[str, ...]) -> Any:
+    def _build_object(self, values: Any, cls: type, parts: tuple[str, ...]) -> Any:
         if not isinstance(values, dict):
             self.faults.append(_object_fault(place_of(*parts)))
             return None
         fields_by_name = {field.name: field for field in dataclasses.fields(cls)}
-        self._name_unknown(values, known=set(fields_by_name), parts=parts)
+        self._report_unknown(values, known=set(fields_by_name), parts=parts)
         types_by_name = get_type_hints(cls)
-        read = {}
+        arguments = {}
         for name, field in fields_by_name.items():
             place = place_of(*parts, name)
             if name in values:
-                value = self._leaf(values[name], types_by_name[name], place)
+                value = self._field_value(values[name], types_by_name[name], place)
                 if value is not None:
-                    read[name] = value
+                    arguments[name] = value
                     continue
             elif _is_required(field):
-                self._name_missing(place)
+                self._report_missing(place)
             if _is_required(field):
-                read[name] = _STAND_INS[name]
-        return cls(**read)
+                arguments[name] = _PLACEHOLDERS_BY_FIELD[name]
+        return cls(**arguments)
 
-    def _leaf(self, value: Any, type_: Any, place: str) -> Any:
+    def _field_value(self, value: Any, type_: Any, place: str) -> Any:
         try:
             return msgspec.convert(value, type_)
         except (msgspec.ValidationError, OverflowError):
@@ -161,44 +162,49 @@
                 Fault(
                     place=place,
                     expected=_EXPECTED_BY_TYPE[type_],
-                    remedy=f"replace {_shown(value)}",
+                    remedy=f"replace {_abbreviate(value)}",
                 )
             )
             return None
 
-    def _name_unknown(
+    def _report_unknown(
         self, values: dict[str, Any], *, known: set[str], parts: tuple[str, ...]
     ) -> None:
         self.faults += [
             Fault(
                 place=place_of(*parts, name),
                 expected=f"one of the fields {', '.join(sorted(known))}",
-                remedy="remove it or mend its spelling",
+                remedy="remove the field or correct its spelling",
             )
             for name in values
             if name not in known
         ]
 
-    def _name_missing(self, place: str) -> None:
+    def _report_missing(self, place: str) -> None:
         self.faults.append(
-            Fault(place=place, expected="a text", remedy="add it: it has no default")
+            Fault(
+                place=place,
+                expected="a string",
+                remedy="add the field: it has no default",
+            )
         )
 
 
 def _parse(text: str) -> Any:
     try:
-        return json.loads(text, object_pairs_hook=_without_duplicates)
+        return json.loads(text, object_pairs_hook=_object_without_duplicates)
     except json.JSONDecodeError:
-        # Only files written by hand hold comments; that parser is far slower.
+        # Only files written by hand contain comments.  The JSON5 parser is used for
+        # these alone, since it is far slower.
         return json5.loads(text, allow_duplicate_keys=False)
 
 
-def _without_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _object_without_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     values = dict(pairs)
     if len(values) < len(pairs):
         names = [name for name, _ in pairs]
-        twice = sorted({name for name in names if names.count(name) > 1})
-        raise ValueError(f"the name {twice[0]!r} stands twice in one object")
+        duplicates = sorted({name for name in names if names.count(name) > 1})
+        raise ValueError(f"the name {duplicates[0]!r} occurs twice in one object")
     return values
 
 
@@ -209,9 +215,11 @@
     )
 
 
-def _shown(value: Any) -> str:
+def _abbreviate(value: Any) -> str:
     text = repr(value)
-    return text if len(text) <= MAX_SHOWN else text[:MAX_SHOWN] + "…"
+    return (
+        text if len(text) <= MAX_SHOWN_CHARACTERS else text[:MAX_SHOWN_CHARACTERS] + "…"
+    )
 
 
 def _document_fault(remedy: str) -> Fault:
@@ -221,8 +229,8 @@
 def _object_fault(place: str) -> Fault:
     return Fault(
         place=place,
-        expected="an object of fields by name",
-        remedy="put the fields between braces",
+        expected="an object with named fields",
+        remedy="enclose the fields in braces",
     )
 
 
@@ -237,7 +245,7 @@
         for name, item in value.items():
             _flatten(item, (*parts, name), values)
         if not value and len(parts) == 2:
-            # An entry without fields of its own still has to show up.
+            # An entry without fields must still be part of the comparison.
             values[place_of(*parts)] = "{}"
         return
     values[place_of(*parts)] = json.dumps(value, ensure_ascii=False)
--- a/ryelever/protocol/host_messages.py
+++ b/ryelever/protocol/host_messages.py
@@ -1,4 +1,4 @@
-"""Encode the words between entry hosts that relay requests by Cap'n Proto."""
+"""Encode the messages between entry hosts that relay requests, with Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -37,61 +37,70 @@
     "read_changes_path",
 ]
 
-#: Where an entry host asks another one for the configuration in force and for the
-#: records of all backend servers.
+#: Paths at which an entry host requests the configuration in force and the records of
+#: all backend servers from another entry host.
 CONFIGURATION_PATH = "/configuration"
 SERVERS_PATH = "/servers"
 
-#: The same for what changed from an offset of an era on.
+#: Path of a request for the records changed from an offset on; the groups of the
+#: pattern are the era and the offset.
 _CHANGES = re.compile(rf"{SERVERS_PATH}/(\d{{1,10}})/(\d{{1,18}})")
 
-#: Status of a host that gives the backend servers to others and is to be asked again.
+#: Status sent by a host that is busy serving the backend servers to other hosts; the
+#: requester retries later.
 BUSY_STATUS = 503
 
-#: First byte of a datagram: what follows.  A form that changes gets another letter, so
-#: that hosts of two versions, as while one replaces the other, misread nothing.
+#: First byte of a datagram, which gives the kind of message.  A message whose format
+#: changes gets a new letter, so that hosts of two releases, which run side by side
+#: during an upgrade, do not misread each other's messages.
 HEARTBEAT = b"s"
 UPDATES = b"n"
 COMPRESSED_UPDATES = b"z"
 RELAYED = b"r"
 
-#: Longest datagram, in bytes.
+#: Maximum size of a datagram, in bytes.
 MAX_DATAGRAM = 8192
 
-#: Longest unpacked message, in words of eight bytes: packing shrinks runs of zeros
-#: without bound.
+#: Maximum size of an unpacked message, in Cap'n Proto words of eight bytes.  Since
+#: packing shrinks runs of zeros, the size of a datagram does not limit that of its
+#: unpacked message.
 MAX_WORDS = 64 * 1024
-BYTES_A_WORD = 8
+BYTES_PER_WORD = 8
 
-#: The same for the records of all backend servers, which take half a kilobyte each.
+#: Like ``MAX_WORDS``, for a message with the records of all backend servers, each of
+#: which takes half a kilobyte.
 MAX_SERVER_WORDS = 1024 * 1024
 
-#: States of hosts that are kept as they were read: each of a zone's hosts, and one of
-#: each other zone, changes its own now and then.
-MAX_STATES = 256
+#: Number of decoded host states kept in a cache.  States arrive from each host of the
+#: zone and from one host of each other zone, and change only from time to time.
+MAX_CACHED_STATES = 256
 
-#: Level of compression: the least, which takes 20 ms for 925 servers.
-COMPRESSION = 1
+#: Compression level of zlib: the lowest one, which takes 20 ms for 925 servers.
+COMPRESSION_LEVEL = 1
 
-#: Bytes from which news in a datagram are compressed.  While groups form, dozens of
-#: records a second go to all hosts of a zone, more than a link of 10 Mbit/s carries;
-#: 8 KB of them become 1.4 KB.
-COMPRESSED_FROM = 1000
+#: Minimum size in bytes of updates that are compressed.  While groups form, dozens of
+#: records per second are sent to all hosts of a zone, more than a link of 10 Mbit/s can
+#: carry uncompressed; 8 KB of such records are compressed to 1.4 KB.
+MIN_COMPRESSED = 1000
 
-#: Most backend servers told of in one word, so that it fits into a datagram.
-MAX_SERVERS = 160
+#: Maximum number of backend servers in each list of a heartbeat, which must fit into a
+#: datagram.
+MAX_LISTED_SERVERS = 160
 
-#: The same, of servers with a rate limit: they come beside the others.
-MAX_LIMITED = 32
+#: Maximum number of servers with a rate limit in each such list of a heartbeat; they
+#: are sent in addition to the other servers.
+MAX_LIMITED_SERVERS = 32
 
-#: Stands for a number that is not there, where all others are positive.
+#: Encodes a missing number in fields whose values are otherwise positive.
 ABSENT = -1
 
-#: Most datagrams of news.  While the groups of a large fleet form, some hundred come
-#: at once, of which a link drops what it can't carry; over a connection none is lost.
+#: Maximum number of datagrams for one set of updates.  While the groups of a large
+#: fleet form, updates would need some hundred datagrams at once, and a link drops those
+#: that exceed its capacity.  Over a connection, no updates are lost.
 MAX_UPDATE_DATAGRAMS = 4
 
-#: Most bytes of records in one datagram, and what a record takes beside key and value.
+#: Maximum size of the records in one datagram, and the size that a record takes in
+#: addition to its key and value, both in bytes.
 MAX_UPDATE_BYTES = 7000
 RECORD_OVERHEAD = 32
 
@@ -101,23 +110,26 @@
 
 
 def changes_path(offset: int, *, era: int) -> str:
-    """Return where a host asks for what changed from an offset on."""
+    """Return the path of a request for the records changed from an offset on."""
     return f"{SERVERS_PATH}/{era}/{offset}"
 
 
 def read_changes_path(path: str) -> tuple[int, int] | None:
-    """Return the offset and the era that a path names, or None for another path."""
+    """Return the offset and the era in a path of ``changes_path``.
+
+    Returns None for any other path.
+    """
     match = _CHANGES.fullmatch(path)
     return None if match is None else (int(match[2]), int(match[1]))
 
 
 class RelayedDatagram(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold a datagram that its receiver takes, and sends on.
+    """Represent a datagram that the receiver processes and forwards to other hosts.
 
     Attributes
     ----------
     hosts : tuple of str
-        Hosts of the receiver's zone that get it from there.
+        Hosts of the receiver's zone to which the receiver forwards the datagram.
     data : bytes
         The datagram.
     """
@@ -127,17 +139,17 @@
 
 
 def encode_relayed(data: bytes, hosts: Iterable[str]) -> bytes:
-    """Return a datagram that its receiver sends on to others."""
+    """Return a datagram that its receiver processes and forwards to ``hosts``."""
     message = _schema.Relayed.new_message(hosts=list(hosts), datagram=data)
     return RELAYED + message.to_bytes_packed()
 
 
 def encode_heartbeat(heartbeat: HostHeartbeat) -> bytes:
-    """Return a word as one datagram."""
+    """Return a heartbeat encoded as one datagram."""
     message = _schema.HostHeartbeat.new_message(
         sequence=heartbeat.sequence, state=_encode_state(heartbeat)
     )
-    loads = list(heartbeat.in_flight_by_server.items())[:MAX_SERVERS]
+    loads = list(heartbeat.in_flight_by_server.items())[:MAX_LISTED_SERVERS]
     message.loadedServers = [server for server, _ in loads]
     message.inFlight = [count for _, count in loads]
     message.demands = [
@@ -145,10 +157,10 @@
         for model, groups in heartbeat.demand_by_model.items()
     ]
     if heartbeat.rate_limits:
-        limits = heartbeat.rate_limits[:MAX_LIMITED]
+        limits = heartbeat.rate_limits[:MAX_LIMITED_SERVERS]
         message.rateLimits = [_encode_limit(row) for row in limits]
     if heartbeat.wanted_servers:
-        message.wantedServers = list(heartbeat.wanted_servers[:MAX_LIMITED])
+        message.wantedServers = list(heartbeat.wanted_servers[:MAX_LIMITED_SERVERS])
     return HEARTBEAT + message.to_bytes_packed()
 
 
@@ -180,10 +192,10 @@
         evacuatedZones=list(heartbeat.evacuated_zones),
         operatorEra=heartbeat.operator_position.era,
         operatorOffset=heartbeat.operator_position.offset,
-        still=list(heartbeat.still[:MAX_SERVERS]),
+        still=list(heartbeat.still[:MAX_LISTED_SERVERS]),
         plans=list(heartbeat.plans),
         reshapes=list(heartbeat.reshapes),
-        moving=list(heartbeat.moving[:MAX_SERVERS]),
+        moving=list(heartbeat.moving[:MAX_LISTED_SERVERS]),
     )
     if heartbeat.suspicions:
         message.suspicions = [
@@ -200,19 +212,20 @@
 
 
 def encode_updates(updates: ServerUpdates) -> list[bytes]:
-    """Return news as datagrams, each of which follows the one before.
+    """Return updates encoded as datagrams with consecutive ranges of offsets.
 
-    A domain that goes dark changes dozens of records at once.  Were they not passed on
-    for their length, all hosts would read the store at that moment.  Where they are
-    too many, one datagram says so.
+    The failure of a fabric domain changes dozens of records at once.  If updates of
+    this size were not sent between hosts, all hosts would read the store at the same
+    moment.  Updates that need more than ``MAX_UPDATE_DATAGRAMS`` datagrams are replaced
+    by one datagram that tells the receivers to fetch the records.
     """
     parts: list[list[KeyedRecord]] = [[]]
     size = 0
     for record in updates.records:
-        size += _size(record)
+        size += _record_size(record)
         if size > MAX_UPDATE_BYTES and parts[-1]:
             parts.append([])
-            size = _size(record)
+            size = _record_size(record)
         parts[-1].append(record)
     if len(parts) > MAX_UPDATE_DATAGRAMS and not updates.reported:
         return [_updates_datagram(replace(updates, records=[], to_fetch=True))]
@@ -220,7 +233,7 @@
     start = updates.start
     for index, records in enumerate(parts):
         is_last = index == len(parts) - 1
-        # What a server said itself has no place in the log.
+        # Records reported by the servers themselves have no offset in the log.
         end = updates.end if is_last or updates.reported else records[-1].offset + 1
         part = replace(updates, start=start, end=end, records=records)
         datagrams.append(_updates_datagram(part))
@@ -230,22 +243,23 @@
 
 def _updates_datagram(updates: ServerUpdates) -> bytes:
     data = _encode_updates(updates)
-    if len(data) < COMPRESSED_FROM:
+    if len(data) < MIN_COMPRESSED:
         return UPDATES + data
-    return COMPRESSED_UPDATES + zlib.compress(data, COMPRESSION)
+    return COMPRESSED_UPDATES + zlib.compress(data, COMPRESSION_LEVEL)
 
 
-def _size(record: KeyedRecord) -> int:
+def _record_size(record: KeyedRecord) -> int:
     return len(record.key) + len(record.value) + RECORD_OVERHEAD
 
 
 def encode_servers(updates: ServerUpdates) -> bytes:
-    """Return records of backend servers, as many as there are.
+    """Return the records of any number of backend servers, encoded and compressed.
 
-    They are alike, so that those of 925 servers take 54 KB in place of 420: a link of
-    10 Mbit/s is free after 0.05 s, and dozens of hosts may ask one at the same moment.
+    Since the records are similar, those of 925 servers take 54 KB instead of 420 KB.
+    This size occupies a link of 10 Mbit/s for only 0.05 s, and dozens of hosts may send
+    requests to one host at the same moment.
     """
-    return zlib.compress(_encode_updates(updates), COMPRESSION)
+    return zlib.compress(_encode_updates(updates), COMPRESSION_LEVEL)
 
 
 def _encode_updates(updates: ServerUpdates) -> bytes:
@@ -268,16 +282,16 @@
 def decode_datagram(
     data: bytes, *, peer: str
 ) -> HostHeartbeat | ServerUpdates | RelayedDatagram | RyeleverError:
-    """Read a datagram, or say why it is none of ours.
+    """Decode a datagram; return an error if the datagram is invalid.
 
-    No ``Result`` is made of it: that takes as long as reading the rest of a word, and
-    dozens come a second.
+    The return value is not wrapped in a ``Result``, since this takes as long as
+    decoding the rest of a heartbeat, and dozens of heartbeats arrive per second.
     """
     try:
         if data[:1] == UPDATES:
             return _decode_updates(data[1:], max_words=MAX_WORDS)
         if data[:1] == COMPRESSED_UPDATES:
-            packed = _decompressed(data[1:], max_words=MAX_WORDS)
+            packed = _decompress(data[1:], max_words=MAX_WORDS)
             return _decode_updates(packed, max_words=MAX_WORDS)
         if data[:1] == HEARTBEAT:
             return _decode_heartbeat(data[1:])
@@ -290,28 +304,28 @@
 
 
 def decode_servers(data: bytes, *, peer: str) -> Result[ServerUpdates, RyeleverError]:
-    """Read the records of all backend servers that another host knows."""
+    """Decode the records of all backend servers as sent by another host."""
     try:
-        packed = _decompressed(data, max_words=MAX_SERVER_WORDS)
+        packed = _decompress(data, max_words=MAX_SERVER_WORDS)
         return Ok(_decode_updates(packed, max_words=MAX_SERVER_WORDS))
     except (capnp.KjException, zlib.error) as error:
         return Error(_unreadable(str(error), step="read_servers", peer=peer))
 
 
-def _decompressed(data: bytes, *, max_words: int) -> bytes:
-    """Return what was compressed, cut off beyond what may be unpacked.
+def _decompress(data: bytes, *, max_words: int) -> bytes:
+    """Return the decompressed data, truncated to ``max_words`` Cap'n Proto words.
 
     Raises
     ------
     zlib.error
-        If it was not compressed so.
+        If the data was not compressed by zlib.
     """
-    return zlib.decompressobj().decompress(data, BYTES_A_WORD * max_words)
+    return zlib.decompressobj().decompress(data, BYTES_PER_WORD * max_words)
 
 
 def _unreadable(why: str, *, step: str, peer: str) -> RyeleverError:
     return RyeleverError(
-        f"not what an entry host sends: {why}",
+        f"not a valid message of an entry host: {why}",
         category=Category.BAD_REQUEST,
         step=step,
         peer=peer,
@@ -369,9 +383,9 @@
     )
 
 
-@lru_cache(maxsize=MAX_STATES)
+@lru_cache(maxsize=MAX_CACHED_STATES)
 def _decode_state(data: bytes) -> HostHeartbeat:
-    """Return a word without what differs from one to the next."""
+    """Decode the host state, the part of a heartbeat that rarely changes."""
     message = _schema.HostState.from_bytes_packed(
         data, traversal_limit_in_words=MAX_WORDS
     )
--- a/ryelever/protocol/json_codec.py
+++ b/ryelever/protocol/json_codec.py
@@ -1,4 +1,4 @@
-"""Encode and decode JSON by ``msgspec``, with faults as typed errors."""
+"""Encode and decode JSON with ``msgspec``; decoding errors are returned, not raised."""
 
 from __future__ import annotations
 
@@ -22,7 +22,10 @@
 def decode(
     data: bytes, type_: type[_T], *, step: str, peer: str
 ) -> Result[_T, RyeleverError]:
-    """Read JSON into ``type_``; the error names the step, the peer and the place."""
+    """Decode JSON into ``type_``.
+
+    The error contains the step, the peer and the position of the fault in the JSON.
+    """
     try:
         return Ok(msgspec.json.decode(data, type=type_))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
--- a/ryelever/protocol/keyed_log.py
+++ b/ryelever/protocol/keyed_log.py
@@ -1,4 +1,4 @@
-"""Describe a log whose topics keep the newest record of each key."""
+"""Define the interface to a log whose topics keep the newest record of each key."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class LogCall(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold one call as it goes over HTTP."""
+    """Represent one HTTP request to the log."""
 
     method: str
     path: str
@@ -35,7 +35,15 @@
 
 
 class NewestPage(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold one page of the newest records, and the offset to read on from."""
+    """Represent one page of the newest record of each key.
+
+    Attributes
+    ----------
+    more : bool
+        True if further pages follow.
+    end : int
+        Offset at which reading continues after the last page.
+    """
 
     records: list[KeyedRecord]
     more: bool
@@ -43,14 +51,14 @@
 
 
 class ReadPage(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold records in their order.
+    """Represent one page of records in the order of their offsets.
 
     Attributes
     ----------
     end : int
         Offset after the partition's last record.
     expired : bool
-        True where records that were asked for are deleted.
+        True if some of the requested records have been deleted.
     """
 
     records: list[KeyedRecord]
@@ -59,28 +67,45 @@
 
 
 class Appended(msgspec.Struct, kw_only=True, frozen=True):
-    """Say where records were appended: the first one's offset, and the new end."""
+    """Result of a successful append.
+
+    Attributes
+    ----------
+    offset : int
+        Offset of the first appended record.
+    end : int
+        Offset after the last record of the partition.
+    """
 
     offset: int
     end: int
 
 
 class AppendRefused(msgspec.Struct, kw_only=True, frozen=True):
-    """Say that another writer came first; -1 where the end is not known."""
+    """Result of an append that was refused because another writer appended first.
+
+    Attributes
+    ----------
+    end : int
+        Offset after the last record of the partition; -1 if unknown.
+    """
 
     end: int
 
 
 class KeyedLogInterface(Protocol):
-    """Ask a log whose topics keep the newest record of each key."""
+    """Interface to a log whose topics keep the newest record of each key."""
 
     address: str
 
     def newest(self, topic: str, *, partition: int, after: str = "") -> LogCall:
-        """Ask for the newest record of each key, from after a key."""
+        """Request the newest record of each key that sorts after ``after``."""
 
     def read(self, topic: str, *, partition: int, offset: int, wait_ms: int) -> LogCall:
-        """Ask for records from an offset, waiting for one if there is none."""
+        """Request the records from an offset on.
+
+        If there are none yet, the log waits up to ``wait_ms`` milliseconds.
+        """
 
     def append(
         self,
@@ -90,26 +115,32 @@
         partition: int,
         at: int | None = None,
     ) -> LogCall:
-        """Append records of keys; with ``at``, only if the partition ends there."""
+        """Append pairs of key and value; with ``at``, only if the partition ends there.
+
+        Parameters
+        ----------
+        at : int or None
+            Offset at which the partition must end for the append to succeed.
+        """
 
     def era(self, headers: Mapping[str, str]) -> int | None:
-        """Return the era that an answer bears; None where it bears none.
+        """Return the era of the log that an answer states, or None.
 
-        It rises when the log has lost what it had acknowledged, and an offset of one
-        era says nothing of another's.
+        The era increases when the log has lost acknowledged records.  Offsets of
+        different eras are not comparable.
         """
 
     def newest_page(
         self, status: int, body: bytes
     ) -> Result[NewestPage, RyeleverError]:
-        """Read the answer to ``newest``."""
+        """Decode the answer to ``newest``."""
 
     def read_page(
         self, status: int, body: bytes, *, offset: int
     ) -> Result[ReadPage, RyeleverError]:
-        """Read the answer to ``read``."""
+        """Decode the answer to ``read``."""
 
     def appended(
         self, status: int, body: bytes
     ) -> Result[Appended | AppendRefused, RyeleverError]:
-        """Read the answer to ``append``."""
+        """Decode the answer to ``append``."""
--- a/ryelever/protocol/log.py
+++ b/ryelever/protocol/log.py
@@ -1,6 +1,6 @@
-"""Encode records for the platform's log service and read its answers.
+"""Encode records for the platform's log service and decode its answers.
 
-docs/INTERFACES.md describes the service.
+The service is described in docs/INTERFACES.md.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class AppendItem:
-    """Hold one record that is to be appended."""
+    """Represent one record in the body of an append request."""
 
     id: str
     kind: str
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class RawEntry:
-    """Hold one record as the log service returns it."""
+    """Represent one record as returned by the log service, with its body undecoded."""
 
     offset: int
     time: float
@@ -75,14 +75,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class LogPage:
-    """Hold one page of a stream; an answer 410 has no records.
+    """Represent one page of a stream; an answer with status 410 has no records.
 
     Attributes
     ----------
     first : int
-        Lowest offset still kept.
+        Lowest offset that the log still keeps.
     next : int
-        Offset that the next record will get.
+        Offset of the next record that will be appended.
     """
 
     first: int
@@ -91,30 +91,30 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class _AppendBody:
+class _AppendRequest:
     records: list[AppendItem]
 
 
 def claims_streams(n_partitions: int) -> list[str]:
-    """Name the streams over which claims are spread."""
+    """Return the names of the streams among which claims are distributed."""
     return [f"{CLAIMS_STREAM}-{index}" for index in range(n_partitions)]
 
 
 def claims_stream(key: str, *, n_partitions: int) -> str:
-    """Name the stream that holds the claims of a key.
+    """Return the name of the stream that contains the claims of a key.
 
-    The hash must be the same in every process, which Python's own is not.
+    The stream is chosen by CRC-32, since Python's ``hash`` differs between processes.
     """
     return f"{CLAIMS_STREAM}-{zlib.crc32(key.encode()) % n_partitions}"
 
 
 def placement_stream(availability_zone: str) -> str:
-    """Name the stream that holds a zone's placement."""
+    """Return the name of the stream that contains a zone's placement."""
     return f"placement-{availability_zone}"
 
 
 def encode_record(record: records.Record, *, record_id: str) -> AppendItem:
-    """Wrap a record with its unique id and its kind."""
+    """Return a record encoded for an append, with its unique id and its kind."""
     return AppendItem(
         id=record_id,
         kind=type(record).__name__,
@@ -123,26 +123,27 @@
 
 
 def append_request(items: list[AppendItem]) -> bytes:
-    """Return the body of one append of several records."""
-    return encode(_AppendBody(records=items))
+    """Return the body of an append request with the given records."""
+    return encode(_AppendRequest(records=items))
 
 
 def read_path(stream: str, *, offset: int, wait_ms: int, limit: int) -> str:
-    """Return the path that reads a stream from ``offset``."""
+    """Return the path of a request that reads a stream from ``offset``."""
     return f"/v1/streams/{stream}/records?from={offset}&wait_ms={wait_ms}&limit={limit}"
 
 
 def read_page(data: bytes, *, peer: str) -> Result[LogPage, RyeleverError]:
-    """Read one page of a stream."""
+    """Decode one page of a stream."""
     return decode(data, LogPage, step="read_log", peer=peer)
 
 
 def decode_entry(raw: RawEntry, *, peer: str) -> records.Entry:
-    """Decode one entry; what cannot be decoded becomes ``Unreadable``.
+    """Decode one entry; a record that cannot be decoded becomes ``Unreadable``.
 
-    To stop at such a record would stop the stream for good, since the record stays
-    in the log; to guess at it could put in force what nobody meant.  It is handed
-    to the fold, which knows what an unread record makes uncertain.
+    A reader that stopped at an undecodable record would never read on, since the record
+    stays in the log, and a guess at its contents could put an unintended change into
+    effect.  The fold therefore gets the record as ``Unreadable`` and determines which
+    part of its state has become uncertain.
     """
     return records.Entry(
         offset=raw.offset,
--- a/ryelever/protocol/openai.py
+++ b/ryelever/protocol/openai.py
@@ -1,4 +1,4 @@
-"""Shape the OpenAI HTTP interface towards callers."""
+"""Decode requests and encode answers of the OpenAI HTTP interface to callers."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 _MaxTokens = Annotated[int, msgspec.Meta(ge=1, le=MAX_TOKENS)]
 _NoItems = Annotated[list[Any], msgspec.Meta(max_length=0)]
 
-#: Methods that a path takes by the code of the error that says so.
+#: Value of the ``Allow`` header by the code of the error for a wrong method.
 _ALLOW_BY_CODE = {"use_post": "POST", "use_get": "GET, HEAD"}
 
 _STATUS_BY_CATEGORY = {
@@ -50,7 +50,7 @@
 
 
 _Role = Literal["system", "developer", "user", "assistant", "tool"]
-_Weight = Annotated[float, msgspec.Meta(ge=-2, le=2)]
+_Penalty = Annotated[float, msgspec.Meta(ge=-2, le=2)]
 
 
 class _Message(msgspec.Struct, kw_only=True):
@@ -69,11 +69,12 @@
 
 
 class _ChatRequest(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """Hold what a caller may send.
+    """Body of a chat request, with all fields that a caller may send.
 
-    The engines take the messages, the model and the length.  What only tunes the
-    sampling, or only informs, is accepted and not used; what would change the
-    meaning of the answer is refused unless it has the value that changes nothing.
+    The engines use the messages, the model and the length.  Fields that only tune the
+    sampling or only give information are accepted and ignored.  Fields that would
+    change the meaning of the answer are accepted only with the value that has no
+    effect.
     """
 
     model: str
@@ -82,11 +83,11 @@
     max_completion_tokens: _MaxTokens | None = None
     stream: bool | None = False
     stream_options: _StreamOptions | None = None
-    # Accepted, not used.
+    # Accepted and ignored.
     temperature: Annotated[float, msgspec.Meta(ge=0, le=2)] | None = None
     top_p: Annotated[float, msgspec.Meta(gt=0, le=1)] | None = None
-    presence_penalty: _Weight | None = None
-    frequency_penalty: _Weight | None = None
+    presence_penalty: _Penalty | None = None
+    frequency_penalty: _Penalty | None = None
     seed: int | None = None
     user: str | None = None
     safety_identifier: str | None = None
@@ -97,7 +98,7 @@
     reasoning_effort: str | None = None
     verbosity: str | None = None
     parallel_tool_calls: bool | None = None
-    # Accepted only with the value that changes nothing.
+    # Accepted only with the value that has no effect.
     n: Literal[1] | None = 1
     logprobs: bool | None = False
     top_logprobs: Literal[0] | None = None
@@ -113,9 +114,9 @@
 
 
 def read_chat_request(body: bytes) -> Result[ChatWork, RyeleverError]:
-    """Read the body of ``POST /v1/chat/completions``.
+    """Decode the body of ``POST /v1/chat/completions``.
 
-    The model may name an adapter as ``model:adapter``.
+    The field ``model`` may include an adapter, as in ``model:adapter``.
     """
     try:
         request = _CHAT_DECODER.decode(body)
@@ -142,7 +143,7 @@
 
 
 def fingerprint(*parts: bytes) -> str:
-    """Return a digest of a request, the same for a resend of it."""
+    """Return a digest of a request's parts; a resend has the same digest."""
     digest = hashlib.sha256()
     for part in parts:
         digest.update(len(part).to_bytes(8, "big"))
@@ -151,24 +152,24 @@
 
 
 def http_status(error: RyeleverError) -> int:
-    """Return the HTTP status of an error."""
+    """Return the HTTP status for an error."""
     if error.code in _ALLOW_BY_CODE:
         return 405
     return _STATUS_BY_CATEGORY[error.category]
 
 
 def error_body(error: RyeleverError) -> bytes:
-    """Return the JSON body that tells an error to a caller."""
+    """Return the JSON body that reports an error to a caller."""
     return encode({"error": _error_fields(error)})
 
 
 def error_event(error: RyeleverError) -> bytes:
-    """Return the server-sent events that end a broken stream explicitly."""
+    """Return the server-sent events that end a failed stream with an error."""
     return sse_event(error_body(error)) + DONE
 
 
 def error_headers(error: RyeleverError) -> dict[str, str]:
-    """Return the headers that belong to an error's answer."""
+    """Return the additional headers of an error's answer."""
     headers = {}
     if error.retry_after is not None:
         headers["Retry-After"] = str(max(1, math.ceil(error.retry_after)))
@@ -178,13 +179,13 @@
 
 
 def models_list(names: list[str], *, created: int) -> bytes:
-    """Return the answer of ``GET /v1/models``."""
+    """Return the body of the answer to ``GET /v1/models``."""
     data = [_model_fields(name, created=created) for name in names]
     return encode({"object": "list", "data": data})
 
 
 def model_body(name: str, *, created: int) -> bytes:
-    """Return the answer of ``GET /v1/models/NAME``."""
+    """Return the body of the answer to ``GET /v1/models/NAME``."""
     return encode(_model_fields(name, created=created))
 
 
@@ -201,7 +202,7 @@
     finish_reason: str,
     usage: Usage,
 ) -> bytes:
-    """Return a whole answer."""
+    """Return the body of a complete answer that is not streamed."""
     choice = {
         "index": 0,
         "message": {"role": "assistant", "content": "".join(tokens)},
@@ -220,10 +221,10 @@
 
 
 class ChatStreamShape:
-    """Write the server-sent events of one streamed answer.
+    """Encode the server-sent events of one streamed answer.
 
-    Everything around the text is the same in each event of an answer, so it is
-    composed once.
+    All fields except the text are the same in each event of an answer and are encoded
+    only once.
     """
 
     __slots__ = ("_created", "_head", "_include_usage", "_model", "_request_id")
@@ -239,13 +240,13 @@
         self._head = b"data: " + fields[:-3]
 
     def started(self) -> bytes:
-        """Return the event that opens the answer and names the role."""
+        """Return the first event of the answer, which contains the role."""
         delta = {"role": "assistant", "content": ""}
         choice = {"index": 0, "delta": delta, "finish_reason": None}
         return sse_event(encode(self._chunk([choice])))
 
     def tokens(self, tokens: tuple[str, ...]) -> bytes:
-        """Return the event that carries some tokens."""
+        """Return an event that contains the text of the given tokens."""
         text = encode("".join(tokens))
         return (
             self._head
--- a/ryelever/protocol/outside.py
+++ b/ryelever/protocol/outside.py
@@ -1,10 +1,9 @@
-"""Name what ryelever asks of each outside system, behind one type a system.
+"""Define the interface to each external system as a protocol class.
 
-The parts of the process that ask are annotated with these types and know no path
-and no encoding; docs/INTERFACES.md describes the messages.  Another log service,
-say, takes the place of the published one by a class with the same methods.
-
-The weight store has no type here: engines read from it, ryelever never does.
+Components that call an external system depend only on these classes and contain no
+paths or encodings, so that, for example, another log service can be supported by
+another class with the same methods.  The messages are described in docs/INTERFACES.md.
+The weight store has no class here, since only the engines read from it.
 """
 
 from __future__ import annotations
@@ -42,7 +41,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Call:
-    """Hold one HTTP call to an outside system, without its address."""
+    """Represent one HTTP request to an external system, without the address."""
 
     path: str
     method: str = "GET"
@@ -51,53 +50,59 @@
 
 
 class LogInterface(Protocol):
-    """Ask the platform's append-only log service."""
+    """Interface to the platform's append-only log service."""
 
     def append(self, stream: str, items: list[AppendItem]) -> Call:
-        """Append records; success counts only when they are read back."""
+        """Append records.
+
+        An append counts as successful only once its records are read back.
+        """
 
     def read(self, stream: str, *, offset: int, wait_ms: int, limit: int) -> Call:
-        """Read records from ``offset``, waiting for one if there is none."""
+        """Read records from ``offset`` on.
+
+        If there are none yet, the service waits up to ``wait_ms`` milliseconds.
+        """
 
     def page(self, body: bytes, *, peer: str) -> Result[LogPage, RyeleverError]:
-        """Read the answer to ``read``."""
+        """Decode the answer to ``read``."""
 
 
 class HostsListInterface(Protocol):
-    """Ask the platform's lagging list of hosts."""
+    """Interface to the platform's list of hosts, which may be out of date."""
 
     def list(self, *, known_tag: str) -> Call:
-        """Ask for the list, or for word that it is still the one with this tag."""
+        """Request the list, unless its entity tag still equals ``known_tag``."""
 
     def hosts(self, body: bytes, *, peer: str) -> Result[HostsList, RyeleverError]:
-        """Read the answer to ``list``."""
+        """Decode the answer to ``list``."""
 
 
 class EngineInterface(Protocol):
-    """Ask the model engine of one host."""
+    """Interface to the model engine of one host."""
 
     def report(self) -> Call:
-        """Ask what the host itself says of its group and load."""
+        """Request the host's report of its group and its load."""
 
     def order(self, order: Order) -> Call:
-        """Order the host to join or leave a group; it answers with its report."""
+        """Order the host to join or leave a group; the answer is the host's report."""
 
     def generate(self, request: GenerateRequest) -> Call:
-        """Ask rank 0 of a group to generate; it answers with a stream."""
+        """Request rank 0 of a group to generate tokens; the answer is a stream."""
 
     def cancel(self, attempt_id: str) -> Call:
-        """Stop the generation of an attempt."""
+        """Cancel the generation of an attempt."""
 
     def host_report(
         self, body: bytes, *, host: str, peer: str
     ) -> Result[HostReport, RyeleverError]:
-        """Read the answer to ``report`` and to ``order``, of the host that was asked.
+        """Decode the answer to ``report`` or ``order``.
 
-        A report that another host gives at this address is an error.
+        A report by a host other than ``host`` is an error.
         """
 
     def stream_item(self, data: bytes) -> StreamItem:
-        """Read one event of a generation.
+        """Decode one event of a generation.
 
         Raises
         ------
@@ -107,10 +112,10 @@
 
 
 class PlainServiceInterface(Protocol):
-    """Ask a plain service beside the engines."""
+    """Interface to a plain service, which runs beside the engines."""
 
     def call(self, work: ServiceWork, *, arrival: Arrival) -> Call:
-        """Pass a caller's request on."""
+        """Forward a caller's request."""
 
 
 class _HttpLog:
@@ -176,7 +181,7 @@
     return Call(method="POST", path=path, headers=_JSON, body=encode(message))
 
 
-#: The published protocols.
+#: Implementations of the HTTP protocols in docs/INTERFACES.md.
 HTTP_LOG: LogInterface = _HttpLog()
 HTTP_HOSTS_LIST: HostsListInterface = _HttpHostsList()
 HTTP_ENGINE: EngineInterface = _HttpEngine()
--- a/ryelever/protocol/relaying.py
+++ b/ryelever/protocol/relaying.py
@@ -1,4 +1,4 @@
-"""Describe an interface whose requests are passed on unchanged."""
+"""Define the interface of a platform whose requests are relayed unchanged."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 
 class RelayInterface(Protocol):
-    """Read and write the heads of relayed requests and answers."""
+    """Decode and encode the headers of relayed requests and answers."""
 
     def arrival(
         self, *, head: Headers, target: bytes, content: str, now: float
     ) -> RelayArrival:
-        """Read what decides about a request.
+        """Decode the headers that determine how a request is handled.
 
         Parameters
         ----------
         content : str
-            Hash of what is sent on.
+            Hash of the content that is forwarded.
         """
 
     def forwarded(self, head: Headers, attempt: RelayAttempt, *, now: float) -> Headers:
-        """Return the headers of one attempt at a backend server."""
+        """Return the request headers for one attempt at a backend server."""
 
     def answer_head(self, status: int, headers: Headers) -> AnswerHead:
-        """Read the head of a backend server's answer."""
+        """Decode the status and headers of a backend server's answer."""
 
     def refusal(self, request_id: str, *, retry_after: float | None) -> Headers:
-        """Return the headers of an answer that the entry host gives itself."""
+        """Return the headers of an answer that the entry host itself generates."""
--- a/ryelever/protocol/soft_state.py
+++ b/ryelever/protocol/soft_state.py
@@ -1,4 +1,4 @@
-"""Encode and authenticate the datagrams between entry hosts by Cap'n Proto."""
+"""Encode and authenticate the datagrams of soft state, with Cap'n Proto and HMAC."""
 
 from __future__ import annotations
 
@@ -40,20 +40,21 @@
 
 __all__ = ["MAX_DATAGRAM", "MAC_SIZE", "decode_message", "encode_message"]
 
-#: Longest datagram that is read or written, in bytes.
+#: Maximum size of a datagram, in bytes.
 MAX_DATAGRAM = 8192
 
-#: Bytes of the truncated HMAC-SHA256 in front of each datagram.
+#: Size of the truncated HMAC-SHA256 at the start of each datagram, in bytes.
 MAC_SIZE = 16
 
-#: Longest unpacked message, in words: packing shrinks runs of zeros without bound.
+#: Maximum size of an unpacked message, in Cap'n Proto words.  Since packing shrinks
+#: runs of zeros, the size of a datagram does not limit that of its unpacked message.
 MAX_WORDS = 64 * 1024
 
-#: Largest age that fits, in hundredths of a second.
+#: Largest age that a field can represent, in hundredths of a second.
 MAX_AGE_CS = 0xFFFF
 
-# (field in the schema, attribute) by member of the union in Row.
-_FIELDS = {
+# Pairs of schema field and row attribute, by member of the union in ``Row``.
+_FIELDS_BY_KIND = {
     "demand": (
         ("clientAccount", "client_account"),
         ("rate", "rate"),
@@ -84,19 +85,19 @@
         ("kvUsed", "kv_used"),
     ),
 }
-_KINDS = {
+_KINDS_BY_CLASS = {
     DemandRow: "demand",
     SuspicionRow: "suspicion",
     LeavingRow: "leaving",
     LoadRow: "load",
     ReportRow: "report",
 }
-_CLASSES = {kind: cls for cls, kind in _KINDS.items()}
+_CLASSES_BY_KIND = {kind: cls for cls, kind in _KINDS_BY_CLASS.items()}
 
 
 def _load_schema() -> Any:
-    # The C++ loader of Cap'n Proto reads a file by path.  In the single file the
-    # package is unpacked before it is imported, so the path exists there too.
+    # The C++ loader of Cap'n Proto needs the path of a file.  The path also exists
+    # when ryelever runs from its single-file archive, which is unpacked before import.
     capnp.remove_import_hook()
     source = resources.files("ryelever") / "schema" / "soft_state.capnp"
     with resources.as_file(source) as path:
@@ -107,8 +108,8 @@
 
 
 def encode_message(message: Message, *, key: bytes) -> bytes:
-    """Return the datagram: a truncated HMAC, then the packed message."""
-    built = _SCHEMA.Message.new_message(
+    """Return a message as a datagram: a truncated HMAC and the packed message."""
+    builder = _SCHEMA.Message.new_message(
         sender=message.sender,
         availabilityZone=message.availability_zone,
         boot=message.boot,
@@ -121,42 +122,43 @@
         configurationVersion=message.configuration_version,
     )
     if message.haves:
-        haves = built.init("haves")
+        haves = builder.init("haves")
         haves.origins = [have.origin for have in message.haves]
         haves.versions = [have.version for have in message.haves]
     if message.tables:
-        _write_tables(built, message.tables)
-    _write_transfer(built, message)
-    body = built.to_bytes_packed()
+        _write_tables(builder, message.tables)
+    _write_configuration_transfer(builder, message)
+    body = builder.to_bytes_packed()
     return _mac(body, key=key) + body
 
 
 def decode_message(
     data: bytes, *, key: bytes, peer: str
 ) -> Result[Message, RyeleverError]:
-    """Check and read one datagram; whatever is wrong with it becomes an error."""
+    """Authenticate and decode one datagram; return an error for any invalid one."""
     if len(data) > MAX_DATAGRAM:
-        return _refuse("oversized", peer=peer)
+        return _refusal("oversized", peer=peer)
     if len(data) <= MAC_SIZE:
-        return _refuse("truncated", peer=peer)
+        return _refusal("truncated", peer=peer)
     body = data[MAC_SIZE:]
     if not hmac.compare_digest(data[:MAC_SIZE], _mac(body, key=key)):
-        return _refuse("foreign_key", peer=peer)
+        return _refusal("foreign_key", peer=peer)
     try:
-        # Reading is lazy, so that a broken pointer shows only when it is followed.
-        read = _SCHEMA.Message.from_bytes_packed(
+        # Cap'n Proto decodes lazily: an invalid pointer raises only when the field that
+        # it belongs to is read.
+        reader = _SCHEMA.Message.from_bytes_packed(
             body, traversal_limit_in_words=MAX_WORDS
         )
-        return Ok(_read_message(read))
+        return Ok(_read_message(reader))
     except (capnp.KjException, ValueError, TypeError, AttributeError):
-        return _refuse("malformed", peer=peer)
+        return _refusal("malformed", peer=peer)
 
 
 def _mac(body: bytes, *, key: bytes) -> bytes:
     return hmac.digest(key, body, hashlib.sha256)[:MAC_SIZE]
 
 
-def _refuse(code: str, *, peer: str) -> Result[Message, RyeleverError]:
+def _refusal(code: str, *, peer: str) -> Result[Message, RyeleverError]:
     return Error(
         RyeleverError(
             f"dropped a datagram: {code}; check peer_key and the versions in use",
@@ -168,21 +170,23 @@
     )
 
 
-def _write_tables(built: Any, tables: tuple[TableUpdate, ...]) -> None:
-    alive = [table for table in tables if _is_alive_only(table)]
-    whole = [table for table in tables if not _is_alive_only(table)]
+def _write_tables(builder: Any, tables: tuple[TableUpdate, ...]) -> None:
+    alive = [table for table in tables if _has_only_alive_row(table)]
+    full = [table for table in tables if not _has_only_alive_row(table)]
     if alive:
-        alives = built.init("alives")
+        alives = builder.init("alives")
         updates = [table.updates[0] for table in alive]
         alives.origins = [table.origin for table in alive]
         alives.versions = [update.version for update in updates]
-        alives.agesCs = [_hundredths(update.age) for update in updates]
-        alives.reportAgesCs = [_hundredths(update.row.report_age) for update in updates]
-    for entry, table in zip(built.init("tables", len(whole)), whole, strict=True):
+        alives.agesCs = [_to_centiseconds(update.age) for update in updates]
+        alives.reportAgesCs = [
+            _to_centiseconds(update.row.report_age) for update in updates
+        ]
+    for entry, table in zip(builder.init("tables", len(full)), full, strict=True):
         _write_table(entry, table)
 
 
-def _is_alive_only(table: TableUpdate) -> bool:
+def _has_only_alive_row(table: TableUpdate) -> bool:
     if table.member is not None or len(table.updates) != 1:
         return False
     update = table.updates[0]
@@ -202,38 +206,38 @@
     for row, update in zip(rows, table.updates, strict=True):
         row.slot = update.slot
         row.version = update.version
-        row.ageCs = _hundredths(update.age)
+        row.ageCs = _to_centiseconds(update.age)
         _write_row(row, update.row)
 
 
-def _hundredths(age: float) -> int:
-    # Rounded up, since a row may seem older than it is but never younger.
+def _to_centiseconds(age: float) -> int:
+    # Rounded up, since a row may appear older than it is but never newer.
     return min(MAX_AGE_CS, math.ceil(age * 100))
 
 
 def _write_row(entry: Any, row: SoftRow) -> None:
     if isinstance(row, AliveRow):
-        entry.alive = _hundredths(row.report_age)
+        entry.alive = _to_centiseconds(row.report_age)
         return
     if isinstance(row, GoneRow):
         entry.gone = None
         return
-    kind = _KINDS[type(row)]
+    kind = _KINDS_BY_CLASS[type(row)]
     value = row.report if isinstance(row, ReportRow) else row
-    built = entry.init(kind)
-    for field, attribute in _FIELDS[kind]:
+    builder = entry.init(kind)
+    for field, attribute in _FIELDS_BY_KIND[kind]:
         content = getattr(value, attribute)
-        setattr(built, field, list(content) if field == "adapters" else content)
+        setattr(builder, field, list(content) if field == "adapters" else content)
 
 
-def _write_transfer(built: Any, message: Message) -> None:
+def _write_configuration_transfer(builder: Any, message: Message) -> None:
     for entry, want in zip(
-        built.init("wants", len(message.wants)), message.wants, strict=True
+        builder.init("wants", len(message.wants)), message.wants, strict=True
     ):
         entry.version = want.version
         entry.first = want.first
     for entry, piece in zip(
-        built.init("pieces", len(message.pieces)), message.pieces, strict=True
+        builder.init("pieces", len(message.pieces)), message.pieces, strict=True
     ):
         entry.version = piece.version
         entry.index = piece.index
@@ -242,25 +246,25 @@
         entry.data = piece.data
 
 
-def _read_message(read: Any) -> Message:
+def _read_message(reader: Any) -> Message:
     return Message(
-        sender=read.sender,
-        availability_zone=read.availabilityZone,
-        boot=read.boot,
-        token=read.token,
-        grant=read.grant,
-        sequence=read.sequence,
-        step=Step(read.step),
-        echo=read.echo,
-        hold=read.holdMs / 1000,
-        configuration_version=read.configurationVersion,
-        haves=_read_haves(read.haves),
+        sender=reader.sender,
+        availability_zone=reader.availabilityZone,
+        boot=reader.boot,
+        token=reader.token,
+        grant=reader.grant,
+        sequence=reader.sequence,
+        step=Step(reader.step),
+        echo=reader.echo,
+        hold=reader.holdMs / 1000,
+        configuration_version=reader.configurationVersion,
+        haves=_read_haves(reader.haves),
         tables=(
-            *(_read_table(table) for table in read.tables),
-            *_read_alives(read.alives),
+            *(_read_table(table) for table in reader.tables),
+            *_read_alives(reader.alives),
         ),
         wants=tuple(
-            Want(version=want.version, first=want.first) for want in read.wants
+            Want(version=want.version, first=want.first) for want in reader.wants
         ),
         pieces=tuple(
             Piece(
@@ -270,19 +274,19 @@
                 checksum=bytes(piece.checksum),
                 data=bytes(piece.data),
             )
-            for piece in read.pieces
+            for piece in reader.pieces
         ),
     )
 
 
-def _read_haves(read: Any) -> tuple[Have, ...]:
-    columns = zip(read.origins, read.versions, strict=True)
+def _read_haves(reader: Any) -> tuple[Have, ...]:
+    columns = zip(reader.origins, reader.versions, strict=True)
     return tuple(Have(origin=origin, version=version) for origin, version in columns)
 
 
-def _read_alives(read: Any) -> list[TableUpdate]:
+def _read_alives(reader: Any) -> list[TableUpdate]:
     columns = zip(
-        read.origins, read.versions, read.agesCs, read.reportAgesCs, strict=True
+        reader.origins, reader.versions, reader.agesCs, reader.reportAgesCs, strict=True
     )
     return [
         TableUpdate(
@@ -331,13 +335,13 @@
         return AliveRow(report_age=row.alive / 100)
     if kind == "gone":
         return GoneRow()
-    read = getattr(row, kind)
+    reader = getattr(row, kind)
     values = {
-        attribute: tuple(getattr(read, field))
+        attribute: tuple(getattr(reader, field))
         if field == "adapters"
-        else getattr(read, field)
-        for field, attribute in _FIELDS[kind]
+        else getattr(reader, field)
+        for field, attribute in _FIELDS_BY_KIND[kind]
     }
     if kind == "report":
         return ReportRow(report=HostReport(**values))
-    return _CLASSES[kind](**values)
+    return _CLASSES_BY_KIND[kind](**values)
--- a/ryelever/protocol/sse.py
+++ b/ryelever/protocol/sse.py
@@ -1,4 +1,4 @@
-"""Split a byte stream into server-sent events, and write them."""
+"""Split byte streams into server-sent events, and encode such events."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 #: The event that ends an OpenAI stream.
 DONE = b"data: [DONE]\n\n"
 
-#: Longest event accepted, in bytes.
+#: Maximum size of an event, in bytes.
 MAX_EVENT = 1 << 20
 
 
 class SseTooLongError(ValueError):
-    """Report an event beyond the limit."""
+    """Raised for an event that is longer than ``MAX_EVENT``."""
 
 
 class SseSplitter:
-    """Collect bytes and return the data of each complete event."""
+    """Split a byte stream into events and return the data of each complete event."""
 
     __slots__ = ("_buffer",)
 
@@ -37,15 +37,15 @@
         *events, self._buffer = data.split(b"\n\n")
         if len(self._buffer) > MAX_EVENT:
             raise SseTooLongError(f"event is longer than {MAX_EVENT} bytes")
-        # Comments, which keep a connection awake, are events without data.
+        # Comments, which servers send to keep a connection open, have no data.
         return [data for event in events if (data := _data_of(event))]
 
 
 class EventCutter:
-    """Collect bytes and return each complete event unchanged, with its id.
+    """Split a byte stream into complete, unchanged events with their ids.
 
-    What passes events on without reading them must never pass a part of one: the
-    stream may go on at another backend server, after the last whole event.
+    A relay must never forward a part of an event: after a failure, the stream may
+    continue at another backend server after the last complete event.
     """
 
     __slots__ = ("_buffer",)
@@ -55,13 +55,13 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether no part of an event waits for its rest."""
+        """Return whether no incomplete event is buffered."""
         return not self._buffer
 
     def feed(self, data: bytes) -> list[tuple[str, bytes]]:
-        """Return id and bytes of the events that ``data`` completes.
+        """Return the id and the bytes of each event that ``data`` completes.
 
-        The id is empty where an event has none.
+        The id of an event without an id is empty.
 
         Raises
         ------
@@ -89,7 +89,7 @@
 
 
 def sse_event(data: bytes) -> bytes:
-    """Return one event with ``data``."""
+    """Return ``data`` encoded as one server-sent event."""
     return b"data: " + data + b"\n\n"
 
 
--- a/ryelever/protocol/store_documents.py
+++ b/ryelever/protocol/store_documents.py
@@ -1,4 +1,4 @@
-"""Describe what entry hosts find in the platform's store."""
+"""Define the interface to the documents in the platform's store, and to orders."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class StoreDocuments(Protocol):
-    """Name the topics of the store and read and write their records."""
+    """Give the topics of the store, and decode and encode the records in them."""
 
     operator_topic: str
     configuration_key: str
@@ -29,42 +29,53 @@
     def configuration(
         self, data: bytes, *, peer: str
     ) -> Result[RouteTable, RyeleverError]:
-        """Read the operator's configuration."""
+        """Decode the operator's configuration."""
 
     def evacuated_zone(self, key: str) -> str | None:
-        """Return the zone that a key of the operator's topic asks to evacuate."""
+        """Return the zone whose evacuation a key of the operator's topic requests.
+
+        Returns None for other keys.
+        """
 
     def server(
         self, server_id: str, data: bytes, *, peer: str
     ) -> Result[BackendServer, RyeleverError]:
-        """Read what a backend server has written of itself."""
+        """Decode the record that a backend server has written about itself."""
 
     def reported(
         self, data: bytes, report: bytes, *, peer: str
     ) -> Result[bytes, RyeleverError]:
-        """Return a backend server's record with what it says when it is asked."""
+        """Return a backend server's record, updated from the server's own report.
+
+        Parameters
+        ----------
+        data : bytes
+            The server's record in the store.
+        report : bytes
+            The server's answer to a request for its report.
+        """
 
     def host(self, name: str, data: bytes) -> HostAddress | None:
-        """Read an entry host's address; None where the record is dropped."""
+        """Decode a host's address; return None for a deleted or invalid record."""
 
     def host_record(self, *, address: str, zone: str) -> bytes:
-        """Write this host's address."""
+        """Encode this host's address."""
 
     def group(self, name: str, data: bytes) -> GroupRecord | None:
-        """Read a group; None where the record is dropped or can't be read."""
+        """Decode a group; return None for a deleted or invalid record."""
 
     def group_record(self, record: GroupRecord) -> bytes:
-        """Write a group."""
+        """Encode a group."""
 
 
 class GroupInterface(Protocol):
-    """Give orders to backend servers that make up groups."""
+    """Encode orders to the backend servers of a group and decode their answers."""
 
     def order(self, order: GroupOrder) -> LogCall:
-        """Write an order."""
+        """Return the HTTP request that sends an order."""
 
     def order_headers(self, order: GroupOrder) -> tuple[tuple[str, str], ...]:
-        """Return the headers of an order."""
+        """Return the headers of an order's request."""
 
     def outcome(self, order: GroupOrder, status: int, body: bytes) -> OrderOutcome:
-        """Read the answer to an order."""
+        """Return the outcome of an order, given the server's answer."""
--- a/tests/test_protocol/__init__.py
+++ b/tests/test_protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Test protocol."""
+"""Test the encoders and decoders of ``ryelever.protocol``."""
--- a/tests/test_protocol/test_configuration_document.py
+++ b/tests/test_protocol/test_configuration_document.py
@@ -20,7 +20,7 @@
 
 
 def _document(path: str = "", value: object = None) -> dict:
-    """Return a valid document, with one value put at a dotted path."""
+    """Return a valid document, with ``value`` set at a dotted path if one is given."""
     document = {
         "models": {"notes": {"version": "v1", "adapters": {"walks": "v2"}}},
         "client_accounts": {"pawroute": {"key_hash": KEY_HASH, "models": ["notes"]}},
@@ -48,8 +48,8 @@
     assert checked.ok.models["notes"].adapters == {"walks": "v2"}
 
 
-#: The place that is named, a bad value, and the dotted path that the value is put at
-#: where it is not that of the place.
+#: Place that the fault must name, the invalid value, and the dotted path at which the
+#: value is set; an empty path means the path of the place.
 FAULTS = [
     ("/models/notes/version", "", ""),
     ("/models/notes/version", 3, ""),
@@ -122,7 +122,7 @@
         b"{}" + b" " * (2 << 20),
     ],
 )
-def test_what_is_no_document_is_one_fault(data: bytes) -> None:
+def test_unreadable_document_gives_one_fault_at_its_root(data: bytes) -> None:
     checked = check_document(data)
     assert [fault.place for fault in checked.error] == ["/"]
 
@@ -150,7 +150,9 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.dictionaries(_NAMES, _VALUES, max_size=4))
-def test_whatever_is_read_is_checked_and_comes_back(document: dict) -> None:
+def test_any_object_is_refused_with_faults_or_survives_re_encoding(
+    document: dict,
+) -> None:
     checked = check_document(json.dumps(document).encode())
     if checked.is_ok():
         assert check_document(canonical(checked.ok)).ok == checked.ok
@@ -169,7 +171,7 @@
     assert (change.before, change.after) == ('"v1"', '"v9"')
 
 
-def test_difference_names_what_was_added_and_removed() -> None:
+def test_difference_lists_every_added_field() -> None:
     after = Configuration(models={"m": Model(version="1")})
     changes = difference(Configuration(), after)
     after_by_place = {change.place: change.after for change in changes}
--- a/tests/test_protocol/test_openai.py
+++ b/tests/test_protocol/test_openai.py
@@ -1,4 +1,4 @@
-"""Test the shapes of the OpenAI interface."""
+"""Test the requests and answers of the OpenAI interface."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 @pytest.mark.parametrize(("category", "code", "retry_after", "status", "head"), ERRORS)
-def test_error_says_all_that_a_caller_needs(
+def test_error_answer_has_status_headers_and_fields(
     category: Category, code: str, retry_after: float | None, status: int, head: dict
 ) -> None:
-    """Never send a caller back sooner than the error says."""
+    """Check status, headers and body; ``Retry-After`` is never rounded down."""
     error = RyeleverError(
         "m",
         category=category,
--- a/tests/test_protocol/test_outside.py
+++ b/tests/test_protocol/test_outside.py
@@ -1,4 +1,4 @@
-"""Test that the published protocols are as docs/INTERFACES.md has them."""
+"""Test that calls to external systems match docs/INTERFACES.md."""
 
 from __future__ import annotations
 
@@ -65,8 +65,10 @@
 
 
 @pytest.mark.parametrize(("call", "line", "fields"), CALLS)
-def test_call_is_as_published(call: Call, line: str, fields: set[str]) -> None:
-    """Use the method, path and fields that the page names."""
+def test_call_matches_the_published_interface(
+    call: Call, line: str, fields: set[str]
+) -> None:
+    """Use only methods, paths and fields that docs/INTERFACES.md describes."""
     assert f"{call.method} {call.path}" == line
     sent = json.loads(call.body) if call.body else {}
     assert fields <= sent.keys()
@@ -76,7 +78,7 @@
     assert [name for name in sent if f"`{name}`" not in page] == []
 
 
-def test_service_call_is_passed_on_as_it_came() -> None:
+def test_service_call_is_forwarded_unchanged() -> None:
     call = HTTP_PLAIN_SERVICE.call(WORK, arrival=ARRIVAL)
     assert (call.method, call.path, call.body) == ("POST", "/b", b"1")
     assert dict(call.headers) == {
@@ -86,6 +88,6 @@
     }
 
 
-def test_list_is_asked_for_on_the_condition_that_it_changed() -> None:
+def test_hosts_list_is_requested_conditionally_with_a_known_tag() -> None:
     assert HTTP_HOSTS_LIST.list(known_tag="").headers == ()
     assert HTTP_HOSTS_LIST.list(known_tag='"7"').headers == (("If-None-Match", '"7"'),)
--- a/tests/test_protocol/test_soft_state.py
+++ b/tests/test_protocol/test_soft_state.py
@@ -1,4 +1,4 @@
-"""Test the codec of the datagrams between entry hosts."""
+"""Test the encoding and decoding of the datagrams of soft state."""
 
 from __future__ import annotations
 
@@ -46,7 +46,8 @@
 text = st.text(
     st.characters(exclude_categories=("Cs",), exclude_characters="\0"), max_size=12
 )
-# Ages travel in hundredths of a second; quarters are exact in both.
+# Ages are sent in hundredths of a second.  Quarters of a second are exact both in this
+# unit and as binary fractions.
 ages = st.integers(0, 2400).map(lambda quarters: quarters / 4)
 
 rows = st.one_of(
@@ -56,7 +57,8 @@
     st.builds(SuspicionRow, fingerprint=text, n_crashes=u32),
     st.builds(LeavingRow, host=text),
     st.builds(LoadRow, target=text, n_in_flight=u32),
-    # Built by hand: its type is imported for checking only, and hypothesis would ask.
+    # Built by a function: hypothesis would resolve the annotations of ``ReportRow``,
+    # whose type ``HostReport`` is imported for type checking only.
     st.builds(
         lambda report: ReportRow(report=report),
         report=st.builds(
@@ -100,7 +102,7 @@
 )
 
 
-def some(strategy: st.SearchStrategy) -> st.SearchStrategy:
+def tuples_of(strategy: st.SearchStrategy) -> st.SearchStrategy:
     return st.lists(strategy, max_size=4).map(tuple)
 
 
@@ -116,10 +118,10 @@
     echo=u32,
     hold=st.integers(0, 10**6).map(lambda milliseconds: milliseconds / 1000),
     configuration_version=i64,
-    haves=some(st.builds(Have, origin=u32, version=u32)),
-    tables=some(tables),
-    wants=some(st.builds(Want, version=i64, first=u16)),
-    pieces=some(pieces),
+    haves=tuples_of(st.builds(Have, origin=u32, version=u32)),
+    tables=tuples_of(tables),
+    wants=tuples_of(st.builds(Want, version=i64, first=u16)),
+    pieces=tuples_of(pieces),
 )
 
 
@@ -136,25 +138,26 @@
 MESSAGE = _message(haves=(Have(origin=5, version=6),), tables=(_table(0.5),))
 
 
-def _by_origin(message: Message) -> tuple[object, list[TableUpdate]]:
-    # Tables with nothing but a sign of life travel apart from the others.
+def _comparable(message: Message) -> tuple[object, list[TableUpdate]]:
+    # Tables that contain only a sign of life are sent separately from the others, so
+    # that decoding changes the order.
     rest = (message.sender, message.boot, message.step, message.haves, message.pieces)
     return rest, sorted(message.tables, key=repr)
 
 
 @settings(derandomize=True, deadline=None)
 @given(messages)
-def test_messages_come_back_as_they_were(message: Message) -> None:
+def test_message_survives_encoding_and_decoding(message: Message) -> None:
     data = encode_message(message, key=KEY)
     if len(data) <= MAX_DATAGRAM:
         read = decode_message(data, key=KEY, peer="p").ok
-        assert _by_origin(read) == _by_origin(message)
+        assert _comparable(read) == _comparable(message)
         assert abs(read.hold - message.hold) <= 0.001
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.floats(0, 600))
-def test_an_age_is_never_rounded_down_nor_a_hold_up(seconds: float) -> None:
+def test_age_is_never_rounded_down_and_hold_never_up(seconds: float) -> None:
     message = _message(hold=seconds, tables=(_table(seconds),))
     read = decode_message(encode_message(message, key=KEY), key=KEY, peer="p").ok
     assert read.tables[0].updates[0].age >= seconds
@@ -170,13 +173,13 @@
 @settings(derandomize=True, deadline=None, max_examples=400)
 @given(st.binary(max_size=400))
 def test_arbitrary_bytes_under_the_right_key_never_raise(body: bytes) -> None:
-    """Survive a peer of another version whose messages mean something else.
+    """Decode messages of a peer whose release uses another message format.
 
-    Symptom: an entry host fails whenever a newer one sends a message.
-    Sequence: the key is right, so the bytes reach the parser.
-    Cause: the parser raises from whatever field it happens to follow.
+    Symptom: an entry host fails whenever a host with a newer release sends a message.
+    Sequence: the key is right, so that the bytes reach the parser.
+    Cause: the parser raises an exception while it reads some field.
     """
-    decode_message(_sealed(body), key=KEY, peer="p")
+    decode_message(_authenticated(body), key=KEY, peer="p")
 
 
 @settings(derandomize=True, deadline=None, max_examples=400)
@@ -188,36 +191,38 @@
     for _ in range(data.draw(st.integers(1, 4))):
         at = data.draw(st.integers(0, len(body) - 1))
         body[at] = data.draw(st.integers(0, 255))
-    decode_message(_sealed(bytes(body)), key=KEY, peer="p")
+    decode_message(_authenticated(bytes(body)), key=KEY, peer="p")
 
 
-def _sealed(body: bytes) -> bytes:
+def _authenticated(body: bytes) -> bytes:
     return hmac.digest(KEY, body, hashlib.sha256)[:MAC_SIZE] + body
 
 
-def _unfolding() -> bytes:
-    # Packed, 256 words of zeros take two bytes: kilobytes unfold to megabytes.
+def _oversized_when_unpacked() -> bytes:
+    # Packed, 256 words of zeros take two bytes: kilobytes unpack to megabytes.
     haves = tuple(Have(origin=0, version=0) for _ in range(500_000))
     data = encode_message(_message(haves=haves), key=KEY)
     assert len(data) <= MAX_DATAGRAM
     return data
 
 
-WHOLE = encode_message(MESSAGE, key=KEY)
-FOREIGN = encode_message(MESSAGE, key=b"another-key-16-b")
+VALID = encode_message(MESSAGE, key=KEY)
+OTHER_KEY = encode_message(MESSAGE, key=b"another-key-16-b")
 
 
 @pytest.mark.parametrize(
     ("data", "code"),
     [
         pytest.param(b"", "truncated", id="empty"),
-        pytest.param(WHOLE[:MAC_SIZE], "truncated", id="no_body"),
-        pytest.param(WHOLE[:-1], "foreign_key", id="cut"),
-        pytest.param(WHOLE + b"\0", "foreign_key", id="appended"),
-        pytest.param(FOREIGN, "foreign_key", id="foreign_key"),
+        pytest.param(VALID[:MAC_SIZE], "truncated", id="no_body"),
+        pytest.param(VALID[:-1], "foreign_key", id="cut"),
+        pytest.param(VALID + b"\0", "foreign_key", id="appended"),
+        pytest.param(OTHER_KEY, "foreign_key", id="foreign_key"),
         pytest.param(b"\0" * (MAX_DATAGRAM + 1), "oversized", id="oversized"),
-        pytest.param(_sealed(b"\xff" * 40), "malformed", id="malformed"),
-        pytest.param(_unfolding(), "malformed", id="unfolding"),
+        pytest.param(_authenticated(b"\xff" * 40), "malformed", id="malformed"),
+        pytest.param(
+            _oversized_when_unpacked(), "malformed", id="oversized_when_unpacked"
+        ),
     ],
 )
 def test_bad_datagrams_are_refused_with_their_fault(data: bytes, code: str) -> None:
--- a/tests/test_protocol/test_sse.py
+++ b/tests/test_protocol/test_sse.py
@@ -1,4 +1,4 @@
-"""Test how server-sent events are split and written."""
+"""Test the splitting and encoding of server-sent events."""
 
 from __future__ import annotations
 
@@ -21,14 +21,15 @@
 
 
 @pytest.mark.parametrize(("stream", "events"), STREAMS)
-def test_events_are_the_same_however_the_stream_is_cut(
+def test_events_do_not_depend_on_how_the_stream_is_split(
     stream: bytes, events: list[bytes]
 ) -> None:
-    """Return each event once, wherever a read ends.
+    """Return each event exactly once, wherever the received chunks end.
 
-    Symptom: a stream is taken for broken, and starts again elsewhere.  Sequence: an
-    engine sends a comment to keep the connection, or ends its lines with CR LF.
-    Cause: the one was taken for an event without data, the other for no end.
+    Symptom: a stream counts as broken and restarts at another group.  Sequence: an
+    engine sends a comment to keep the connection open, or ends its lines with CR LF.
+    Cause: the comment was treated as an event without data, and CR LF was not
+    recognized as the end of an event.
     """
     for size in range(1, len(stream) + 1):
         splitter = SseSplitter()
@@ -38,7 +39,7 @@
         assert found == events, size
 
 
-def test_endless_event_is_an_error() -> None:
+def test_event_beyond_the_limit_is_an_error() -> None:
     splitter = SseSplitter()
     splitter.feed(b"data: ")
     with pytest.raises(SseTooLongError):
