--- a/ryelever/accounts.py
+++ b/ryelever/accounts.py
@@ -1,4 +1,4 @@
-"""Check the keys of client accounts, which are kept as salted hashes only."""
+"""Create and check the keys of client accounts, stored only as salted hashes."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 def new_key(account: str) -> str:
-    """Return a fresh key of an account: its name, a dot and a random secret."""
+    """Return a new key for an account: its name, a dot and a random secret."""
     return f"{account}.{secrets.token_urlsafe(32)}"
 
 
 def hash_key(key: str, *, salt: str = "") -> str:
-    """Return the salted hash of a key for the configuration.
+    """Return the salted hash of a key, as stored in the configuration.
 
-    A key is random and long, so a fast digest is enough: there is no dictionary
-    to try.
+    A fast digest is sufficient because keys are long and random, which rules out
+    dictionary attacks.
     """
     salt = salt or secrets.token_hex(8)
     digest = hashlib.sha256(f"{salt}{key}".encode()).hexdigest()
@@ -30,7 +30,7 @@
 
 
 def account_of(authorization: str, configuration: Configuration) -> str | None:
-    """Return the client account of an ``Authorization`` header, or None."""
+    """Return the client account whose key an ``Authorization`` header has, or None."""
     scheme, _, key = authorization.partition(" ")
     if scheme.lower() != "bearer":
         return None
--- a/ryelever/addresses.py
+++ b/ryelever/addresses.py
@@ -1,4 +1,4 @@
-"""Take apart the addresses by which processes reach each other."""
+"""Parse network addresses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     Parameters
     ----------
     address : str
-        ``"<IPv4>:<port>"``, checked before.
+        Valid address of the form ``"<IPv4>:<port>"``.
     """
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/ryelever/application.py
+++ b/ryelever/application.py
@@ -1,4 +1,4 @@
-"""Wire the parts of one process together."""
+"""Build the components of an entry host and connect them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from .dump import Dump
 from .events import control_tick, serving_tick, sweep
 from .fault_log import FaultLog
-from .fleet_history import LOOK_INTERVAL, FleetHistory
+from .fleet_history import UPDATE_INTERVAL, FleetHistory
 from .fleet_watch import FleetWatch
 from .gauges import register_gauges
 from .logs import log_event
@@ -46,28 +46,29 @@
 
 __all__ = ["Application"]
 
-#: Seconds between two looks of control at its deadlines, the shortest of which are
-#: 0.2 s; what arrives is taken when it arrives.
+#: Seconds between two checks of the control components' deadlines, the shortest of
+#: which are 0.2 s.  Messages are processed as they arrive, without waiting for a tick.
 CONTROL_TICK = 0.1
 
-#: Seconds between two looks at requests' deadlines, and while there are no requests.
+#: Seconds between two checks of requests' deadlines, with and without requests in
+#: flight.
 SERVING_TICK = 0.05
 IDLE_SERVING_TICK = 0.1
 
-#: Parts that look at their deadlines together.
+#: Channels of the components that check their deadlines on the same tick.
 CONTROL_CHANNELS = ("streams", "fleet", "planning", "peering", "shutdown")
 
-#: Seconds between two looks at connections.
-SWEEP = 0.25
+#: Seconds between two checks of the connections.
+SWEEP_INTERVAL = 0.25
 
 
 class Application(BaseComponent):
-    """Own the parts of one entry host and its graceful shutdown.
+    """Run the components of one entry host until it is shut down.
 
     Parameters
     ----------
     settings : Settings
-        Checked settings.
+        Settings whose values were checked.
     """
 
     channel = "application"
@@ -110,7 +111,7 @@
             limits=self.account_limits,
             account=self._client_account,
             n_hosts=self._n_entry_hosts,
-            place=self._place_among_entry_hosts,
+            place=self._index_among_entry_hosts,
             peers_reported_since=lambda moment: self.peering.heard_since(moment),
         )
         self.table = self.request_path.table
@@ -189,10 +190,10 @@
             if request.state is RequestState.QUEUED
         )
 
-    def _place_among_entry_hosts(self) -> tuple[int, int]:
-        own = self.peers.address
-        addresses = sorted({own, *self.settings.peers})
-        return addresses.index(own), len(addresses)
+    def _index_among_entry_hosts(self) -> tuple[int, int]:
+        local_address = self.peers.address
+        addresses = sorted({local_address, *self.settings.peers})
+        return addresses.index(local_address), len(addresses)
 
     def _n_entry_hosts(self) -> int:
         return 1 + len(self.settings.peers)
@@ -202,7 +203,7 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether enough is known of the fleet to serve."""
+        """Return whether this host has enough information on the fleet to serve."""
         stream = placement_stream(self.settings.availability_zone)
         placement = self.streams.streams_by_name[stream]
         inputs = ReadinessInputs(
@@ -255,10 +256,10 @@
     def _on_started(self, *args: object) -> None:
         timers = self.timers
         timers.every(CONTROL_TICK, control_tick, *CONTROL_CHANNELS)
-        timers.every(SWEEP, control_tick, "console")
-        timers.every(LOOK_INTERVAL, control_tick, "fleet_history")
+        timers.every(SWEEP_INTERVAL, control_tick, "console")
+        timers.every(UPDATE_INTERVAL, control_tick, "fleet_history")
         timers.every(self._serving_tick, serving_tick, "serving")
-        timers.every(SWEEP, sweep, "http_client", "callers")
+        timers.every(SWEEP_INTERVAL, sweep, "http_client", "callers")
         log_event(
             "started",
             host=self.settings.host,
--- a/ryelever/dump.py
+++ b/ryelever/dump.py
@@ -1,4 +1,4 @@
-"""Answer operators' paths: health, readiness, metrics and the state dump."""
+"""Serve the operators' pages: health, readiness, metrics and the state dump."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from circuits import BaseComponent, handler
 
 from .errors import Category, RyeleverError
-from .events import CallerAnswer, control_tick, dump_wanted
+from .events import CallerAnswer, control_tick, dump_requested
 from .logs import log_event
 from .protocol.json_codec import encode
 from .protocol.openai import error_body, http_status
@@ -28,18 +28,18 @@
 
 __all__ = ["Dump"]
 
-#: Seconds between two looks at what has changed.
-LOOK_INTERVAL = 1.0
+#: Seconds between two checks of groups and leases for changes.
+OBSERVE_INTERVAL = 1.0
 
-#: Ignored records shown of each stream, newest last.
+#: Maximum number of ignored records shown for each stream, newest last.
 N_SHOWN_IGNORED = 5
 
 
 class Dump(BaseComponent):
-    """Describe what the process believes and since when; secrets never appear.
+    """Describe the state of the process without secrets.
 
-    The state is answered on ``/dump`` to an operator, and written to the log on
-    SIGUSR1, for a process whose callers' interface does not answer.
+    An operator gets the state at ``/dump``.  SIGUSR1 writes the state to the log, for
+    a process whose callers' interface does not answer.
     """
 
     channel = "dump"
@@ -47,48 +47,49 @@
     def __init__(self, *, application: EntryHost) -> None:
         super().__init__()
         self._application = application
-        self._beliefs_by_subject: dict[tuple[str, ...], tuple[object, float]] = {}
+        self._states_by_subject: dict[tuple[str, ...], tuple[object, float]] = {}
 
     @handler("started", channel="*")
     def _on_started(self, *args: object) -> None:
-        self._application.timers.every(LOOK_INTERVAL, control_tick, self.channel)
-        with contextlib.suppress(ValueError):  # Only the main thread may do this.
+        self._application.timers.every(OBSERVE_INTERVAL, control_tick, self.channel)
+        # Only the main thread may set signal handlers; others get a ValueError.
+        with contextlib.suppress(ValueError):
             signal.signal(signal.SIGUSR1, self._on_signal_number)
 
     def _on_signal_number(self, signal_number: int, frame: object) -> None:
-        self.fire(dump_wanted(), self.channel)
+        self.fire(dump_requested(), self.channel)
 
-    @handler("dump_wanted")
-    def _on_dump_wanted(self) -> None:
+    @handler("dump_requested")
+    def _on_dump_requested(self) -> None:
         log_event("dump", state=self.describe())
 
     @handler("control_tick")
     def _on_control_tick(self) -> None:
-        self._look(now=time.monotonic())
+        self._record_changes(now=time.monotonic())
 
-    def _look(self, *, now: float) -> None:
-        """Note the time at which a belief about a group or a lease changes."""
+    def _record_changes(self, *, now: float) -> None:
+        """Record the time at which the state of a group or a lease changes."""
         application = self._application
-        seen: dict[tuple[str, ...], object] = {}
+        observed: dict[tuple[str, ...], object] = {}
         for zone, placement in application.placements_by_zone.items():
             lease = placement.lease
-            seen["lease", zone] = None if lease is None else lease.holder
+            observed["lease", zone] = None if lease is None else lease.holder
             for group in placement.groups_by_name.values():
-                whole = application.confirmations.is_complete(group, now=now)
-                seen["group", group.name] = (whole, group.dissolved)
-        known = self._beliefs_by_subject
-        self._beliefs_by_subject = {
+                is_complete = application.confirmations.is_complete(group, now=now)
+                observed["group", group.name] = (is_complete, group.dissolved)
+        known = self._states_by_subject
+        self._states_by_subject = {
             subject: known[subject]
-            if subject in known and known[subject][0] == belief
-            else (belief, now)
-            for subject, belief in seen.items()
+            if subject in known and known[subject][0] == state
+            else (state, now)
+            for subject, state in observed.items()
         }
 
-    def _held_for(self, *subject: str, now: float) -> float:
-        return round(now - self._beliefs_by_subject[subject][1], 3)
+    def _unchanged_for(self, *subject: str, now: float) -> float:
+        return round(now - self._states_by_subject[subject][1], 3)
 
     def pages(self) -> dict[str, Callable[[CallerRequest], CallerAnswer]]:
-        """Return the pages by path."""
+        """Return the functions that answer each path."""
         return {
             "/healthz": self._health,
             "/readyz": self._readiness,
@@ -134,10 +135,10 @@
         return _json(request, 200, self.describe())
 
     def describe(self) -> dict[str, Any]:
-        """Return the whole state."""
+        """Return the complete state of the process."""
         application = self._application
         now = time.monotonic()
-        self._look(now=now)
+        self._record_changes(now=now)
         return {
             "settings": application.settings.public(),
             "boot": application.boot,
@@ -193,7 +194,7 @@
                 "members": group.members,
                 "whole": application.confirmations.is_complete(group, now=now),
                 "dissolved": group.dissolved,
-                "for": self._held_for("group", group.name, now=now),
+                "for": self._unchanged_for("group", group.name, now=now),
                 "reason": group.dissolved_reason or group.reason,
             }
             for zone, placement in application.placements_by_zone.items()
@@ -207,7 +208,7 @@
                 "holder": placement.lease.holder,
                 "offset": placement.lease.offset,
                 "term": placement.lease.term,
-                "for": self._held_for("lease", zone, now=now),
+                "for": self._unchanged_for("lease", zone, now=now),
             }
             for zone, placement in placements.items()
             if placement.lease is not None
--- a/ryelever/entry_host.py
+++ b/ryelever/entry_host.py
@@ -1,4 +1,4 @@
-"""Describe the parts of an entry host to those that show its state."""
+"""Define the interface of an entry host that dump, metrics and console use."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 class EntryHost(Protocol):
-    """Own the parts that a dump, the metrics and the console read.
+    """Give access to the components that a dump, the metrics and the console read.
 
     Attributes
     ----------
     boot : str
-        Distinguishes the incarnations of a host.
+        Id of this run of the process; a restarted host has another one.
     ready : bool
-        Whether it can serve.
+        Whether the entry host can serve requests.
     """
 
     settings: Settings
@@ -58,4 +58,4 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether it can serve."""
+        """Return whether the entry host can serve requests."""
--- a/ryelever/errors.py
+++ b/ryelever/errors.py
@@ -1,4 +1,4 @@
-"""Define the errors that ryelever reports, each with its step and its peer."""
+"""Define the exception that ryelever raises and how its errors are classified."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Category(enum.Enum):
-    """Say who can mend an error: the caller, the operator, or time."""
+    """Classify errors by who can resolve them: caller, operator, or a later retry."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHORIZED = "unauthorized"
@@ -23,10 +23,10 @@
 
 
 class RunState(enum.Enum):
-    """Say whether a request reached a backend server.
+    """Describe whether a backend server has run a request.
 
-    ``NOT_RUN`` is a promise: no byte of the request left for a backend server,
-    or the backend server itself refused it.  Anything less certain is
+    ``NOT_RUN`` is a guarantee: no byte of the request was sent to a backend server,
+    or the backend server refused the request.  Every less certain case is
     ``OUTCOME_UNKNOWN``.
     """
 
@@ -36,24 +36,24 @@
 
 
 class RyeleverError(Exception):
-    """Carry one failure together with where it arose and what to do about it.
+    """Report a failure with the step and the peer at which it occurred.
 
     Parameters
     ----------
     message : str
-        What went wrong and what the reader can do.
+        Description of the failure and of what the reader can do about it.
     category : Category
-        Who can mend it.
+        Class of the error.
     step : str
-        The step of the work, such as ``"admit"`` or ``"read_log"``.
+        Step of the work that failed, such as ``"admit"`` or ``"read_log"``.
     peer : str
-        The other side: an address or a name; empty where there is none.
+        Address or name of the other side; empty if there is none.
     code : str
         Stable identifier for programs; the category's value by default.
     run_state : RunState
         Whether the request, if there is one, was run.
     retry_after : float or None
-        Seconds after which coming back makes sense.
+        Seconds after which a retry is useful.
     """
 
     def __init__(
--- a/ryelever/events.py
+++ b/ryelever/events.py
@@ -1,7 +1,7 @@
-"""Name the events by which the parts of a process meet.
+"""Define the events that the components of a process exchange.
 
-Each event carries one typed message.  Event names are lower case, as circuits has
-them.
+Each event carries one typed message.  Event names are lower case because circuits
+uses the name of the class as the name of the event.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 class CallerRequest(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold one whole and well-formed HTTP request of a caller."""
+    """Hold one complete and well-formed HTTP request of a caller."""
 
     request_id: str
     method: str
@@ -65,30 +65,32 @@
 
 
 class OutboundRequest(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold one HTTP request towards an outside system.
+    """Hold one HTTP request to an external system.
 
     Attributes
     ----------
     reply_channel : str
-        Channel on which the outcome is fired.
+        Channel on which the events of the answer or the failure are fired.
     streamed : bool
         Fire ``outbound_head`` and ``outbound_data`` as bytes arrive, rather than
         one ``outbound_answer``.
     fresh : bool
-        Use a new connection: one that idled may be gone without a word, and then
-        nobody knows whether the request was run.
+        Use a new connection.  An idle connection may have been closed by the other
+        side without notice; whether a request sent over it was run is then unknown.
     progress_timeout : float
-        Seconds without a byte after which the connection is given up.
+        Seconds without a received byte after which the connection is closed and the
+        request fails.
     first_byte_timeout : float
-        The same until the first byte of the answer's body, which takes longer;
+        Seconds to wait for the first byte of the answer's body, which takes longer;
         0 stands for ``progress_timeout``.
     send_before : float
-        Monotonic time after which no first byte leaves any more.
+        Monotonic time after which the request is not sent if no byte has left yet.
     resend_stale : bool
-        Send once more over a new connection when one that idled turns out closed.
+        Send the request once more over a new connection when the idle connection
+        that it was sent over turns out to be closed.
     verbatim : bool
-        Send the headers as they are; they name the host, and the body's length is
-        added only where there is a body or the method asks for one.
+        Send the headers unchanged.  They include ``Host``; a content length is added
+        only if there is a body or the method requires one.
     """
 
     id: str
@@ -116,9 +118,9 @@
     Attributes
     ----------
     headers : dict of str to str
-        The last value of each name.
+        The last value of each header name.
     raw_headers : tuple of (bytes, bytes)
-        All of them in their order.
+        All headers in the order received.
     """
 
     id: str
@@ -128,19 +130,19 @@
 
 
 class AttemptData(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold bytes of a streamed answer's body."""
+    """Hold a chunk of a streamed answer's body."""
 
     id: str
     data: bytes
 
 
 class OutboundAnswer(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold a whole answer.
+    """Hold a complete answer of an external system.
 
     Attributes
     ----------
     sent_at : float
-        Monotonic time from before the request was sent.
+        Monotonic time taken just before the request was sent.
     """
 
     id: str
@@ -152,12 +154,12 @@
 
 
 class OutboundFailure(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold a failure.
+    """Hold the failure of a request to an external system.
 
     Attributes
     ----------
     bytes_sent : bool
-        False only when no byte of the request has left.
+        False only if no byte of the request was sent.
     """
 
     id: str
@@ -167,7 +169,7 @@
 
 
 class CallerAnswer(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold a whole answer for a caller."""
+    """Hold a complete answer for a caller."""
 
     request_id: str
     status: int
@@ -177,7 +179,13 @@
 
 
 class ClaimReadBack(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold an own claim that was read back from the log."""
+    """Hold a claim of this entry host that was read back from the log.
+
+    Attributes
+    ----------
+    is_first : bool
+        Whether the claim is certainly the first one of its idempotency key.
+    """
 
     claim_id: str
     claim: Claim
@@ -185,28 +193,28 @@
 
 
 class HostReported(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold a host's report and the monotonic time from before it was asked for."""
+    """Hold a host's report and the monotonic time just before it was requested."""
 
     report: HostReport
     asked_at: float
 
 
 class Datagram(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold one datagram from or to a peer's address."""
+    """Hold one datagram received from, or to be sent to, a peer's address."""
 
     address: str
     data: bytes
 
 
 class RelayedRequest(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold one whole HTTP request that is to be passed on unchanged.
+    """Hold one complete HTTP request that is relayed unchanged.
 
     Attributes
     ----------
     number : int
         The request's number at its listener.
     headers : list of (bytes, bytes)
-        In their order, names in lower case.
+        Headers in the order received, with names in lower case.
     """
 
     number: int
@@ -217,15 +225,15 @@
 
 
 class server_updates(Event):
-    """Announce a ``ServerUpdates`` that was read, or passed on by another host."""
+    """Announce a ``ServerUpdates`` read from the store or sent by another host."""
 
 
 class server_reported(Event):
-    """Hand over what a backend server said when it was asked: its id and the bytes."""
+    """Announce a backend server's answer to a request for its report: id and bytes."""
 
 
 class store_returned(Event):
-    """Announce that the store has come back from an older copy."""
+    """Announce that the store was restored from an older copy."""
 
 
 class relayed_request(Event):
@@ -233,7 +241,7 @@
 
 
 class relayed_caller_disconnected(Event):
-    """Announce, by its number, a relayed request whose caller is gone."""
+    """Announce the number of a relayed request whose caller has disconnected."""
 
 
 class directory_changed(Event):
@@ -245,39 +253,39 @@
 
 
 class caller_disconnected(Event):
-    """Announce by request id that the caller has closed its connection."""
+    """Announce the id of a request whose caller has closed its connection."""
 
 
 class caller_stalled(Event):
-    """Announce by request id, and a flag, that a caller does not keep up."""
+    """Announce a request id and whether its caller reads too slowly at present."""
 
 
 class caller_answer(Event):
-    """Answer a caller with a ``CallerAnswer``."""
+    """Request that a ``CallerAnswer`` be sent to its caller."""
 
 
 class caller_stream_start(Event):
-    """Start a streamed answer by request id, with headers."""
+    """Request the start of a streamed answer: request id and headers."""
 
 
 class caller_stream_data(Event):
-    """Pass bytes on to a caller by request id."""
+    """Request that bytes be added to a streamed answer: request id and bytes."""
 
 
 class caller_stream_end(Event):
-    """End a streamed answer by request id."""
+    """Request the end of the streamed answer with this request id."""
 
 
 class outbound_send(Event):
-    """Ask for an ``OutboundRequest`` to be sent."""
+    """Request that an ``OutboundRequest`` be sent."""
 
 
 class outbound_cancel(Event):
-    """Give a request up by id; its connection is closed."""
+    """Cancel the outbound request with this id and close its connection."""
 
 
 class outbound_flow(Event):
-    """Stop or go on reading an answer by id, with a flag."""
+    """Pause or resume reading an answer: request id, and true to pause."""
 
 
 class outbound_head(Event):
@@ -289,7 +297,7 @@
 
 
 class outbound_end(Event):
-    """Announce by id that a streamed answer is complete as HTTP."""
+    """Announce the id of a streamed answer whose HTTP message has ended."""
 
 
 class outbound_answer(Event):
@@ -301,19 +309,19 @@
 
 
 class control_tick(Event):
-    """Let control look at its deadlines."""
+    """Have the control components check their deadlines."""
 
 
 class serving_tick(Event):
-    """Let serving look at its deadlines."""
+    """Have the serving component check the deadlines of requests."""
 
 
 class sweep(Event):
-    """Let a transport look at its connections."""
+    """Have a transport check its connections for timeouts."""
 
 
 class append_record(Event):
-    """Ask for the record of an ``AppendRecord`` to be appended."""
+    """Request that the record of an ``AppendRecord`` be appended to the log."""
 
 
 class claim_read_back(Event):
@@ -325,32 +333,32 @@
 
 
 class heartbeat_tick(Event):
-    """Let this host tell the others what it sees."""
+    """Have this host send its heartbeat to the other hosts."""
 
 
 class peers_send(Event):
-    """Ask for a list of ``Datagram`` to be sent to peers."""
+    """Request that a list of ``Datagram`` be sent to peers."""
 
 
 class peers_poll(Event):
-    """Ask for the datagrams that have come from peers."""
+    """Request that datagrams which peers have sent be read."""
 
 
 class peers_received(Event):
     """Announce a list of ``Datagram`` received from peers."""
 
 
-class dump_wanted(Event):
-    """Ask for the state to be written to the log."""
+class dump_requested(Event):
+    """Request that the state be written to the log."""
 
 
 class end_requests(Event):
-    """End every request in flight: the graceful shutdown's deadline has come."""
+    """End every request in flight because the shutdown's deadline has passed."""
 
 
 class drain(Event):
-    """Begin the graceful shutdown."""
+    """Announce that the graceful shutdown begins."""
 
 
 class drained(Event):
-    """Announce that nothing is in flight any more, and that nothing new is taken."""
+    """Announce that no request is in flight and new requests are refused."""
--- a/ryelever/exit_codes.py
+++ b/ryelever/exit_codes.py
@@ -1,4 +1,4 @@
-"""Name the exit codes of all commands; docs/OPERATIONS.md explains them."""
+"""Define the exit codes of all commands; docs/OPERATIONS.md explains them."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Say how a command ended.
+    """Describe how a command ended.
 
-    ``CUT_OFF``: an entry host stopped with requests cut off at its deadline.
-    ``UNREACHABLE``: the entry host that was asked did not answer.
+    ``CUT_OFF``: an entry host stopped after cutting off requests at its deadline.
+    ``UNREACHABLE``: the entry host at the given address did not answer.
     """
 
     OK = 0
--- a/ryelever/fault_log.py
+++ b/ryelever/fault_log.py
@@ -1,4 +1,4 @@
-"""Log and count the faults of event handlers, after which the process goes on."""
+"""Log and count exceptions raised by event handlers; the process continues."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 __all__ = ["FaultLog"]
 
-#: Last characters of a fault's traceback that go into the log line.
+#: Number of characters at a traceback's end that are written to the log line.
 MAX_TRACEBACK = 2000
 
 
 class FaultLog(BaseComponent):
-    """Take the exceptions that handlers leave to circuits.
+    """Log and count every exception that an event handler does not catch.
 
     Parameters
     ----------
     metrics : Metrics
-        Where faults are counted, by the class of the error.
+        Metrics in which the exceptions are counted, by their class.
     """
 
     channel = "faults"
--- a/ryelever/faults.py
+++ b/ryelever/faults.py
@@ -1,4 +1,4 @@
-"""Name one fault of a settings file or of a configuration document."""
+"""Define the description of a fault in a settings file or configuration document."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Fault(msgspec.Struct, kw_only=True, frozen=True):
-    """Name one fault: its place, what was expected, and what to do."""
+    """Describe one fault: its place, the expected value and how to correct it."""
 
     place: str
     expected: str
--- a/ryelever/fleet_history.py
+++ b/ryelever/fleet_history.py
@@ -1,4 +1,4 @@
-"""Feed time to what measures the fleet and explains its repairs."""
+"""Update the measures of the fleet and the history of its repairs regularly."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 __all__ = ["FleetHistory"]
 
-#: Seconds between two looks at the fleet.
-LOOK_INTERVAL = 1.0
+#: Seconds between two updates from the state of the fleet.
+UPDATE_INTERVAL = 1.0
 
 
 class FleetHistory(BaseComponent):
-    """Own both measures and the history of repairs.
+    """Keep both measures of the fleet and the history of its repairs.
 
-    They are kept in memory alone and start anew with the process; what must last is
-    in the log.
+    Both are kept only in memory and start empty with the process; state that must
+    outlast the process is in the log.
     """
 
     channel = "fleet_history"
@@ -49,7 +49,7 @@
         self._confirmations = confirmations
 
     def register_gauges(self, metrics: Metrics) -> None:
-        """Show both measures among the metrics."""
+        """Register gauges for both measures: groups down and stranded accelerators."""
         measures = self.measures
         metrics.gauge("groups_down", lambda: float(measures.n_groups_down))
         metrics.gauge("group_downtime_seconds", lambda: measures.downtime_seconds)
--- a/ryelever/gauges.py
+++ b/ryelever/gauges.py
@@ -1,4 +1,4 @@
-"""Show among the metrics what the parts of a process count for themselves."""
+"""Register gauges and counters for values that the components count themselves."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def register_gauges(application: EntryHost) -> None:
-    """Register what is read from the parts when ``/metrics`` is asked for."""
+    """Register the values that are read from components when ``/metrics`` is served."""
     _register_requests(application)
     _register_traffic(application)
     application.metrics.gauge(
--- a/ryelever/quarantine_log.py
+++ b/ryelever/quarantine_log.py
@@ -1,4 +1,4 @@
-"""Log what requests are quarantined by."""
+"""Log the evidence by which requests are quarantined."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class QuarantineLog:
-    """Write a line for each piece of evidence and each verdict."""
+    """Log each crash, each suspicion from another host and each verdict."""
 
     __slots__ = ()
 
     def crash_noted(self, crash: Crash) -> None:
-        """Log who ran in a crash, as far as this host sees."""
+        """Log a crash with the requests that this host had running in it."""
         log_event(
             "crash_noted",
             crash=crash.key,
@@ -29,7 +29,7 @@
         )
 
     def suspicion_received(self, row: SuspicionRow, *, peer: str) -> None:
-        """Log what another host told of a request."""
+        """Log a suspicion of a request that another host has reported."""
         log_event(
             "suspicion_received",
             peer=peer,
--- a/ryelever/request_path.py
+++ b/ryelever/request_path.py
@@ -1,4 +1,4 @@
-"""Build the decisions that one request meets: admission, claim, route, retry."""
+"""Build the objects that admit, claim, route and retry requests."""
 
 from __future__ import annotations
 
@@ -34,45 +34,46 @@
 
 __all__ = ["RequestPath", "build_claims"]
 
-#: Seconds after which a caller should come back when nothing serves its request.
+#: Seconds after which a caller should retry when no server can serve its request.
 RETRY_AFTER = 2.0
 
-#: Least seconds for which the verdict on a crashing request waits: longer than
+#: Minimum seconds before a verdict on a request that crashes servers: longer than a
 #: suspicion takes to reach the other entry hosts of the zone.
 SUSPICION_SETTLE = 1.0
 
-#: Seconds without having reached the end of a claims stream, beside one silence of
-#: the log's connection, after which the log counts as down.
+#: Seconds without reaching the end of a claims stream after which the log counts as
+#: down, in addition to the progress timeout of one connection to the log.
 CLAIMS_LAG = 2.0
 
-#: Seconds by which the pause before an attempt at the same backend server is longer
-#: than a report counts, so that the backend server has confirmed itself since.
+#: Seconds added to the maximum age of a report before a new attempt at the same
+#: backend server.  Only a server that has reported again since is used for it.
 REPORT_SLACK = 0.5
 
 
 class RequestPath:
-    """Own the decisions about requests, from arrival to answer.
+    """Build and hold the objects that decide about requests.
 
     Parameters
     ----------
     limits : AccountLimits
-        Shares of the client accounts' limits, as exchanged among entry hosts.
+        This host's shares of the client accounts' limits, as agreed with the other
+        entry hosts.
     account : callable
         Return the declaration of a client account, or None.
     n_hosts : callable
         Return the number of entry hosts.
     place : callable
-        Return this entry host's place among all of them, and their number.
+        Return this entry host's index among all entry hosts, and their number.
     peers_reported_since : callable
-        Tell whether the zone's living entry hosts have told all that they had seen at
-        some monotonic time.
+        Return whether all live entry hosts of the zone have reported everything that
+        they had observed up to a given monotonic time.
 
     Attributes
     ----------
     table : RequestTable
-        Every request in flight; it asks all the others.
+        All requests in flight; uses the other objects for its decisions.
     departures, quarantine, loads
-        What this entry host observes and tells the others.
+        Observations of this entry host that are exchanged with the other ones.
     """
 
     def __init__(
@@ -147,7 +148,7 @@
 
     @property
     def observers(self) -> list[Departures | Quarantine | LoadView]:
-        """Return what is told to the other entry hosts and takes in what they tell."""
+        """Return the objects whose observations the entry hosts exchange."""
         return [self.departures, self.quarantine, self.loads]
 
 
