--- a/ryelever/arrivals.py
+++ b/ryelever/arrivals.py
@@ -1,4 +1,4 @@
-"""Read callers' requests into arrivals for the request table."""
+"""Validate callers' requests and convert them to arrivals for the request table."""
 
 from __future__ import annotations
 
@@ -36,20 +36,20 @@
 SERVICES_PREFIX = "/services/"
 MODELS_PATH = "/v1/models"
 
-#: Header with which a caller names its own deadline, in seconds from now.
+#: Header in which a caller sets the deadline of its request, in seconds from now.
 TIMEOUT_HEADER = "x-request-timeout"
 
-#: Header that marks a request which must run at most once.
+#: Header with the idempotency key of a request that must run at most once.
 KEY_HEADER = "idempotency-key"
 
 
 class ArrivalReader:
-    """Check a request against the configuration that is in force.
+    """Validate requests against the configuration in force.
 
     Parameters
     ----------
     log_time : callable
-        Return the newest time of append read, in seconds since the epoch.
+        Return the newest append time read from the log, in seconds since the epoch.
     """
 
     def __init__(
@@ -64,16 +64,17 @@
         self._configuration = configuration
 
     def read(self, request: CallerRequest) -> Result[Arrival | None, RyeleverError]:
-        """Return the arrival, or None when the caller asks for the models.
+        """Return the arrival, or None if the caller requests the list of models.
 
-        A refused resend may have run before: the configuration may have changed
-        since, or another entry host may have read more of it.
+        A resend with an idempotency key that is refused here may have run before:
+        the configuration may have changed since the first attempt, or another entry
+        host may have read a newer version.  The error then reports an unknown outcome.
         """
         arrival = self._read(request)
         key = request.headers.get(KEY_HEADER, "")
         if arrival.is_error() and key and issued_at(key) is not None:
-            certain = arrival.error.code == KEY_IN_FUTURE
-            return arrival if certain else Error(doubt(arrival.error))
+            is_certain = arrival.error.code == KEY_IN_FUTURE
+            return arrival if is_certain else Error(doubt(arrival.error))
         return arrival
 
     def _read(self, request: CallerRequest) -> Result[Arrival | None, RyeleverError]:
@@ -112,7 +113,7 @@
         )
 
     def models_answer(self, request: CallerRequest) -> Result[bytes, RyeleverError]:
-        """Return the body that lists what the account may use, or names one model."""
+        """Return the body that lists the account's models, or describes one of them."""
         configuration = self._configuration.configuration
         account = account_of(request.headers["authorization"], configuration)
         allowed = configuration.client_accounts[account].models
@@ -122,12 +123,12 @@
                 continue
             names.append(name)
             names += [f"{name}:{adapter}" for adapter in sorted(model.adapters)]
-        asked = unquote(request.path.removeprefix(MODELS_PATH).lstrip("/"))
-        if not asked:
+        requested = unquote(request.path.removeprefix(MODELS_PATH).lstrip("/"))
+        if not requested:
             return Ok(models_list(names, created=0))
-        if asked not in names:
-            return _model_not_found(asked)
-        return Ok(model_body(asked, created=0))
+        if requested not in names:
+            return _model_not_found(requested)
+        return Ok(model_body(requested, created=0))
 
     def _chat_arrival(
         self, request: CallerRequest, account: str
@@ -155,9 +156,9 @@
                 code="unknown_service",
             )
         path = "/" + rest + (f"?{request.query}" if request.query else "")
-        marked = any(path.startswith(prefix) for prefix in service.non_repeatable)
+        needs_key = any(path.startswith(prefix) for prefix in service.non_repeatable)
         key = request.headers.get(KEY_HEADER, "")
-        if marked and request.method not in ("GET", "HEAD") and not key:
+        if needs_key and request.method not in ("GET", "HEAD") and not key:
             return _error(
                 "this call runs at most once; send an Idempotency-Key",
                 category=Category.BAD_REQUEST,
@@ -179,10 +180,11 @@
         if timeout.is_error():
             return timeout
         key = request.headers.get(KEY_HEADER, "")
-        # A host whose clock is behind would call a key "in the future", so "not run",
-        # that another host has claimed and run; the claim's own time says otherwise.
-        wall = max(time.time(), self._log_time())
-        checked = check_key(key, wall=wall) if key else Ok(0.0)
+        # A host whose clock is slow would refuse a key as issued in the future, and
+        # report "not run", although another host has claimed the key and run the
+        # request.  The append time of that claim shows that the key is not too new.
+        wall_time = max(time.time(), self._log_time())
+        checked = check_key(key, wall=wall_time) if key else Ok(0.0)
         if checked.is_error():
             return checked
         now = time.monotonic()
@@ -205,19 +207,19 @@
         return _ok(arrival)
 
     def _timeout(self, request: CallerRequest) -> Result[float, RyeleverError]:
-        given = request.headers.get(TIMEOUT_HEADER)
-        if given is None:
+        text = request.headers.get(TIMEOUT_HEADER)
+        if text is None:
             return Ok(self._settings.request_timeout)
-        longest = self._settings.max_request_timeout
+        max_timeout = self._settings.max_request_timeout
         try:
-            seconds = float(given)
+            seconds = float(text)
         except ValueError:
             seconds = math.nan
-        if 0 < seconds <= longest:
+        if 0 < seconds <= max_timeout:
             return Ok(seconds)
         return _error(
             f"X-Request-Timeout must be a number of seconds above 0 and up to "
-            f"{longest:g}",
+            f"{max_timeout:g}",
             category=Category.BAD_REQUEST,
             code="invalid_timeout",
         )
--- a/ryelever/attempts.py
+++ b/ryelever/attempts.py
@@ -1,4 +1,4 @@
-"""Send attempts to backend servers and read what comes back of them."""
+"""Send attempts to backend servers and process their answers."""
 
 from __future__ import annotations
 
@@ -27,30 +27,33 @@
 
 __all__ = ["Attempts"]
 
-#: Statuses with which an engine says that it did not run a request.
+#: Statuses that an engine sends only if it did not run the request.
 REFUSED_STATUSES = frozenset({409, 429, 503})
 
-#: Status and header with which a plain service says that it did not run a call.
+#: Status and header that together mean that a plain service did not run the call.
 NOT_RUN_STATUS = 503
 NOT_RUN_HEADER = "ryelever-not-run"
 
-#: Bytes kept of an engine's error answer.
+#: Bytes kept of each chunk of an engine's error answer.
 MAX_ERROR_TEXT = 500
 
-#: Where answers go that nobody waits for.
-NOBODY = "nobody"
+#: Channel without a handler, for answers that are not needed.
+UNUSED_CHANNEL = "nobody"
 
-#: Code of errors of a backend server that lives; others of a stream mean a death.
+#: Code of errors after which the backend server counts as alive.  An error of a stream
+#: with any other code counts as the server's death.
 BACKEND_ERROR = "backend_error"
 
 
 class Attempts:
-    """Own the attempts in flight; return what the request table decides.
+    """Send attempts and report their answers to the request table.
+
+    The methods that process an answer return the actions that the table decides on.
 
     Parameters
     ----------
     table : RequestTable
-        The decisions.
+        Requests in flight; decides which actions follow an answer or a failure.
     fire : callable
         Fire an event on a channel.
     """
@@ -87,13 +90,13 @@
         self._fire(outbound_send(request), "http_client")
 
     def cancel(self, attempt_id: str) -> None:
-        """Give an attempt up and let the engine know."""
+        """Cancel an attempt here and at the engine."""
         attempt = self._attempts_by_id.pop(attempt_id, None)
         if attempt is not None:
-            self._give_up(attempt_id, attempt)
+            self._abort(attempt_id, attempt)
 
-    def flow(self, attempt_id: str, *, stop: bool) -> None:
-        """Stop or go on reading an answer."""
+    def set_flow(self, attempt_id: str, *, stop: bool) -> None:
+        """Pause or resume reading an answer."""
         self._fire(outbound_flow(attempt_id, stop), "http_client")
 
     def _generate_request(self, action: SendAttempt, work: ChatWork) -> OutboundRequest:
@@ -144,14 +147,15 @@
             send_before=action.arrival.deadline,
         )
 
-    def _give_up(self, attempt_id: str, attempt: _Attempt) -> None:
+    def _abort(self, attempt_id: str, attempt: _Attempt) -> None:
         self._fire(outbound_cancel(attempt_id), "http_client")
         if attempt.streamed:
-            self._order_cancel(attempt_id, address=attempt.address)
+            self._send_cancel(attempt_id, address=attempt.address)
 
-    def _order_cancel(self, attempt_id: str, *, address: str) -> None:
-        # An engine does not notice that a connection was closed when the path to
-        # it has gone silent, and would generate to the end for nobody.
+    def _send_cancel(self, attempt_id: str, *, address: str) -> None:
+        # If the network path to an engine loses all packets, the engine does not
+        # notice that the connection was closed.  It would generate the complete
+        # answer although no caller receives it.
         call = self._engine.cancel(attempt_id)
         request = OutboundRequest(
             id=f"cancel-{attempt_id}",
@@ -160,25 +164,26 @@
             path=call.path,
             headers=call.headers,
             body=call.body,
-            reply_channel=NOBODY,
+            reply_channel=UNUSED_CHANNEL,
             step="cancel",
-            # An idle connection to this engine went the way that has just gone
-            # silent; the order would vanish in it, and nobody asks for its answer.
+            # An idle connection to this engine may use the same failed network path.
+            # The cancellation would be lost in it unnoticed, because its answer is
+            # not processed.
             fresh=True,
             progress_timeout=self._settings.progress_timeout,
         )
         self._fire(outbound_send(request), "http_client")
 
-    # Reading
+    # Processing answers
 
     def head(self, head: AnswerHead) -> None:
-        """Take the status of a streamed answer."""
+        """Record the status of a streamed answer."""
         attempt = self._attempts_by_id.get(head.id)
         if attempt is not None:
             attempt.status = head.status
 
     def data(self, message: AttemptData) -> list[Action]:
-        """Take bytes of a streamed answer."""
+        """Process a chunk of a streamed answer."""
         attempt = self._attempts_by_id.get(message.id)
         if attempt is None:
             self._table.late_answer()
@@ -189,59 +194,69 @@
         actions: list[Action] = []
         try:
             for data in attempt.splitter.feed(message.data):
-                actions += self._take_item(message.id, self._engine.stream_item(data))
+                actions += self._process_item(
+                    message.id, self._engine.stream_item(data)
+                )
         except (SseTooLongError, msgspec.DecodeError) as error:
             text = f"sent a broken stream: {error}"
-            actions += self._break(message.id, text, code=BACKEND_ERROR)
+            actions += self._fail_stream(message.id, text, code=BACKEND_ERROR)
         return actions
 
     def end(self, attempt_id: str) -> list[Action]:
-        """Take the end of a streamed answer, as HTTP has it."""
+        """Process the end of a streamed answer's HTTP message."""
         attempt = self._attempts_by_id.get(attempt_id)
         if attempt is None:
             return []
         if attempt.status == 200:
-            return self._break(attempt_id, "ended a stream without its last event")
+            return self._fail_stream(
+                attempt_id, "ended a stream without its last event"
+            )
         refused = attempt.status in REFUSED_STATUSES
         text = bytes(attempt.error_text).decode("utf-8", "replace")
         message = f"answered {attempt.status}: {text}"
-        # The code tells an answer from a death: what runs beside it lives on.
-        return self._break(attempt_id, message, refused=refused, code=BACKEND_ERROR)
+        # The code shows that the engine is alive, since it has answered: its other
+        # requests continue.
+        return self._fail_stream(
+            attempt_id, message, refused=refused, code=BACKEND_ERROR
+        )
 
     def answer(self, answer: OutboundAnswer) -> list[Action]:
-        """Take a plain service's whole answer."""
+        """Process the complete answer of a plain service."""
         if self._attempts_by_id.pop(answer.id, None) is None:
             self._table.late_answer()
             return []
-        said_not_run = answer.headers.get(NOT_RUN_HEADER, "").lower() == "true"
+        has_not_run_header = answer.headers.get(NOT_RUN_HEADER, "").lower() == "true"
         return self._table.service_answered(
             answer.id,
             status=answer.status,
             content_type=answer.headers.get("content-type", ""),
             body=answer.body,
-            not_run=said_not_run and answer.status == NOT_RUN_STATUS,
+            not_run=has_not_run_header and answer.status == NOT_RUN_STATUS,
             now=time.monotonic(),
         )
 
     def failed(self, failure: OutboundFailure) -> list[Action]:
-        """Take a connection's failure."""
+        """Process the failure of an attempt's connection."""
         attempt = self._attempts_by_id.pop(failure.id, None)
         if attempt is None:
             return []
         if attempt.streamed and failure.bytes_sent:
-            self._order_cancel(failure.id, address=attempt.address)
-        return self._fail(failure.id, failure.error, refused=not failure.bytes_sent)
+            self._send_cancel(failure.id, address=attempt.address)
+        return self._report_failure(
+            failure.id, failure.error, refused=not failure.bytes_sent
+        )
 
-    def _take_item(self, attempt_id: str, item: StreamItem) -> list[Action]:
+    def _process_item(self, attempt_id: str, item: StreamItem) -> list[Action]:
         if attempt_id not in self._attempts_by_id:
             self._table.late_answer()
             return []
         if item.attempt != attempt_id:
-            # The connection carries somebody else's answer: never pass it on.
+            # The connection carries the answer to another request, which this
+            # request's caller must never receive.
             text = f"sent tokens of attempt {item.attempt!r}"
-            return self._break(attempt_id, text, code=BACKEND_ERROR)
+            return self._fail_stream(attempt_id, text, code=BACKEND_ERROR)
         if item.error:
-            return self._break(attempt_id, f"broke off: {item.error}")
+            return self._fail_stream(attempt_id, f"broke off: {item.error}")
         now = time.monotonic()
         actions: list[Action] = []
         if item.tokens:
@@ -266,14 +281,14 @@
             attempt_id, finish_reason=item.finish_reason, usage=usage, now=now
         )
 
-    def _break(
+    def _fail_stream(
         self, attempt_id: str, message: str, *, refused: bool = False, code: str = ""
     ) -> list[Action]:
         attempt = self._attempts_by_id.pop(attempt_id)
         if refused:
             self._fire(outbound_cancel(attempt_id), "http_client")
         else:
-            self._give_up(attempt_id, attempt)
+            self._abort(attempt_id, attempt)
         error = RyeleverError(
             f"{attempt.address} {message}",
             category=Category.UNAVAILABLE if refused else Category.BROKEN,
@@ -281,9 +296,9 @@
             peer=attempt.address,
             code=code,
         )
-        return self._fail(attempt_id, error, refused=refused)
+        return self._report_failure(attempt_id, error, refused=refused)
 
-    def _fail(
+    def _report_failure(
         self, attempt_id: str, error: RyeleverError, *, refused: bool
     ) -> list[Action]:
         log_event(
@@ -301,7 +316,7 @@
 
 
 class _Attempt:
-    """Hold what is read of one attempt's answer."""
+    """Hold the state of reading one attempt's answer."""
 
     __slots__ = ("address", "error_text", "splitter", "status", "streamed")
 
--- a/ryelever/caller_answers.py
+++ b/ryelever/caller_answers.py
@@ -1,4 +1,4 @@
-"""Write answers to callers, whole or as streams."""
+"""Send answers to callers, complete or as streams."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class CallerAnswers:
-    """Shape the answers of the requests that are in flight.
+    """Format and send the answers to the requests in flight.
 
     Parameters
     ----------
@@ -55,18 +55,18 @@
         self._shapes_by_request: dict[str, ChatStreamShape] = {}
 
     def expect(self, arrival: Arrival) -> None:
-        """Remember what the answer must be shaped for."""
+        """Store a request whose answer will be sent later."""
         self.arrivals_by_id[arrival.request_id] = arrival
 
     def forget(self, request_id: str) -> None:
-        """Let go of a request that was answered, or whose caller is gone."""
+        """Remove a request that was answered or whose caller has disconnected."""
         self.arrivals_by_id.pop(request_id, None)
         self._shapes_by_request.pop(request_id, None)
 
     # Streams
 
     def stream_tokens(self, action: StreamTokens) -> None:
-        """Pass tokens on."""
+        """Send tokens to the caller."""
         request_id = action.request_id
         data = self._shape(request_id).tokens(action.tokens)
         self._fire(caller_stream_data(request_id, data), "callers")
@@ -95,14 +95,14 @@
         return shape
 
     def stream_finished(self, action: StreamFinished) -> None:
-        """End a stream with its terminal events."""
+        """Send the final events of a stream and end it."""
         data = self._shape(action.request_id).finished(
             finish_reason=action.finish_reason, usage=action.usage
         )
         self._end_stream(action.request_id, data, outcome="answered")
 
     def stream_failed(self, action: StreamFailed) -> None:
-        """End a stream with an explicit error event."""
+        """Send an error event and end the stream."""
         log_event(
             "stream_failed",
             request=action.request_id,
@@ -117,12 +117,12 @@
     def _end_stream(self, request_id: str, data: bytes, *, outcome: str) -> None:
         self._fire(caller_stream_data(request_id, data), "callers")
         self._fire(caller_stream_end(request_id), "callers")
-        self._ended(request_id, outcome=outcome)
+        self._record_end(request_id, outcome=outcome)
 
-    # Whole answers
+    # Complete answers
 
     def answer_complete(self, action: AnswerComplete) -> None:
-        """Answer a chat request whole."""
+        """Send the complete answer to a chat request."""
         arrival = self.arrivals_by_id[action.request_id]
         body = chat_completion(
             request_id=action.request_id,
@@ -135,7 +135,7 @@
         self.answer(CallerAnswer(request_id=action.request_id, status=200, body=body))
 
     def answer_service(self, action: AnswerService) -> None:
-        """Pass a plain service's answer on."""
+        """Send a plain service's answer to the caller."""
         headers = {"Ryelever-Replayed": "true"} if action.replayed else {}
         self.answer(
             CallerAnswer(
@@ -148,7 +148,7 @@
         )
 
     def answer_error(self, request_id: str, error: RyeleverError) -> None:
-        """Answer with an error."""
+        """Log an error and send it to the caller."""
         log_event(
             "request_failed",
             request=request_id,
@@ -167,11 +167,11 @@
         self.answer(answer, outcome=error.code)
 
     def answer(self, answer: CallerAnswer, *, outcome: str = "answered") -> None:
-        """Answer a caller."""
+        """Send an answer to its caller and record the end of the request."""
         self._fire(caller_answer(answer), "callers")
-        self._ended(answer.request_id, outcome=outcome)
+        self._record_end(answer.request_id, outcome=outcome)
 
-    def _ended(self, request_id: str, *, outcome: str) -> None:
+    def _record_end(self, request_id: str, *, outcome: str) -> None:
         self._metrics.count("requests", outcome)
         arrival = self.arrivals_by_id.get(request_id)
         if arrival is not None:
--- a/ryelever/serving.py
+++ b/ryelever/serving.py
@@ -1,4 +1,4 @@
-"""Serve callers: join the request table with the transports."""
+"""Serve callers: connect the request table to the transports."""
 
 from __future__ import annotations
 
@@ -47,26 +47,26 @@
 
 
 class Serving(BaseComponent):
-    """Own the requests of this entry host.
+    """Handle the requests of callers and carry out the request table's decisions.
 
     Parameters
     ----------
     table : RequestTable
-        The decisions.
+        Requests in flight; decides on each event which actions follow.
     configuration : ConfigurationFold
-        What is in force.
+        Configuration in force.
     pages : dict of str to callable
-        Answers of operators' paths by path; each takes the request, and returns
-        None where its answer comes later.
+        Functions that answer operators' requests, by path.  Each takes the request
+        and returns the answer, or None if the answer is sent later.
     log_time : callable
-        Return the newest time of append read of the claims.
+        Return the newest append time among the claims that were read from the log.
 
     Attributes
     ----------
     draining : bool
-        True from the beginning of the graceful shutdown; requests are still taken.
+        True from the start of the graceful shutdown; requests are still accepted.
     closed : bool
-        True once new requests are turned away.
+        True once new requests are refused.
     """
 
     channel = "serving"
@@ -111,9 +111,9 @@
         if arrival.ok is None:
             self._answer_models(request)
             return
-        self._begin(arrival.ok)
+        self._handle_arrival(arrival.ok)
 
-    def _begin(self, arrival: Arrival) -> None:
+    def _handle_arrival(self, arrival: Arrival) -> None:
         self._answers.expect(arrival)
         if not self.closed:
             self._carry_out(self._table.arrive(arrival, now=time.monotonic()))
@@ -137,7 +137,7 @@
         )
 
     @handler("caller_disconnected")
-    def _on_caller_gone(self, request_id: str) -> None:
+    def _on_caller_disconnected(self, request_id: str) -> None:
         self._answers.forget(request_id)
         self._carry_out(
             self._table.caller_disconnected(request_id, now=time.monotonic())
@@ -154,10 +154,11 @@
         handler: object = None,
         fevent: Event | None = None,
     ) -> None:
-        """Answer the caller whose request met a fault of the program.
+        """Answer the caller whose request made a handler raise an exception.
 
-        A handler that raises answers nothing, and the caller would wait until its
-        own timeout.  What was sent by then is unknown.
+        Without this answer the caller would wait until its own timeout, because a
+        handler that raises answers nothing.  The run state is unknown: the handler
+        may have sent the request to a backend server before it raised.
         """
         if fevent is None or fevent.name != "caller_request":
             return
@@ -185,14 +186,14 @@
             self._stalled.discard(request_id)
         request = self._table.requests_by_id.get(request_id)
         if request is not None and request.attempt_id:
-            self._attempts.flow(request.attempt_id, stop=stop)
+            self._attempts.set_flow(request.attempt_id, stop=stop)
 
     # Actions
 
     def _carry_out(self, actions: list[Action]) -> None:
         self._perform(actions)
-        while let_in := self._table.after_release(now=time.monotonic()):
-            self._perform(let_in)
+        while admitted_actions := self._table.after_release(now=time.monotonic()):
+            self._perform(admitted_actions)
 
     def _perform(self, actions: list[Action]) -> None:
         for action in actions:
@@ -220,9 +221,9 @@
         self._metrics.count("attempts")
         self._attempts.send(action)
         if action.arrival.request_id in self._stalled:
-            # The caller stalled during an earlier attempt: this one must not fill
-            # the memory either.
-            self._attempts.flow(action.attempt_id, stop=True)
+            # The caller stalled during an earlier attempt.  This attempt's answer is
+            # not read either, since it would be buffered in memory.
+            self._attempts.set_flow(action.attempt_id, stop=True)
 
     # Backend servers
 
@@ -246,7 +247,7 @@
     def _on_outbound_failed(self, failure: OutboundFailure) -> None:
         self._carry_out(self._attempts.failed(failure))
 
-    # The log and time
+    # The log, ticks and shutdown
 
     @handler("claim_read_back")
     def _on_claim_read_back(self, message: ClaimReadBack) -> None:
--- a/ryelever/streams.py
+++ b/ryelever/streams.py
@@ -1,4 +1,4 @@
-"""Read and append the streams of the platform's log."""
+"""Read the streams of the platform's log and append records to them."""
 
 from __future__ import annotations
 
@@ -41,22 +41,22 @@
 
 __all__ = ["Stream", "Streams"]
 
-#: Seconds for which the append of a decision may be repeated.
+#: Seconds for which the append of a decision is retried.
 APPEND_DEADLINE = 10.0
 
-#: Share of a batch that one part of a snapshot takes; it may be a megabyte.
+#: Share of a batch that one part of a snapshot takes, which may be a megabyte long.
 SNAPSHOT_COST = 200
 
-#: Records after which a short state is worth writing again.
+#: Records since the last snapshot after which even a small state is written again.
 MAX_TAIL = 5_000
 
-#: Status of a read from an offset that is no longer kept.
-GONE = 410
+#: HTTP status of a read from an offset whose records have expired.
+STATUS_GONE = 410
 
 
 @dataclass(slots=True, kw_only=True)
 class Stream:
-    """Own the reading and writing of one stream of the log."""
+    """Hold the fold, reader, writer and snapshot schedule of one stream."""
 
     name: str
     fold: BaseFold
@@ -66,17 +66,17 @@
 
     @property
     def caught_up_at(self) -> float:
-        """Return when the newest read that reached the stream's end was asked."""
+        """Return the monotonic time of the last request that read to the end."""
         return self.reader.caught_up_at
 
 
 class Streams(RequestSender):
-    """Keep the folds of this entry host current and append for its parts.
+    """Update this entry host's folds from the log and append its records.
 
     Parameters
     ----------
     folds_by_stream : dict of str to BaseFold
-        The streams to follow; the claims' partitions are added to them.
+        Folds of the streams to read; those of the claims' partitions are added.
     """
 
     channel = "streams"
@@ -112,16 +112,18 @@
             schedule=SnapshotSchedule(
                 retention=self._settings.log_retention,
                 spread=place,
-                # Claims expire with their window, which bounds what must be read.
+                # Claims expire with their window, which limits how many records a
+                # new reader has to read.
                 max_tail=None if name in self._claims.folds_by_stream else MAX_TAIL,
             ),
         )
 
     def _wait(self, name: str) -> float:
-        # Claims must be known up to their end at any moment, and the own zone's
-        # planner acts on its stream; the others' news may come some seconds later.
-        own = placement_stream(self._settings.availability_zone)
-        is_urgent = name == own or name in self._claims.folds_by_stream
+        # Claims must be read up to the end of their streams at all times, and the
+        # planner acts on the placement stream of the local zone.  Records of the
+        # other streams may be read some seconds later.
+        local_placement = placement_stream(self._settings.availability_zone)
+        is_urgent = name == local_placement or name in self._claims.folds_by_stream
         return READ_WAIT if is_urgent else LONG_READ_WAIT
 
     @handler("control_tick")
@@ -131,7 +133,7 @@
         self._claims.observe_wall(wall, now=now)
         for stream in self.streams_by_name.values():
             self._read(stream, now=now)
-            self._give_up_late(stream, now=now)
+            self._expire_appends(stream, now=now)
             if stream.schedule.due(stream.fold, wall=wall, now=now):
                 self._write_snapshot(stream, now=now)
             self._append(stream, now=now)
@@ -184,10 +186,10 @@
             progress_timeout=read.wait + self._settings.progress_timeout,
         )
 
-    def _take_answer(self, stream: Stream, answer: OutboundAnswer) -> None:
+    def _process_read_answer(self, stream: Stream, answer: OutboundAnswer) -> None:
         now = time.monotonic()
         raw = self._log.page(answer.body, peer=answer.address)
-        if answer.status not in (200, GONE) or raw.is_error():
+        if answer.status not in (200, STATUS_GONE) or raw.is_error():
             self._read_failed(stream, f"answered {answer.status}", now=now)
             return
         page = ReadPage(
@@ -196,19 +198,19 @@
             entries=[
                 decode_entry(item, peer=answer.address) for item in raw.ok.records
             ],
-            expired=answer.status == GONE,
+            expired=answer.status == STATUS_GONE,
         )
-        self._take_page(stream, page, asked_at=answer.sent_at, now=now)
+        self._process_page(stream, page, asked_at=answer.sent_at, now=now)
         self._read(stream, now=now)
         self._append(stream, now=now)
 
-    def _take_page(
+    def _process_page(
         self, stream: Stream, page: ReadPage, *, asked_at: float, now: float
     ) -> None:
         reader = stream.reader
         gap, n_restored, problem = stream.fold.gap, reader.n_restored, reader.problem
         for applied in reader.read(page, asked_at=asked_at, now=now):
-            self._take_applied(stream, applied, now=now)
+            self._process_applied(stream, applied, now=now)
         if stream.name in self._claims.folds_by_stream:
             self._claims.caught_up(stream.name, at=reader.caught_up_at)
         if reader.n_restored != n_restored:
@@ -224,7 +226,7 @@
         if reader.problem and reader.problem != problem and stream.fold.gap is None:
             log_warning("read_failed", stream=stream.name, message=reader.problem)
 
-    def _take_applied(self, stream: Stream, applied: Applied, *, now: float) -> None:
+    def _process_applied(self, stream: Stream, applied: Applied, *, now: float) -> None:
         entry = applied.entry
         stream.writer.read_back(entry.id)
         if applied.reason is not None:
@@ -238,8 +240,9 @@
         record = entry.record
         if not isinstance(record, Claim) or record.owner != self._claims.owner:
             return
-        # Once its claim was read back a request may be running.  To report the
-        # claim again would look like one whose request was given up.
+        # A claim is reported only once, since its request may be running from then
+        # on.  The request table would take a second report for the claim of a request
+        # that has ended without running, and free its key.
         if applied.repeated or applied.seen_before:
             return
         self._check_clock(entry.time)
@@ -249,9 +252,9 @@
         self, stream: Stream, applied: Applied, record: Claim, *, now: float
     ) -> None:
         if applied.reason is None and not applied.certain:
-            # With records missing, an earlier claim may be among them.  The
-            # request is not run; if this claim is the first after all, the key is
-            # free again.
+            # Records are missing, and an earlier claim of the same key may be among
+            # them, so the request is not run.  If this claim is the first one after
+            # all, the outcome appended here frees the key.
             freed = Outcome(
                 key=record.key,
                 owner=record.owner,
@@ -272,10 +275,10 @@
 
     def _check_clock(self, log_time: float) -> None:
         difference = time.time() - log_time
-        off = abs(difference) > MAX_AHEAD / 2
-        if off and not self._clock_reported:
+        differs = abs(difference) > MAX_AHEAD / 2
+        if differs and not self._clock_reported:
             log_warning("clock_differs_from_log", seconds=round(difference, 3))
-        self._clock_reported = off
+        self._clock_reported = differs
 
     def _read_failed(self, stream: Stream, message: str, *, now: float) -> None:
         if not stream.reader.problem:
@@ -300,7 +303,7 @@
                 deadline=now + APPEND_DEADLINE,
             )
 
-    def _give_up_late(self, stream: Stream, *, now: float) -> None:
+    def _expire_appends(self, stream: Stream, *, now: float) -> None:
         for pending in stream.writer.give_up_late(now=now):
             log_warning(
                 "append_given_up",
@@ -332,11 +335,11 @@
     # Answers
 
     def answered(self, pending: PendingRequest, answer: OutboundAnswer) -> None:
-        """Take a page, or the answer to an append."""
+        """Process the answer to a read or to an append."""
         stream = self.streams_by_name[pending.subject]
         now = time.monotonic()
         if pending.kind == "read":
-            self._take_answer(stream, answer)
+            self._process_read_answer(stream, answer)
         elif answer.status == 200:
             stream.writer.answered()
             self._append(stream, now=now)
@@ -345,7 +348,7 @@
             stream.writer.failed(now=now)
 
     def failed(self, pending: PendingRequest, failure: OutboundFailure) -> None:
-        """Try again later."""
+        """Record the failure of a read or an append, to retry after a pause."""
         stream = self.streams_by_name[pending.subject]
         now = time.monotonic()
         if pending.kind == "read":
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Test how attempts are sent and given up."""
+"""Test how attempts are sent and cancelled."""
 
 from __future__ import annotations
 
@@ -10,11 +10,10 @@
 
 
 def test_cancel_goes_over_a_new_connection() -> None:
-    """Give an attempt up whose path to the engine has gone silent.
+    """Cancel an attempt when the network path to the engine loses all packets.
 
-    Symptom: an engine that generates to the end for nobody.  Sequence: every open
-    connection to the engine goes silent, an attempt is given up, the order to cancel
-    it is sent over an idle one.  Cause: the idle connection is as dead as the other.
+    If the cancellation were sent over an idle connection that uses the same path, it
+    would be lost, and the engine would generate the complete answer for no caller.
     """
     sent: list[OutboundRequest] = []
     attempts = Attempts(
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""Test how serving carries out what the request table decides."""
+"""Test how serving carries out the decisions of the request table."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 
 class Table:
-    """Let two requests in, one after the other, after a release."""
+    """Fake request table that admits two queued requests, one per release."""
 
     def __init__(self) -> None:
         self.requests_by_id: dict[str, object] = {}
-        self.let_in = ["second", "third"]
+        self.queued = ["second", "third"]
 
     def caller_disconnected(self, request_id: str, *, now: float) -> list[AppendRecord]:
         if request_id != "first":
-            self.let_in.clear()
+            self.queued.clear()
         return []
 
     def after_release(self, *, now: float) -> list[AppendRecord]:
-        if not self.let_in:
+        if not self.queued:
             return []
-        name = self.let_in.pop(0)
+        name = self.queued.pop(0)
         return [AppendRecord(stream="claims", record_id=name, record=None)]
 
 
 class Listener(BaseComponent):
-    """Keep what callers are answered."""
+    """Record the answers to callers."""
 
     channel = "callers"
 
@@ -47,7 +47,7 @@
 
 
 def _serving(**pages: object) -> Serving:
-    """Return serving whose table is a fake."""
+    """Return a serving component with a fake request table."""
     return Serving(
         settings=Settings.__new__(Settings),
         table=Table(),
@@ -59,10 +59,10 @@
 
 
 def test_fault_of_a_handler_is_answered() -> None:
-    """Raise while a caller's request is handled.
+    """Answer a caller whose request made a handler raise an exception.
 
-    Symptom: a caller waits until its own timeout.  Sequence: a page of the program
-    raises.  Cause: circuits turns the exception into an event, and nothing answers.
+    Circuits turns the exception into an event.  If no component answers on that
+    event, the caller waits until its own timeout.
     """
 
     def broken(request: CallerRequest) -> None:
@@ -80,16 +80,15 @@
     assert b'"outcome_unknown"' in answers[0].body
 
 
-def test_what_a_release_lets_in_is_carried_out_at_once() -> None:
-    """Waiting requests go on with the event that made room for them.
+def test_requests_admitted_by_a_release_start_immediately() -> None:
+    """Start queued requests on the same event that frees slots for them.
 
-    Symptom: slots are idle until the next tick while callers wait.
-    Sequence: a caller goes away, which lets a request in; that one ends at once and
-    lets the next one in.
-    Cause: serving carried out the actions of the event and nothing more.
+    A caller disconnects, which admits a queued request; that request ends at once and
+    admits the next one.  If serving carried out only the actions of the event itself,
+    slots would be idle until the next tick while callers wait.
     """
     serving = _serving()
     fired = []
     serving.fire = lambda event, *channels: fired.append(event.args[0])
-    serving._on_caller_gone("first")
+    serving._on_caller_disconnected("first")
     assert [action.record_id for action in fired] == ["second", "third"]
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Test how long the reads of each stream wait at its end."""
+"""Test how long a read waits at the end of each stream."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
     ],
 )
 def test_only_urgent_streams_are_asked_often(stream: str, wait: float) -> None:
-    """Spare the log the empty answers that nobody waits for.
+    """Wait longer at the end of streams whose records are not urgent.
 
-    Symptom: hundreds of entry hosts ask the log thousands of questions a second.
-    Sequence: nothing is appended; each stream is read again each second.
-    Cause: all streams were read with the shortest wait that any of them needs.
+    If every stream were read with the shortest wait that any of them needs, once a
+    second, hundreds of entry hosts would send the log thousands of reads a second
+    that return nothing.
     """
     settings = read_settings(
         '{"host": "e1", "availability_zone": "a", "availability_zones": ["a", "b"],'
