--- a/ryelever/application.py
+++ b/ryelever/application.py
@@ -112,7 +112,9 @@
             account=self._client_account,
             n_hosts=self._n_entry_hosts,
             place=self._index_among_entry_hosts,
-            peers_reported_since=lambda moment: self.peering.heard_since(moment),
+            peers_reported_since=lambda moment: self.peering.zone_reported_since(
+                moment
+            ),
         )
         self.table = self.request_path.table
         self.http_client = HttpClient()
--- a/ryelever/cli.py
+++ b/ryelever/cli.py
@@ -1,4 +1,4 @@
-"""Define the command line."""
+"""Define the commands of the command line."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
 
 __all__ = ["main"]
 
-#: Seconds for an entry host to answer a dump.
+#: Seconds to wait for an entry host's answer to a dump request.
 DUMP_TIMEOUT = 10
 
 
 def serve(*, settings: Path | None = None, metrics_port: int = 0) -> int:
-    """Run an entry host until it is told to stop.
+    """Run an entry host until a signal stops it.
 
-    With settings in JSON it has the OpenAI interface.  With the platform's settings
-    file it passes requests on unchanged.
+    With settings in JSON, the entry host serves the OpenAI interface.  With the
+    platform's settings file, it relays requests unchanged.
 
     Parameters
     ----------
     settings
         Settings in JSON with comments, or the platform's settings file; by default
-        the file that the platform names in the environment.
+        the file named in the environment by the platform.
     metrics_port
-        On the platform, a port on the host's own address for the metrics; 0 serves
-        them only beside readiness.
+        On the platform, an additional port on the host's address that serves the
+        metrics; 0 serves metrics only on the port of the readiness check.
     """
-    # Only this command needs the whole program; the others start faster without.
+    # Only this command imports the whole program, so that the others start faster.
     from .wiring import run
 
     if not 0 <= metrics_port < 65536:
@@ -52,25 +52,25 @@
 
 
 def check(*, settings: Path | None = None, document: Path | None = None) -> int:
-    """Check a settings file, a configuration document or both; name every fault.
+    """Check a settings file, a configuration document or both; print every fault.
 
     Parameters
     ----------
     settings
         Settings in JSON with comments.
     document
-        Configuration document, as the console publishes it.
+        Configuration document in the form that the console publishes.
     """
     if settings is None and document is None:
         print("nothing to check: give --settings or --document", file=sys.stderr)
         return ExitCode.FAULTY_INPUT
-    good = True
+    is_valid = True
     if settings is not None:
         text = read_text(settings)
-        good &= text is not None and checked_settings(settings, text) is not None
+        is_valid &= text is not None and checked_settings(settings, text) is not None
     if document is not None:
-        good &= _check_document(document)
-    if not good:
+        is_valid &= _check_document(document)
+    if not is_valid:
         return ExitCode.FAULTY_INPUT
     for path in (settings, document):
         if path is not None:
@@ -79,7 +79,7 @@
 
 
 def dump(*, address: str, key_file: Path) -> int:
-    """Print what the process at an address believes, as JSON.
+    """Print the state of the entry host at an address as JSON.
 
     Parameters
     ----------
@@ -108,14 +108,14 @@
 
 
 def explain(*, request_id: str, files: list[Path]) -> int:
-    """Print what happened to one request, from the log lines of several hosts.
+    """Print the log lines of several hosts that explain one request.
 
     Parameters
     ----------
     request_id
-        Id that the caller gave its sending.
+        Id that the caller set when it sent the request.
     files
-        Log files, one a host.
+        Log files, one for each host.
     """
     from .explain import explain as find
 
@@ -142,7 +142,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command that the command line names."""
+    """Run the command given on the command line and return its exit code."""
     commands = [serve, check, dump, explain, settings_reference, version]
     try:
         return defopt.run(commands, argv=argv, cli_options="all") or ExitCode.OK
@@ -152,11 +152,12 @@
 
 
 def _print_result(text: str) -> None:
-    """Print what a command was asked for, as far as its reader wants it.
+    """Print the result of a command; ignore that the reader closes the pipe.
 
-    A reader such as ``head`` closes the pipe when it has enough.  The command would
-    end with a traceback, and the interpreter report the same error once more when it
-    writes the rest at its end; so the rest goes nowhere.
+    A reader such as ``head`` closes the pipe after the lines that it needs.  Without
+    this handling the command would end with a traceback, and the interpreter would
+    report the same error again when it flushes the remaining output at exit.  The
+    remaining output is therefore redirected to the null device.
     """
     try:
         print(text, flush=True)
--- a/ryelever/explain.py
+++ b/ryelever/explain.py
@@ -1,4 +1,4 @@
-"""Tell what happened to one request, from the log lines of several entry hosts."""
+"""Collect the log lines of several entry hosts that explain one request."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 __all__ = ["Explanation", "explain"]
 
-#: Seconds before a request's first line and after its last in which lines about what
-#: it depended on are shown: an outage or a lost member shows within them.
-BEFORE = 8.0
-AFTER = 2.0
+#: Seconds before a request's first line and after its last line in which lines about
+#: its dependencies are shown.  An outage or a lost member is logged within this time.
+SECONDS_BEFORE = 8.0
+SECONDS_AFTER = 2.0
 
-#: Events about what every request depends on.
+#: Events that concern every request on a host.
 SHARED_EVENTS = frozenset(
     {
         "configuration_in_force",
@@ -31,13 +31,13 @@
     }
 )
 
-#: Fields that name backend servers.
+#: Log fields that hold ids of backend servers.
 SERVER_FIELDS = ("server", "members")
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class _Line:
-    """Hold one line and where it was found."""
+    """Hold one log line with the name of its file."""
 
     time: float
     source: str
@@ -51,14 +51,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Explanation:
-    """Hold what was found.
+    """Hold the lines that explain a request.
 
     Attributes
     ----------
     lines : list of str
-        What happened, in its order; empty where nothing names the request.
+        Formatted log lines in order of time; empty if no line names the request.
     faults : list of str
-        Files and lines that can't be read; the rest was.
+        Files and lines that could not be read; the other ones were processed.
     """
 
     lines: list[str]
@@ -66,24 +66,26 @@
 
 
 def explain(request_id: str, paths: list[Path]) -> Explanation:
-    """Put a request's lines, and those it depended on, in their order.
+    """Return the lines of a request and of its dependencies, in order of time.
 
     Parameters
     ----------
     request_id : str
-        Id that the caller gave its sending.
+        Id that the caller set when it sent the request.
     paths : list of Path
-        Log files, one a host.
+        Log files, one for each host.
     """
     faults: list[str] = []
     lines = [line for path in paths for line in _read(path, faults)]
-    own = [line for line in lines if line.fields.get("request") == request_id]
-    if not own:
+    matches = [line for line in lines if line.fields.get("request") == request_id]
+    if not matches:
         return Explanation(lines=[], faults=faults)
-    servers = {str(line.fields["server"]) for line in own if line.fields.get("server")}
-    start = min(line.time for line in own) - BEFORE
-    end = max(line.time for line in own) + AFTER
-    sources = {line.source for line in own}
+    servers = {
+        str(line.fields["server"]) for line in matches if line.fields.get("server")
+    }
+    start = min(line.time for line in matches) - SECONDS_BEFORE
+    end = max(line.time for line in matches) + SECONDS_AFTER
+    sources = {line.source for line in matches}
     groups = {
         line.fields["group"]
         for line in lines
@@ -100,7 +102,9 @@
         )
     ]
     shown.sort(key=lambda line: line.time)
-    return Explanation(lines=[_told(line, request_id) for line in shown], faults=faults)
+    return Explanation(
+        lines=[_format(line, request_id) for line in shown], faults=faults
+    )
 
 
 def _read(path: Path, faults: list[str]) -> list[_Line]:
@@ -115,7 +119,7 @@
             fields = msgspec.json.decode(data, type=dict[str, Any])
             time = float(fields["time"])
         except (msgspec.DecodeError, KeyError, TypeError, ValueError) as error:
-            faults.append(f"{path}, line {number}: no log line: {error}")
+            faults.append(f"{path}, line {number}: not a log line: {error}")
             continue
         lines.append(_Line(time=time, source=path.stem, fields=fields))
     return lines
@@ -133,17 +137,17 @@
 
 
 def _concerns(line: _Line, *, servers: set[str], groups: set[str]) -> bool:
-    """Tell whether a line is about a server that had the request, or its group."""
+    """Return whether a line is about a server that had the request, or its group."""
     if line.fields.get("request"):
         return False
     return bool(servers & _servers(line)) or line.fields.get("group") in groups
 
 
-def _told(line: _Line, request_id: str) -> str:
-    own = "*" if line.fields.get("request") == request_id else " "
-    rest = " ".join(
+def _format(line: _Line, request_id: str) -> str:
+    marker = "*" if line.fields.get("request") == request_id else " "
+    details = " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
         if name not in ("time", "level", "event", "request") and value != ""
     )
-    return f"{line.time:.3f} {own} {line.source}: {line.event} {rest}"
+    return f"{line.time:.3f} {marker} {line.source}: {line.event} {details}"
--- a/ryelever/fleet_watch.py
+++ b/ryelever/fleet_watch.py
@@ -1,4 +1,4 @@
-"""Watch the hosts: the platform's list and each host's own report."""
+"""Poll the platform's list of hosts and the report of each host."""
 
 from __future__ import annotations
 
@@ -25,29 +25,30 @@
 
 __all__ = ["FleetWatch"]
 
-#: Seconds between two looks at the platform's list.
+#: Seconds between two requests for the platform's list.
 LIST_INTERVAL = 1.0
 
-#: Status of a list that is still the one whose tag was sent (RFC 9110, 15.4.5).
+#: Status of a list that has not changed since the ETag sent (RFC 9110, 15.4.5).
 NOT_MODIFIED = 304
 
-#: Engines of other zones up to which their reports are followed too.
+#: Maximum number of engines in other zones whose reports are polled too.
 MAX_FOREIGN = 100
 
-#: Age in seconds up to which an own report is told to peers.
-TOLD_AGE = 5.0
+#: Maximum age, in seconds, of a report polled by this host that is sent to peers.
+MAX_ANNOUNCED_AGE = 5.0
 
-#: State in which peers are told of a host that refuses connections.
+#: State reported to peers for a host that refuses connections.
 UNREACHABLE = "unreachable"
 
 
 class FleetWatch(RequestSender):
-    """Own what the hosts say, and since when.
+    """Keep the list of hosts and their latest reports up to date.
 
     Attributes
     ----------
     hosts_by_name : dict of str to ListedHost
-        What the platform's list names.  Changed in place: others read it.
+        Hosts in the platform's list.  The dict is changed in place because other
+        components hold a reference to it.
     """
 
     channel = "fleet"
@@ -76,26 +77,27 @@
             interval=settings.report_interval,
             max_age=settings.report_max_age,
         )
-        self._own_reports_by_host: dict[str, FreshReport] = {}
-        self._unread: set[str] = set()
-        self._heard: set[str] = set()
+        self._local_reports_by_host: dict[str, FreshReport] = {}
+        self._unreadable: set[str] = set()
+        self._contacted: set[str] = set()
 
     @handler("control_tick")
     def _on_control_tick(self) -> None:
         now = time.monotonic()
-        self._ask_list(now=now)
-        self._ask_reports(now=now)
+        self._request_list(now=now)
+        self._request_reports(now=now)
 
     @handler("host_reported")
     def _on_host_reported(self, message: HostReported) -> None:
-        self._take_own(message.report, asked_at=message.asked_at)
+        self._record_local(message.report, asked_at=message.asked_at)
 
-    def _ask_list(self, *, now: float) -> None:
+    def _request_list(self, *, now: float) -> None:
         if now < self._list_due_at:
             return
         self._list_due_at = now + LIST_INTERVAL
-        # The list of hundreds of hosts, read whole each second, would take many times
-        # the bytes that control may, to say that nothing has changed.
+        # The ETag avoids transferring an unchanged list.  The complete list of
+        # hundreds of hosts, read each second, would exceed the traffic limit of
+        # control many times over.
         call = self._hosts_list.list(known_tag=self._list_tag)
         self.send_request(
             PendingRequest(kind="list"),
@@ -106,7 +108,7 @@
             progress_timeout=self._settings.progress_timeout,
         )
 
-    def _ask_reports(self, *, now: float) -> None:
+    def _request_reports(self, *, now: float) -> None:
         for name, listed in self._followed_by_name.items():
             known = self.confirmations.reports_by_host.get(name)
             reported_at = known.asked_at if known is not None else None
@@ -114,24 +116,24 @@
             if self._following.is_due(
                 name, zone=zone, reported_at=reported_at, now=now
             ):
-                self._ask_report(name, listed)
+                self._request_report(name, listed)
 
     def n_unreported(self) -> int:
-        """Count the zone's live engines of which nothing was heard yet.
+        """Return the number of the zone's live engines whose state is still unknown.
 
-        An engine that failed to answer counts as heard of: waiting for it longer
-        would not tell more.
+        An engine that failed to answer does not count: waiting longer for its answer
+        would bring no information.
         """
         zone = self._settings.availability_zone
         return sum(
             listed.availability_zone == zone
             and listed.state == "live"
-            and name not in self._heard
+            and name not in self._contacted
             and name not in self.confirmations.reports_by_host
             for name, listed in self._followed_by_name.items()
         )
 
-    def _ask_report(self, name: str, listed: ListedHost) -> None:
+    def _request_report(self, name: str, listed: ListedHost) -> None:
         self.send_request(
             PendingRequest(kind="report", subject=name),
             address=listed.address,
@@ -140,7 +142,7 @@
             progress_timeout=self._settings.progress_timeout,
         )
 
-    def _take_list(self, answer: OutboundAnswer) -> None:
+    def _apply_list(self, answer: OutboundAnswer) -> None:
         if answer.status == NOT_MODIFIED and self._list_tag:
             return
         hosts = self._hosts_list.hosts(answer.body, peer=answer.address)
@@ -152,10 +154,10 @@
         self.hosts_by_name.update((listed.host, listed) for listed in hosts.ok.hosts)
         self._followed_by_name = self._followed()
         self._following.forget(self.hosts_by_name)
-        self._unread &= self.hosts_by_name.keys()
-        self._heard &= self.hosts_by_name.keys()
-        for host in self._own_reports_by_host.keys() - self.hosts_by_name.keys():
-            del self._own_reports_by_host[host]
+        self._unreadable &= self.hosts_by_name.keys()
+        self._contacted &= self.hosts_by_name.keys()
+        for host in self._local_reports_by_host.keys() - self.hosts_by_name.keys():
+            del self._local_reports_by_host[host]
 
     def _followed(self) -> dict[str, ListedHost]:
         engines = {
@@ -163,30 +165,31 @@
             for name, listed in self.hosts_by_name.items()
             if listed.kind == "engine"
         }
-        own = {
+        local = {
             name: listed
             for name, listed in engines.items()
             if listed.availability_zone == self._settings.availability_zone
         }
-        # Beyond this size the other zones' reports would cost more than control may.
-        return engines if len(engines) - len(own) <= MAX_FOREIGN else own
+        # Beyond this number of engines, polling the other zones' reports would exceed
+        # the traffic limit of control.
+        return engines if len(engines) - len(local) <= MAX_FOREIGN else local
 
     def answered(self, pending: PendingRequest, answer: OutboundAnswer) -> None:
-        """Take the list or a report."""
+        """Process the list or a report."""
         if pending.kind == "list":
-            self._take_list(answer)
+            self._apply_list(answer)
             return
-        self._heard.add(pending.subject)
+        self._contacted.add(pending.subject)
         report = self._engine.host_report(
             answer.body, host=pending.subject, peer=answer.address
         )
         if answer.status != 200:
             return
         if report.is_ok():
-            self._unread.discard(pending.subject)
-            self._take_own(report.ok, asked_at=answer.sent_at)
-        elif pending.subject not in self._unread:
-            self._unread.add(pending.subject)
+            self._unreadable.discard(pending.subject)
+            self._record_local(report.ok, asked_at=answer.sent_at)
+        elif pending.subject not in self._unreadable:
+            self._unreadable.add(pending.subject)
             log_warning(
                 "report_not_counted",
                 host=pending.subject,
@@ -195,51 +198,52 @@
             )
 
     def failed(self, pending: PendingRequest, failure: OutboundFailure) -> None:
-        """Keep the last list; a host that refuses connections counts as gone."""
+        """Keep the last list, or mark a host that refuses connections unreachable."""
         if pending.kind == "list":
             log_warning("hosts_list_failed", message=failure.error.message)
             return
-        self._heard.add(pending.subject)
+        self._contacted.add(pending.subject)
         if not failure.bytes_sent:
             self.refused(pending.subject, at=time.monotonic())
 
     def refused(self, host: str, *, at: float) -> None:
-        """Take note that a host refuses connections, and tell peers."""
+        """Record that a host refuses connections, to be reported to peers too."""
         self.confirmations.unreachable(host)
-        self._own_reports_by_host[host] = FreshReport(
+        self._local_reports_by_host[host] = FreshReport(
             report=HostReport(host=host, boot="", state=UNREACHABLE), asked_at=at
         )
 
-    def _take_own(self, report: HostReport, *, asked_at: float) -> None:
-        self._take_unless_refused(report, asked_at=asked_at)
-        known = self._own_reports_by_host.get(report.host)
+    def _record_local(self, report: HostReport, *, asked_at: float) -> None:
+        self._confirm_unless_refused(report, asked_at=asked_at)
+        known = self._local_reports_by_host.get(report.host)
         if known is None or known.asked_at < asked_at:
-            self._own_reports_by_host[report.host] = FreshReport(
+            self._local_reports_by_host[report.host] = FreshReport(
                 report=report, asked_at=asked_at
             )
 
-    # What entry hosts tell each other
+    # Exchange with the other entry hosts
 
     def aged_observations(self, *, now: float) -> list[tuple[Observation, float]]:
-        """Return the reports that this entry host asked for itself."""
+        """Return the recent reports that this entry host has polled itself."""
         return [
             (ReportRow(report=fresh.report), fresh.asked_at)
-            for fresh in self._own_reports_by_host.values()
-            if now - fresh.asked_at <= TOLD_AGE
+            for fresh in self._local_reports_by_host.values()
+            if now - fresh.asked_at <= MAX_ANNOUNCED_AGE
         ]
 
     def observed(
         self, observation: Observation, *, peer: str, observed_at: float, now: float
     ) -> None:
-        """Take a report that a peer asked for."""
+        """Apply a report that a peer has polled."""
         if not isinstance(observation, ReportRow):
             return
         report = observation.report
         if report.state != UNREACHABLE:
-            self._take_unless_refused(report, asked_at=observed_at)
+            self._confirm_unless_refused(report, asked_at=observed_at)
             return
-        # A peer that alone cannot reach a host must not make it vanish for all: a
-        # report from about the same time speaks against it.
+        # If only this one peer cannot reach a host, the host must stay available to
+        # the other entry hosts.  A report from about the same time shows that the
+        # host can be reached.
         known = self.confirmations.reports_by_host.get(report.host)
         if (
             known is None
@@ -247,10 +251,11 @@
         ):
             self.confirmations.unreachable(report.host)
 
-    def _take_unless_refused(self, report: HostReport, *, asked_at: float) -> None:
-        # The own question was refused after this report was asked for.
-        own = self._own_reports_by_host.get(report.host)
-        refused = own is not None and own.report.state == UNREACHABLE
-        if refused and asked_at <= own.asked_at:
+    def _confirm_unless_refused(self, report: HostReport, *, asked_at: float) -> None:
+        # Ignore a report that was requested before the host refused a connection
+        # from this entry host.
+        local = self._local_reports_by_host.get(report.host)
+        refused = local is not None and local.report.state == UNREACHABLE
+        if refused and asked_at <= local.asked_at:
             return
         self.confirmations.reported(report, asked_at=asked_at)
--- a/ryelever/peering.py
+++ b/ryelever/peering.py
@@ -1,4 +1,4 @@
-"""Exchange soft state with the other entry hosts."""
+"""Exchange soft state with the other entry hosts over UDP."""
 
 from __future__ import annotations
 
@@ -32,28 +32,29 @@
 
 __all__ = ["Peering"]
 
-#: Seconds between two looks at what this host itself observes.
+#: Seconds between two collections of this host's own observations.
 OBSERVE_INTERVAL = 0.25
 
-#: Seconds for which peers are told of a change that they must hear at once, at each
-#: look of control: of five datagrams one arrives even where half of them are lost.
+#: Seconds for which an urgent change is sent to the zone's peers on every control tick.
+#: These are five datagrams, of which one arrives even if half of them are lost.
 URGENT_FOR = 0.5
 
 
 class Peering(BaseComponent):
-    """Own the exchange; without a key or without peers it does nothing.
+    """Run the soft state exchange; do nothing without a peer key or without peers.
 
     Parameters
     ----------
     sources, sinks : sequence of ObservationSource, ObservationSink
-        Parts that observe, and parts that take what peers observe.
+        Objects that provide this host's observations, and objects that receive the
+        observations of peers.
     aged_sources : sequence of AgedObservationSource
-        Parts whose rows have an age of their own.
+        Objects whose observations have their own times of observation.
     urgent : UrgentSource or None
-        Part whose changes the zone's peers must hear at once, and which decides by
-        what they have seen.
+        Object whose changes are sent to the zone's peers at once, and whose decisions
+        wait for the observations of these peers.
     set_members : callable
-        Take the names of the other living entry hosts of the zone.
+        Receive the names of the other live entry hosts of the zone.
     """
 
     channel = "peering"
@@ -92,8 +93,8 @@
             rng=rng,
         )
 
-    def heard_since(self, moment: float) -> bool:
-        """Tell whether the zone's living hosts have told all that they had seen."""
+    def zone_reported_since(self, moment: float) -> bool:
+        """Return whether the zone's live hosts have reported all up to a moment."""
         return self.exchange.zone_reported_since(moment, now=time.monotonic())
 
     @handler("control_tick")
@@ -104,7 +105,7 @@
         is_urgent = self._is_urgent(now=now)
         if is_urgent or now >= self._observe_at:
             self._observe_at = now + OBSERVE_INTERVAL
-            self.exchange.observe(self._observed(now=now), now=now)
+            self.exchange.observe(self._local_rows(now=now), now=now)
             self._set_members(self.exchange.live_members(now=now))
         self._send(self.exchange.tick(now=now))
         if is_urgent:
@@ -117,7 +118,7 @@
         return None if self._urgent is None else self._urgent.unsettled_since(now=now)
 
     def _is_urgent(self, *, now: float) -> bool:
-        """Tell whether something has changed that peers must hear at once."""
+        """Return whether there are recent changes that peers must receive at once."""
         if self._urgent is None:
             return False
         return bool(self._urgent.changes(since=now - URGENT_FOR))
@@ -137,9 +138,9 @@
             received = self.exchange.receive(read.ok, address=datagram.address, now=now)
             for fault in self.exchange.n_by_fault - before:
                 self._metrics.count("peer_datagrams_dropped", fault)
-            self._take(received, address=datagram.address, now=now)
+            self._deliver(received, address=datagram.address, now=now)
 
-    def _take(self, received: Received, *, address: str, now: float) -> None:
+    def _deliver(self, received: Received, *, address: str, now: float) -> None:
         for delivery in received.deliveries:
             for sink in self._sinks:
                 sink.observed(
@@ -149,17 +150,17 @@
                     now=now,
                 )
         if received.configuration is not None:
-            self._adopt(received.configuration, address=address)
+            self._adopt_configuration(received.configuration, address=address)
         self._send(received.messages)
 
-    def _adopt(self, row: ConfigurationRow, *, address: str) -> None:
+    def _adopt_configuration(self, row: ConfigurationRow, *, address: str) -> None:
         adopted = self._configuration.adopt(
             version=row.version, document=row.document, author=row.author
         )
         if adopted:
             log_event("configuration_adopted", version=row.version, peer=address)
 
-    def _observed(self, *, now: float) -> list[tuple[SoftRow, float]]:
+    def _local_rows(self, *, now: float) -> list[tuple[SoftRow, float]]:
         rows = [
             (row, now)
             for source in self._sources
@@ -188,7 +189,7 @@
         self.fire(peers_send(datagrams), "peers")
 
     def describe(self) -> dict[str, object]:
-        """Describe peers and tables for the state dump."""
+        """Return a description of peers and tables for the state dump."""
         now = time.monotonic()
         return {
             "live_members": self.exchange.live_members(now=now),
--- a/ryelever/planning.py
+++ b/ryelever/planning.py
@@ -1,4 +1,4 @@
-"""Carry out the plan of the own availability zone."""
+"""Run the planner of the local availability zone and carry out its decisions."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 __all__ = ["Planning", "demand_of"]
 
-#: Seconds between two looks.  Reports come every 0.5 s, so more looks would see little
-#: that is new; docs/PLANNING.md gives the cost of one.
+#: Seconds between two planning passes.  Reports arrive every 0.5 s, so more frequent
+#: passes would find few changes; docs/PLANNING.md gives the cost of one pass.
 PLAN_INTERVAL = 0.2
 
 
 class Planning(RequestSender):
-    """Let the planner look at the zone and do what it decides."""
+    """Run planning passes, append the planner's records and send its orders."""
 
     channel = "planning"
 
@@ -64,7 +64,7 @@
         self._hosts_by_name = hosts_by_name
         self._confirmations = confirmations
         self._demand = demand
-        self._plan_at = 0.0
+        self._next_pass_at = 0.0
         self.repairs = Repairs(
             placements_by_zone=placements_by_zone, confirmations=confirmations
         )
@@ -72,23 +72,24 @@
     @handler("control_tick")
     def _on_control_tick(self) -> None:
         now = time.monotonic()
-        if now < self._plan_at:
+        if now < self._next_pass_at:
             return
-        self._plan_at = now + PLAN_INTERVAL
+        self._next_pass_at = now + PLAN_INTERVAL
         self.repairs.observe(now=now)
-        self._do(self._planner.tick(self._view(), now=now))
+        self._execute(self._planner.tick(self._view(), now=now))
 
     @handler("drain")
     def _on_drain(self) -> None:
-        # The append leaves, and is mostly read back, while the balancer turns away.
-        # Is it lost, the lease runs out as that of a host that died.
+        # The append that returns the lease is sent, and usually read back, while the
+        # balancer stops sending requests here.  If the append is lost, the lease
+        # expires like that of a host that died.
         now = time.monotonic()
         actions = self._planner.give_back_lease(self._view(), now=now)
         if actions:
             log_event("lease_given_back")
-        self._do(actions)
+        self._execute(actions)
 
-    def _do(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SendOrder):
                 self._send_order(action)
@@ -143,7 +144,7 @@
         )
 
     def answered(self, pending: PendingRequest, answer: OutboundAnswer) -> None:
-        """Take the host's report of how it obeyed."""
+        """Publish the report with which a host answers an order."""
         report = self._engine.host_report(
             answer.body, host=pending.subject, peer=answer.address
         )
@@ -154,12 +155,12 @@
         self.fire(host_reported(message), "fleet")
 
     def failed(self, pending: PendingRequest, failure: OutboundFailure) -> None:
-        """Let the planner order again."""
+        """Log that an order failed; the planner sends the order again."""
         log_warning("order_failed", host=pending.subject, message=failure.error.message)
 
 
 def demand_of(arrivals: Iterable[Arrival]) -> tuple[ModelDemand, ...]:
-    """Count the requests that wait for each model, by client account."""
+    """Return the number of waiting requests of each model and client account."""
     counts = Counter(
         (arrival.work.model, arrival.client_account)
         for arrival in arrivals
--- a/ryelever/settings.py
+++ b/ryelever/settings.py
@@ -1,7 +1,7 @@
-"""Declare the settings of one process in one table.
+"""Declare the settings of a process in one table.
 
-Each has its name, default, check and meaning; ``settings_reader`` reads a file of
-them and ``make reference`` writes the table into docs/OPERATIONS.md.
+Each setting has its name, default, check and meaning.  ``settings_reader`` reads a
+settings file, and ``make reference`` writes the table into docs/OPERATIONS.md.
 """
 
 from __future__ import annotations
@@ -37,8 +37,9 @@
 #: Marks a setting that has no default.
 REQUIRED = object()
 
-#: Shortest retention, in seconds: records must outlast twice the time for which
-#: claims are asked for (state/claims.py), and a snapshot's writing.
+#: Minimum retention, in seconds: records must be kept for twice the time in which the
+#: outcome of a claim can be requested (state/claims.py), plus the time in which a
+#: snapshot is written.
 MIN_LOG_RETENTION = 1800.0
 
 
@@ -49,11 +50,11 @@
     Attributes
     ----------
     check : callable
-        Tell whether a value is acceptable.
+        Return whether a value is valid.
     expected : str
-        What ``check`` accepts, for messages and the reference page.
+        Description of the valid values, for messages and the reference page.
     secret : bool
-        Keep the value out of dumps and logs.
+        Whether the value is left out of dumps and logs.
     """
 
     name: str
@@ -64,14 +65,14 @@
     secret: bool = False
 
 
-#: Every setting there is.
+#: All settings.
 SETTINGS: tuple[Setting, ...] = (
     Setting(
         name="host",
         default=REQUIRED,
         check=is_name,
         expected=NAME,
-        meaning="Name of this entry host, unique among all.",
+        meaning="Name of this entry host, unique among all entry hosts.",
     ),
     Setting(
         name="region",
@@ -92,63 +93,65 @@
         default=REQUIRED,
         check=is_names,
         expected="a list of names",
-        meaning="All availability zones whose placement this host follows.",
+        meaning="All availability zones whose placement this host reads.",
     ),
     Setting(
         name="callers_address",
         default=REQUIRED,
         check=is_address,
         expected=ADDRESS,
-        meaning="Where callers, operators and the balancer reach this host.",
+        meaning="Address at which callers, operators and the balancer reach this host.",
     ),
     Setting(
         name="log_address",
         default=REQUIRED,
         check=is_address,
         expected=ADDRESS,
-        meaning="The platform's log service.",
+        meaning="Address of the platform's log service.",
     ),
     Setting(
         name="log_retention",
         default=86_400.0,
         check=lambda value: is_positive(value) and value >= MIN_LOG_RETENTION,
         expected=f"a number of seconds, {MIN_LOG_RETENTION:g} or more",
-        meaning="Time for which the log keeps a record, at the least.",
+        meaning="Minimum time for which the log keeps a record.",
     ),
     Setting(
         name="log_appends_per_second",
         default=20.0,
         check=is_positive,
         expected="a number above 0",
-        meaning="Most appends of this host; all hosts share what the log takes.",
+        meaning="Maximum rate of this host's appends; all hosts share the capacity "
+        "of the log.",
     ),
     Setting(
         name="claims_partitions",
         default=4,
         check=lambda value: is_size(value) and value <= 1024,
         expected="a whole number from 1 to 1024, the same on every entry host",
-        meaning="Streams over which claims are spread; changed only when all stop.",
+        meaning="Number of streams over which claims are distributed; change it only "
+        "while all entry hosts are stopped.",
     ),
     Setting(
         name="hosts_list_address",
         default=REQUIRED,
         check=is_address,
         expected=ADDRESS,
-        meaning="The platform's list of hosts.",
+        meaning="Address of the platform's list of hosts.",
     ),
     Setting(
         name="peers_address",
         default="127.0.0.1:0",
         check=is_address,
         expected=ADDRESS,
-        meaning="Where other entry hosts reach this one over UDP.",
+        meaning="Address at which other entry hosts reach this one over UDP.",
     ),
     Setting(
         name="peers",
         default=[],
         check=is_addresses,
         expected="a list of addresses",
-        meaning="The other entry hosts' peers_address.",
+        meaning="The `peers_address` of every other entry host.",
     ),
     Setting(
         name="peer_key",
@@ -163,7 +166,7 @@
         default="",
         check=is_secret,
         expected=SECRET,
-        meaning="Key with which an operator signs in and asks for dumps.",
+        meaning="Key with which an operator signs in and requests dumps.",
         secret=True,
     ),
     Setting(
@@ -171,79 +174,82 @@
         default=60.0,
         check=is_positive,
         expected=SECONDS,
-        meaning="Deadline of a request that names none.",
+        meaning="Deadline of a request without X-Request-Timeout.",
     ),
     Setting(
         name="max_request_timeout",
         default=600.0,
         check=is_positive,
         expected=SECONDS,
-        meaning="Longest deadline that a caller may name in X-Request-Timeout.",
+        meaning="Longest deadline that a caller may set in X-Request-Timeout.",
     ),
     Setting(
         name="progress_timeout",
         default=2.0,
         check=is_positive,
         expected=SECONDS,
-        meaning="Silence of a connection, or between tokens, after which it is "
-        "given up.",
+        meaning="Time without data on a connection, or between tokens, after which "
+        "the connection is closed.",
     ),
     Setting(
         name="first_token_timeout",
         default=10.0,
         check=is_positive,
         expected=SECONDS,
-        meaning="Silence of an engine until the first token of an attempt.",
+        meaning="Longest time until an engine sends the first token of an attempt.",
     ),
     Setting(
         name="service_timeout",
         default=15.0,
         check=is_positive,
         expected=SECONDS,
-        meaning="Silence of a plain service until the first byte of its answer.",
+        meaning="Longest time until a plain service sends the first byte of its "
+        "answer.",
     ),
     Setting(
         name="unread_timeout",
         default=20.0,
         check=is_positive,
         expected=SECONDS,
-        meaning="Time for which a caller may leave its answer unread.",
+        meaning="Longest time for which a caller may leave its answer unread.",
     ),
     Setting(
         name="claim_timeout",
         default=5.0,
         check=is_positive,
         expected=SECONDS,
-        meaning="Wait for the log to confirm the claim of a request that runs at "
-        "most once.",
+        meaning="Longest time until the log confirms the claim of a request that "
+        "runs at most once.",
     ),
     Setting(
         name="recovery_timeout",
         default=8.0,
         check=is_positive,
         expected=SECONDS,
-        meaning="Wait of a request whose attempt failed for another backend server.",
+        meaning="Longest time for which a request whose attempt failed waits for "
+        "another backend server.",
     ),
     Setting(
         name="report_interval",
         default=0.5,
         check=is_positive,
         expected=SECONDS,
-        meaning="Time between two questions to each backend server.",
+        meaning="Time between two requests for the report of a backend server.",
     ),
     Setting(
         name="report_max_age",
         default=2.0,
         check=is_positive,
         expected=SECONDS,
-        meaning="Age up to which a backend server's report counts.",
+        meaning="Age up to which a backend server's report is valid.",
     ),
     Setting(
         name="group_batch",
         default=256,
         check=is_size,
         expected=COUNT,
-        meaning="Requests that one replica group runs at a time; more wait here.",
+        meaning="Number of requests that one replica group runs at a time; further "
+        "requests wait at the entry host.",
     ),
     Setting(
         name="lease_term",
@@ -258,21 +264,22 @@
         check=is_positive,
         expected=SECONDS,
         meaning="Time at the start of a graceful shutdown in which new requests are "
-        "still taken, so that the balancer turns away first.",
+        "still accepted, so that the balancer stops sending them first.",
     ),
     Setting(
         name="drain_timeout",
         default=30.0,
         check=is_positive,
         expected=SECONDS,
-        meaning="Longest graceful shutdown; what is left then ends with an error.",
+        meaning="Longest graceful shutdown; requests still running then end with an "
+        "error.",
     ),
     Setting(
         name="callers_request_timeout",
         default=10.0,
         check=is_positive,
         expected=SECONDS,
-        meaning="Longest time in which a caller's whole request must arrive.",
+        meaning="Longest time in which a caller's complete request must arrive.",
     ),
     Setting(
         name="callers_idle_timeout",
@@ -292,7 +299,7 @@
 
 
 class Settings:
-    """Hold checked settings; each is an attribute."""
+    """Hold the values of checked settings, each as an attribute of its name."""
 
     __slots__ = tuple(setting.name for setting in SETTINGS)
 
@@ -301,7 +308,7 @@
             setattr(self, name, value)
 
     def public(self) -> dict[str, Any]:
-        """Return the settings without the secrets, for the dump."""
+        """Return the values of all settings that are not secret, for the dump."""
         return {
             setting.name: getattr(self, setting.name)
             for setting in SETTINGS
--- a/ryelever/settings_checks.py
+++ b/ryelever/settings_checks.py
@@ -1,4 +1,4 @@
-"""Check single values of settings, and word what each check accepts."""
+"""Check single values of settings, and describe the values that each check accepts."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
     "is_size",
 ]
 
-ADDRESS = "an IPv4 number and a port, such as 127.0.0.1:8080"
+ADDRESS = "an IPv4 address and a port, such as 127.0.0.1:8080"
 COUNT = "a whole number above 0"
 NAME = "a name of letters, digits, '-', '_' and '.'"
 SECONDS = "a number of seconds above 0"
-SECRET = "at least 16 characters, or nothing to switch the use off"
+SECRET = "at least 16 characters, or an empty string to disable its use"
 SIZE = "a whole number of bytes above 0"
 
-#: Shortest secret, in characters; a shorter one could be found by trying all.
+#: Minimum length of a secret in characters; shorter secrets are open to brute force.
 MIN_SECRET_LENGTH = 16
 
-#: Ports lie below this.
+#: Port numbers are smaller than this number.
 N_PORTS = 1 << 16
 
 
 def is_name(value: Any) -> bool:
-    """Tell whether a value is a name that may stand in a path or a log line."""
+    """Return whether a value is a name that is valid in a path and in a log line."""
     return (
         isinstance(value, str)
         and bool(value)
@@ -46,7 +46,7 @@
 
 
 def is_address(value: Any) -> bool:
-    """Tell whether a value is an address by IP number, ``"<IPv4>:<port>"``."""
+    """Return whether a value is an address of the form ``"<IPv4>:<port>"``."""
     if not isinstance(value, str):
         return False
     host, _, port = value.rpartition(":")
@@ -58,26 +58,26 @@
 
 
 def is_addresses(value: Any) -> bool:
-    """Tell whether a value is a list of addresses."""
+    """Return whether a value is a list of addresses."""
     return isinstance(value, list) and all(is_address(item) for item in value)
 
 
 def is_names(value: Any) -> bool:
-    """Tell whether a value is a list of names."""
+    """Return whether a value is a list of names."""
     return isinstance(value, list) and all(is_name(item) for item in value)
 
 
 def is_positive(value: Any) -> bool:
-    """Tell whether a value is a finite number above 0; true and false are none."""
+    """Return whether a value is a finite number above 0; booleans are not numbers."""
     number = isinstance(value, int | float) and not isinstance(value, bool)
     return number and 0 < value < math.inf
 
 
 def is_size(value: Any) -> bool:
-    """Tell whether a value is a whole number above 0."""
+    """Return whether a value is a whole number above 0."""
     return isinstance(value, int) and not isinstance(value, bool) and value > 0
 
 
 def is_secret(value: Any) -> bool:
-    """Tell whether a value is a secret that is long enough, or empty."""
+    """Return whether a value is an empty string or a secret of sufficient length."""
     return isinstance(value, str) and (not value or len(value) >= MIN_SECRET_LENGTH)
--- a/ryelever/settings_files.py
+++ b/ryelever/settings_files.py
@@ -1,4 +1,4 @@
-"""Read the files that a command names, and say what is wrong with them."""
+"""Read the input files of a command and print their faults."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def read_text(path: Path) -> str | None:
-    """Return a file's text, or None after saying why it can't be read."""
+    """Return a file's text, or None after printing why it can't be read."""
     try:
         return path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -24,9 +24,9 @@
 
 
 def checked_settings(path: Path, text: str) -> Settings | None:
-    """Return settings in JSON, or None after naming every fault."""
-    # A host with the platform's settings reads no JSON with comments, and the parser
-    # takes a hundredth of its start.
+    """Return the settings read from JSON, or None after printing every fault."""
+    # The import is here because a host with the platform's settings does not need the
+    # parser of JSON with comments, whose import takes a hundredth of its start.
     from .settings_reader import read_settings
 
     checked = read_settings(text)
@@ -37,6 +37,6 @@
 
 
 def print_faults(path: Path, faults: list[Fault]) -> None:
-    """Name every fault of a file, a line each."""
+    """Print the faults of a file, one per line."""
     for fault in faults:
         print(f"{path}: {fault}", file=sys.stderr)
--- a/ryelever/settings_reader.py
+++ b/ryelever/settings_reader.py
@@ -1,4 +1,4 @@
-"""Read settings from JSON with comments and name every fault in one run."""
+"""Read settings from JSON with comments and report all faults at once."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def read_settings(text: str) -> Result[Settings, list[Fault]]:
-    """Read settings and check all of them; faults name their line in the text."""
+    """Return the checked settings, or all faults with their lines in the text."""
     try:
         values = json5.loads(text, allow_duplicate_keys=False)
     except (ValueError, RecursionError) as error:
@@ -44,21 +44,21 @@
             faults.append(fault)
         checked[setting.name] = value
     if not faults:
-        faults = _disagreements(checked)
+        faults = _inconsistencies(checked)
     if faults:
         return Error([_with_line(fault, text) for fault in faults])
     return Ok(Settings(**checked))
 
 
 def _unreadable(error: Exception) -> Fault:
-    # json5 opens its message with "<string>:LINE", where it knows the line.
+    # The message of json5 starts with "<string>:LINE" if the line is known.
     found = _JSON5_PLACE.match(str(error))
     if found is None:
         place, what = "file", str(error)
     else:
         place, what = f"line {found['line']}", found["what"]
     return Fault(
-        place=place, expected="JSON with comments", remedy=f"mend the text: {what}"
+        place=place, expected="JSON with comments", remedy=f"correct the text: {what}"
     )
 
 
@@ -70,15 +70,15 @@
     return replace(fault, place=f"{fault.place} (line {line})")
 
 
-def _disagreements(values: dict[str, Any]) -> list[Fault]:
-    """Check what one setting demands of another."""
+def _inconsistencies(values: dict[str, Any]) -> list[Fault]:
+    """Return the faults of settings that contradict each other."""
     faults = []
     if values["availability_zone"] not in values["availability_zones"]:
         faults.append(
             Fault(
                 place="availability_zones",
-                expected=f"{values['availability_zone']!r}, the own zone, among them",
-                remedy="add it, or mend availability_zone",
+                expected=f"a list with {values['availability_zone']!r}, this host's zone",
+                remedy="add it, or correct availability_zone",
             )
         )
     if values["report_max_age"] <= values["report_interval"]:
@@ -86,15 +86,16 @@
             Fault(
                 place="report_max_age",
                 expected=f"more than report_interval, {values['report_interval']:g}",
-                remedy="raise it: a report would expire before the next is asked for",
+                remedy="raise it: a report would expire before the next is requested",
             )
         )
     if values["peers"] and not values["peer_key"]:
         faults.append(
             Fault(
                 place="peer_key",
-                expected="a key, since peers are given",
-                remedy="give all entry hosts the same one; others could speak as peers",
+                expected="a key, since peers are set",
+                remedy="set the same key on all entry hosts; without a key, others "
+                "could impersonate peers",
             )
         )
     return faults
@@ -104,7 +105,7 @@
     return Fault(
         place=name,
         expected="a known setting",
-        remedy="remove it, or look its name up in docs/OPERATIONS.md",
+        remedy="remove it, or find its correct name in docs/OPERATIONS.md",
     )
 
 
@@ -113,7 +114,7 @@
         return Fault(
             place=setting.name,
             expected=setting.expected,
-            remedy=f"set it; it means: {setting.meaning}",
+            remedy=f"set it; meaning: {setting.meaning}",
         )
     if setting.check(value):
         return None
--- a/ryelever/shutdown.py
+++ b/ryelever/shutdown.py
@@ -22,12 +22,12 @@
 
 __all__ = ["InFlight", "Phase", "Shutdown"]
 
-#: Seconds for error events and outcomes to leave after the deadline.
-LAST_WORDS = 2.0
+#: Seconds after the deadline in which error events and outcomes can still be sent.
+FLUSH_TIME = 2.0
 
 
 class Phase(enum.Enum):
-    """Name the steps of a graceful shutdown."""
+    """Phases of a graceful shutdown."""
 
     SERVING = "serving"
     GRACE = "grace"
@@ -37,22 +37,22 @@
     STOPPED = "stopped"
 
 
-#: Steps that a second signal, or the deadline, ends.
+#: Phases that end at the deadline or on a second signal.
 ENDED_BY_DEADLINE = frozenset({Phase.GRACE, Phase.DRAINING, Phase.CLOSING})
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class InFlight:
-    """Count what is not finished.
+    """Count the unfinished work of an entry host.
 
     Attributes
     ----------
     n_requests : int
-        Requests without their final answer.
+        Requests that have not been answered completely.
     n_appends : int
-        Claims and outcomes that were not read back from the log.
+        Claims and outcomes that have not been read back from the log.
     n_unsent : int
-        Callers whose answer has not left whole.
+        Callers to whom the answer has not been sent completely.
     """
 
     n_requests: int
@@ -60,23 +60,23 @@
     n_unsent: int
 
     @property
-    def nothing(self) -> bool:
-        """Tell whether all is finished."""
+    def is_empty(self) -> bool:
+        """Return whether all work is finished."""
         return not (self.n_requests or self.n_appends or self.n_unsent)
 
 
 class Shutdown(BaseComponent):
-    """Take the process from the first signal to its end.
+    """Shut the process down in phases after the first signal.
 
-    First the host stops being ready, and still takes requests until the balancer
-    has turned away.  Then it takes no new ones.  When nothing is in flight it
-    listens no more, and stops when the last connection is closed.  A second signal,
-    or the deadline, ends what is left with errors.
+    First the host reports that it is not ready, but accepts requests until the
+    balancer has stopped sending them.  Then it refuses new requests.  Once no request
+    is in flight it stops listening, and the process ends when the last connection is
+    closed.  A second signal, or the deadline, ends the remaining requests with errors.
 
     Parameters
     ----------
     in_flight : callable
-        Count what is not finished.
+        Return the counts of unfinished work.
     stop : callable
         Stop the process with an exit code.
     """
@@ -107,19 +107,19 @@
             return
         event.stop()
         if self.phase is Phase.SERVING:
-            self._begin()
+            self._start_drain()
         elif self.phase in ENDED_BY_DEADLINE:
             self._deadline = time.monotonic()
 
-    def _begin(self) -> None:
+    def _start_drain(self) -> None:
         now = time.monotonic()
         self.phase = Phase.GRACE
         self._grace_ends_at = now + self._settings.drain_grace
         self._deadline = now + self._settings.drain_timeout
         self._serving.draining = True
         self._log("drain_started")
-        # Whoever holds something for the whole fleet, such as the planner's lease,
-        # gives it up now.
+        # Components that hold a resource for the whole fleet, such as the planner's
+        # lease, release it on this event.
         self.fire(drain(), "*")
 
     @handler("control_tick")
@@ -132,27 +132,27 @@
             self.phase = Phase.DRAINING
             self._serving.closed = True
             self._log("drain_closed")
-        elif self.phase is Phase.DRAINING and in_flight.nothing:
+        elif self.phase is Phase.DRAINING and in_flight.is_empty:
             self.phase = Phase.CLOSING
             self.fire(drained(), "callers")
-        elif self.phase is Phase.CLOSING and in_flight.nothing:
-            self._end()
+        elif self.phase is Phase.CLOSING and in_flight.is_empty:
+            self._finish()
         elif self.phase in ENDED_BY_DEADLINE and now >= self._deadline:
             self._end_requests(in_flight, now=now)
         elif self.phase is Phase.ENDING and (
-            in_flight.nothing or now >= self._deadline
+            in_flight.is_empty or now >= self._deadline
         ):
-            self._end()
+            self._finish()
 
     def _end_requests(self, in_flight: InFlight, *, now: float) -> None:
-        # A connection that merely idles is no request that is cut off.
-        self._cut_off = self.phase is not Phase.CLOSING and not in_flight.nothing
+        # In the closing phase only idle connections are left: no request is cut off.
+        self._cut_off = self.phase is not Phase.CLOSING and not in_flight.is_empty
         self.phase = Phase.ENDING
-        self._deadline = now + LAST_WORDS
+        self._deadline = now + FLUSH_TIME
         self._log("drain_cut_off")
         self.fire(end_requests(), "serving")
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         self.phase = Phase.STOPPED
         self._log("stopped")
         self._stop(ExitCode.CUT_OFF if self._cut_off else ExitCode.OK)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def settings(tmp_path: Path) -> Path:
-    """Return a file of good settings."""
+    """Return the path of a file with valid settings."""
     path = tmp_path / "settings.json"
     path.write_text(json.dumps(GOOD, indent=2))
     return path
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def document(tmp_path: Path) -> Path:
-    """Return a file with a good configuration document."""
+    """Return the path of a file with a valid configuration document."""
     path = tmp_path / "document.json"
     path.write_text(json.dumps({"models": {"notes": {"version": "v1"}}}))
     return path
@@ -49,12 +49,12 @@
     assert (done.returncode, done.stdout.strip()) == (0, __version__)
 
 
-def test_reader_of_the_output_has_gone() -> None:
-    """End without a word when the reader of the output wants no more.
+def test_closed_output_pipe_is_not_an_error() -> None:
+    """End without an error message when the reader of the output closes the pipe.
 
-    Symptom: ``ryelever dump ... | head`` ends with a traceback.  Sequence: ``head``
-    closes the pipe after its lines, the command goes on writing.  Cause: the error of
-    a closed pipe was left to the interpreter.
+    In ``ryelever dump ... | head``, ``head`` closes the pipe after its lines while the
+    command is still writing.  If the error of the closed pipe is left to the
+    interpreter, the command ends with a traceback.
     """
     reading, writing = os.pipe()
     os.close(reading)
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "said"),
+    ("arguments", "message"),
     [
         (("check",), "--settings"),
         (("check", "--settings", "/nothing.json"), "cannot read"),
@@ -103,15 +103,15 @@
         (("dump", "--address", "127.0.0.1:1", "--key-file", "/nothing"), "cannot read"),
     ],
 )
-def test_wrong_call_is_exit_code_2(arguments: tuple[str, ...], said: str) -> None:
+def test_wrong_call_is_exit_code_2(arguments: tuple[str, ...], message: str) -> None:
     done = ryelever(*arguments)
     assert done.returncode == 2
-    assert said in done.stderr
+    assert message in done.stderr
     assert "Traceback" not in done.stderr
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         pytest.param("node=e1\nzone=z\n", "listen.front", id="the-platforms"),
         pytest.param("# ours\n\nnode=e1\n", "listen.front", id="after-a-comment"),
@@ -120,18 +120,20 @@
         pytest.param("", "JSON", id="empty"),
     ],
 )
-def test_the_settings_say_what_is_served(tmp_path: Path, text: str, said: str) -> None:
-    """Check each kind of settings by its own rules, and name the first fault."""
+def test_kind_of_settings_file_is_recognized(
+    tmp_path: Path, text: str, message: str
+) -> None:
+    """Check JSON settings and the platform's settings each by their own rules."""
     settings = tmp_path / "settings"
     settings.write_text(text)
     done = ryelever("serve", "--settings", settings)
     assert done.returncode == 2
-    assert said in done.stderr
+    assert message in done.stderr
     assert "Traceback" not in done.stderr
 
 
 def test_dump(fleet: Fleet, tmp_path: Path) -> None:
-    """Print the state, and tell a wrong key from a host that is not there."""
+    """Print the state, and distinguish a wrong key from a host that is not running."""
     fleet.start_platform()
     entry: EntryHost = fleet.start_entry("e1", zone="z")
     key_file = tmp_path / "key"
@@ -148,7 +150,7 @@
 
 
 def test_taken_address_ends_the_process_with_a_reason(settings: Path) -> None:
-    """Exit with code 1 and say which address is taken, in place of a traceback."""
+    """Exit with code 1 and log which address is in use, without a traceback."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         address = f"127.0.0.1:{sock.getsockname()[1]}"
         settings.write_text(json.dumps(GOOD | {"callers_address": address}))
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Test how a request's fate is put together from log lines."""
+"""Test how the log lines that explain a request are collected."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
     return [e1, e2]
 
 
-def test_lines_of_all_hosts_stand_in_their_order(tmp_path: Path) -> None:
+def test_lines_of_all_hosts_are_sorted_by_time(tmp_path: Path) -> None:
     found = explain("r1", _hosts(tmp_path))
-    told = [line.split(" ", 2)[2].strip().split()[:2] for line in found.lines]
-    assert told == [
+    shown = [line.split(" ", 2)[2].strip().split()[:2] for line in found.lines]
+    assert shown == [
         ["e2:", "group_decided"],
         ["e1:", "group_phase"],
         ["e1:", "attempt_failed"],
@@ -49,7 +49,9 @@
     assert found.faults == []
 
 
-def test_broken_lines_are_named_and_the_rest_is_read(tmp_path: Path) -> None:
+def test_broken_lines_are_reported_and_the_other_lines_are_read(
+    tmp_path: Path,
+) -> None:
     paths = _hosts(tmp_path)
     with paths[0].open("a") as file:
         file.write('{"time": 102.0, "event": "cut')
@@ -59,7 +61,7 @@
     assert "nowhere.log" in found.faults[1]
 
 
-def test_the_command_prints_or_says_that_there_is_nothing(
+def test_command_prints_the_lines_or_reports_that_there_are_none(
     tmp_path: Path, capsys: object
 ) -> None:
     paths = [str(path) for path in _hosts(tmp_path)]
--- a/tests/test_fleet_watch.py
+++ b/tests/test_fleet_watch.py
@@ -1,4 +1,4 @@
-"""Test what the watch of the hosts makes of the platform's list."""
+"""Test how the platform's list of hosts is polled and applied."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Watch(FleetWatch):
-    """Keep what is asked instead of sending it."""
+    """Record requests instead of sending them."""
 
     def __init__(self) -> None:
         settings = Settings(
@@ -38,13 +38,13 @@
         self.sent: list[OutboundRequest] = []
 
     def fire(self, event: object, *channels: str) -> None:
-        """Note a question."""
+        """Record a request."""
         self.sent.append(event.args[0])
 
     def conditions(self) -> list[str | None]:
-        """Return the tag that each question for the list named."""
-        asked = [sent for sent in self.sent if sent.step == "read_hosts_list"]
-        return [dict(sent.headers).get("If-None-Match") for sent in asked]
+        """Return the ETag in each request for the list."""
+        requests = [sent for sent in self.sent if sent.step == "read_hosts_list"]
+        return [dict(sent.headers).get("If-None-Match") for sent in requests]
 
 
 def answer(
@@ -61,7 +61,7 @@
     )
 
 
-# (answers, tag of the next question, hosts that are known)
+# (answers, ETag in the next request, known hosts)
 @pytest.mark.parametrize(
     ("answers", "condition", "known"),
     [
@@ -89,12 +89,12 @@
         pytest.param([answer(304, tag=TAG)], None, set(), id="unasked_304"),
     ],
 )
-def test_the_list_is_read_whole_only_when_it_changed(
+def test_unchanged_list_is_not_transferred_again(
     answers: list[OutboundAnswer], condition: str | None, known: set[str]
 ) -> None:
     watch = Watch()
     for each in answers:
         watch.answered(PendingRequest(kind="list"), each)
-    watch._ask_list(now=100.0)
+    watch._request_list(now=100.0)
     assert watch.conditions() == [condition]
     assert watch.hosts_by_name.keys() == known
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -24,7 +24,7 @@
 
 
 def faults_of(**changes: object) -> list[str]:
-    """Return the faults of good settings with some changes."""
+    """Return the faults of valid settings after some changes."""
     checked = read_settings(json.dumps(GOOD | changes, indent=2))
     return [] if checked.is_ok() else [str(fault) for fault in checked.error]
 
@@ -34,7 +34,7 @@
     assert read_settings(text).ok.host == "entry-1"
 
 
-def test_every_fault_is_named_in_one_run_with_its_line() -> None:
+def test_all_faults_are_reported_at_once_with_their_lines() -> None:
     faults = faults_of(host="", callers_address="localhost:80", max_bdy=1)
     assert [fault.partition(":")[0] for fault in faults] == [
         "max_bdy (line 11)",
@@ -54,7 +54,7 @@
         ("[" * 100_000, "file"),
     ],
 )
-def test_text_that_is_no_object_is_one_fault(text: str, place: str) -> None:
+def test_text_that_is_not_an_object_is_one_fault(text: str, place: str) -> None:
     (fault,) = read_settings(text).error
     assert fault.place == place
 
@@ -90,8 +90,8 @@
     assert "tooshort" not in fault
 
 
-def test_defaults_are_good() -> None:
-    """Accept each default, so that a file with the required settings suffices."""
+def test_defaults_are_valid() -> None:
+    """Accept every default, so that a file with only the required settings is valid."""
     assert faults_of() == []
     assert all(
         setting.check(setting.default)
@@ -101,7 +101,7 @@
 
 
 def test_reference_in_the_docs_is_current() -> None:
-    """Find the table of docs/OPERATIONS.md as `make reference` writes it."""
+    """Compare the table in docs/OPERATIONS.md with the output of `make reference`."""
     found = re.search(
         r"<!-- settings -->\n(.*?)<!-- end of settings -->",
         OPERATIONS.read_text(),
