--- a/ryelever/settings_reader.py
+++ b/ryelever/settings_reader.py
@@ -77,8 +77,8 @@
         faults.append(
             Fault(
                 place="availability_zones",
-                expected=f"a list with {values['availability_zone']!r}, this host's zone",
-                remedy="add it, or correct availability_zone",
+                expected=f"a list that includes {values['availability_zone']!r}",
+                remedy="add it, as this host's zone, or correct availability_zone",
             )
         )
     if values["report_max_age"] <= values["report_interval"]:
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -1,4 +1,4 @@
-"""Call entry hosts as callers do, and check answers token by token."""
+"""Send requests to entry hosts as callers do, and check answers token by token."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 __all__ = ["Answer", "Caller", "error_of", "expected_tokens", "new_key"]
 
-#: Longest that a test waits for one answer.
+#: Seconds for which a test waits for one answer.
 PATIENCE = 30.0
 
-#: Making one takes longer than a request.
+#: Shared by all clients, since creating an SSL context takes longer than a request.
 _SSL = ssl.create_default_context()
 
 
 def expected_tokens(prompt: str, n_tokens: int, *, model: str = "notes") -> list[str]:
-    """Return the tokens that the stand-in engine yields for a prompt."""
+    """Return the tokens that the stand-in engine generates for a prompt."""
     text = json.dumps(_messages(prompt))
     seed = hashlib.sha256(f"{model}{text}".encode()).hexdigest()[:6]
     return [f"{seed}-{position}" for position in range(n_tokens)]
@@ -39,14 +39,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Answer:
-    """Hold what a caller got.
+    """Hold the answer that a caller received.
 
     Attributes
     ----------
     error : dict
-        The explicit error, of an answer or of a broken stream; empty otherwise.
+        Error in the answer or in a stream that was cut off; empty for none.
     ended : bool
-        True when the terminal event has arrived.
+        Whether the final event of the stream has arrived.
     """
 
     prompt: str
@@ -58,19 +58,19 @@
 
     @property
     def whole(self) -> bool:
-        """Tell whether this is the whole answer to its own prompt."""
+        """Return whether this is the complete answer to its prompt."""
         expected = expected_tokens(self.prompt, self.n_tokens)
         return self.ended and not self.error and self.tokens == expected
 
     @property
     def honest(self) -> bool:
-        """Tell whether this is a part of the own answer and an explicit error."""
+        """Return whether this is the start of the right answer, with an error."""
         expected = expected_tokens(self.prompt, self.n_tokens)
         return bool(self.error) and self.tokens == expected[: len(self.tokens)]
 
 
 class Caller:
-    """Send requests of one client account."""
+    """Send requests as one client account."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.headers = {"Authorization": f"Bearer {fleet.keys_by_account['pawroute']}"}
@@ -83,7 +83,7 @@
         n_tokens: int = 50,
         on_token: Callable[[], None] | None = None,
     ) -> Answer:
-        """Ask for a streamed answer and read it to its end."""
+        """Request a streamed answer and read it to its end."""
         answer = Answer(prompt=prompt, n_tokens=n_tokens)
         body = {
             "model": "notes",
@@ -104,7 +104,7 @@
                 return answer
             async for line in response.aiter_lines():
                 if line:
-                    _take_line(answer, line.removeprefix("data: "))
+                    _apply_event(answer, line.removeprefix("data: "))
                     if on_token is not None:
                         on_token()
         return answer
@@ -117,15 +117,15 @@
         n_tokens: int = 50,
         disturb: Callable[[], Awaitable[None] | None],
     ) -> list[Answer]:
-        """Open streams with distinct prompts; disturb once half have begun."""
+        """Read streams with distinct prompts; call ``disturb`` once half have begun."""
         entries = list(entries)
-        begun: set[int] = set()
-        half = asyncio.Event()
+        started: set[int] = set()
+        half_started = asyncio.Event()
 
-        def note(index: int) -> None:
-            begun.add(index)
-            if len(begun) >= n_streams // 2:
-                half.set()
+        def note_start(index: int) -> None:
+            started.add(index)
+            if len(started) >= n_streams // 2:
+                half_started.set()
 
         streams = [
             asyncio.ensure_future(
@@ -133,19 +133,19 @@
                     entries[index % len(entries)],
                     f"prompt {index}",
                     n_tokens=n_tokens,
-                    on_token=lambda index=index: note(index),
+                    on_token=lambda index=index: note_start(index),
                 )
             )
             for index in range(n_streams)
         ]
-        await asyncio.wait_for(half.wait(), PATIENCE)
+        await asyncio.wait_for(half_started.wait(), PATIENCE)
         disturbance = disturb()
         if disturbance is not None:
             await disturbance
         return list(await asyncio.gather(*streams))
 
     async def is_ready(self, entry: EntryHost) -> bool:
-        """Tell whether a balancer would send to a host."""
+        """Return whether a host reports that it is ready for a balancer's requests."""
         async with httpx.AsyncClient(timeout=PATIENCE, verify=_SSL) as client:
             try:
                 answer = await client.get(f"{entry.url}/readyz")
@@ -156,7 +156,7 @@
     def book(
         self, entry: EntryHost, key: str, *, timeout: float = PATIENCE
     ) -> httpx.Response:
-        """Send a booking, which must run at most once."""
+        """Send a booking request, which must run at most once."""
         return httpx.post(
             f"{entry.url}/services/bookings/bookings",
             headers=self.headers | {"Idempotency-Key": key},
@@ -165,7 +165,7 @@
         )
 
     def book_until_taken(self, entry: EntryHost, key: str) -> httpx.Response:
-        """Send a booking again and again until it has its answer."""
+        """Repeat a booking request until it succeeds, and return the answer."""
 
         def taken() -> httpx.Response | None:
             answer = self.book(entry, key)
@@ -175,7 +175,7 @@
 
     @contextlib.contextmanager
     def booking(self, entry: EntryHost, key: str) -> Iterator[None]:
-        """Keep a booking open, and leave without its answer."""
+        """Send a booking request and close the connection without reading an answer."""
         body = b'{"dog":"Rex"}'
         headers = self.headers | {
             "Host": entry.address,
@@ -191,16 +191,16 @@
 
 
 def error_of(answer: httpx.Response) -> dict[str, Any]:
-    """Return the error that an answer holds."""
+    """Return the error object in an answer."""
     return answer.json()["error"]
 
 
 def new_key() -> str:
-    """Return an idempotency key with its time of issue."""
+    """Return an idempotency key that was issued now."""
     return f"{time.time_ns() // 1_000_000}-{time.monotonic_ns()}"
 
 
-def _take_line(answer: Answer, data: str) -> None:
+def _apply_event(answer: Answer, data: str) -> None:
     if data == "[DONE]":
         answer.ended = True
         return
--- a/tests/memory_log.py
+++ b/tests/memory_log.py
@@ -1,4 +1,4 @@
-"""Hold one stream of the log in memory, records encoded as the service has them."""
+"""Simulate one stream of the log in memory, with records encoded as in the service."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ryelever.state.fold import BaseFold
 from ryelever.state.records import Entry, Record
 
-#: A time of append to start from, in seconds since the epoch.
+#: Append time of the first records, in seconds since the epoch.
 EPOCH = 1_800_000_000.0
 
 
@@ -30,7 +30,7 @@
         return self.append_raw(item.kind, bytes(item.body), record_id=record_id)
 
     def append_raw(self, kind: str, body: bytes, *, record_id: str) -> Entry:
-        """Append a record as bytes, of whatever kind."""
+        """Append a record of any kind, given as bytes, and return its entry."""
         raw = RawEntry(
             offset=self.next, time=self.time, id=record_id, kind=kind, body=body
         )
@@ -38,11 +38,11 @@
         return decode_entry(raw, peer="log")
 
     def expire(self, *, before: int) -> None:
-        """Forget the records below an offset."""
+        """Remove the records below an offset."""
         self.first = max(self.first, min(before, self.next))
 
     def page(self, read: Read) -> ReadPage:
-        """Answer a read."""
+        """Return the answer to a read."""
         if read.offset < self.first:
             return ReadPage(first=self.first, next=self.next, expired=True)
         raw = self._raw[read.offset : read.offset + read.limit]
@@ -51,14 +51,14 @@
 
 
 def new_reader(fold: BaseFold) -> LogReader:
-    """Return a reader with constant pauses."""
+    """Return a reader whose pauses have no random jitter."""
     return LogReader(fold=fold, jitter=lambda: 0.5)
 
 
 def read_to_end(
     reader: LogReader, log: MemoryLog, *, max_reads: int = 200
 ) -> list[Applied]:
-    """Read until the reader has reached the end; return all that was applied."""
+    """Read to the end of the log and return the applied entries."""
     applied: list[Applied] = []
     now = max(0.0, reader.caught_up_at)
     for _ in range(max_reads):
@@ -72,5 +72,5 @@
 
 
 def state_of(fold: BaseFold) -> object:
-    """Return all that a fold knows, comparable."""
+    """Return the complete state of a fold in a form that can be compared."""
     return fold.to_snapshot(snapshot="state")
--- a/tests/test_log_table.py
+++ b/tests/test_log_table.py
@@ -1,4 +1,4 @@
-"""Hold each call that logs against the table of events and fields."""
+"""Compare each logging call with the table of events and fields."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 ROOT = Path(ryelever.__file__).parent
 OPERATIONS = ROOT.parent / "docs" / "OPERATIONS.md"
 
-#: Functions that log, and the level of what they write where it is certain.
+#: Functions that write log lines, and the level of these lines.
 LEVELS_BY_FUNCTION = {
     "log_event": LogLevel.INFO,
     "log_warning": LogLevel.WARNING,
@@ -20,8 +20,8 @@
     "_log": LogLevel.INFO,
 }
 
-#: Modules whose events show only on hosts that don't relay.
-OTHER_PATH = frozenset(
+#: Events that are logged only on hosts that don't relay.
+EVENTS_WITHOUT_RELAY = frozenset(
     {
         "append_failed",
         "append_given_up",
@@ -52,7 +52,7 @@
 
 
 def _calls() -> Iterator[tuple[str, ast.Call, str]]:
-    """Yield where a line is logged, the call, and the name of the function."""
+    """Yield the position of each logging call, the call and the function's name."""
     for path in sorted(ROOT.rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if not isinstance(node, ast.Call):
@@ -80,24 +80,26 @@
 
 
 def test_each_declared_event_is_logged() -> None:
-    words = {
+    strings = {
         node.value
         for path in ROOT.rglob("*.py")
         if path.name != "log_table.py"
         for node in ast.walk(ast.parse(path.read_text()))
         if isinstance(node, ast.Constant) and isinstance(node.value, str)
     }
-    assert EVENTS_BY_NAME.keys() - words == set()
+    assert EVENTS_BY_NAME.keys() - strings == set()
 
 
-def test_fields_mean_the_same_in_every_line() -> None:
+def test_each_field_is_declared_and_used() -> None:
     used = {field for event in EVENTS_BY_NAME.values() for field in event.fields}
     assert used == FIELDS_BY_NAME.keys()
 
 
-def test_the_operators_page_names_each_line_of_a_relaying_host() -> None:
+def test_operations_page_lists_each_line_of_a_relaying_host() -> None:
     page = OPERATIONS.read_text()
     missing = {
-        name for name in EVENTS_BY_NAME.keys() - OTHER_PATH if f"`{name}`" not in page
+        name
+        for name in EVENTS_BY_NAME.keys() - EVENTS_WITHOUT_RELAY
+        if f"`{name}`" not in page
     }
     assert missing == set()
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -1,4 +1,4 @@
-"""Test how fast word of crashes spreads among entry hosts."""
+"""Test how fast evidence of crashes spreads among entry hosts."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from ryelever.settings import Settings
 from ryelever.state.configuration_fold import ConfigurationFold
 
-#: Seconds between two looks of control, and from one host to another.
+#: Seconds between two control ticks, and seconds from one host to another.
 TICK = 0.1
 ONE_WAY = 0.001
 
-#: Names of the hosts, by the address at which the others reach them.
+#: Names of the hosts, by their addresses for peers.
 HOSTS = {"10.0.0.1:1": "e1", "10.0.0.2:1": "e2"}
 
 
 class Clock:
-    """Run what falls due, and take the place of the module ``time``."""
+    """Simulate time: replace the module ``time`` and run scheduled actions."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -48,7 +48,7 @@
 
 
 class Pair:
-    """Hold two entry hosts of one zone that tell each other of crashes."""
+    """Simulate two entry hosts of one zone that exchange evidence of crashes."""
 
     def __init__(self, clock: Clock, *, seed: int, settle: float = 0.0) -> None:
         self._clock = clock
@@ -61,28 +61,30 @@
         self._peerings = {address: self._peering(address) for address in HOSTS}
         draws = random.Random(seed)
         for address in HOSTS:
-            self.do(address, self._tick(address), at=draws.uniform(0.0, TICK))
+            self.schedule(address, self._tick(address), at=draws.uniform(0.0, TICK))
 
     def pause(self, address: str, *, seconds: float) -> None:
-        """Let a host do nothing for a while; what it missed comes in order then."""
+        """Pause a host; its delayed actions then run in their order."""
         self._paused_until[address] = self._clock.now + seconds
 
-    def do(self, address: str, action: Callable[[], None], *, at: float = 0.0) -> None:
-        """Let a host do something, once it goes on if it is paused."""
+    def schedule(
+        self, address: str, action: Callable[[], None], *, at: float = 0.0
+    ) -> None:
+        """Run an action of a host after ``at`` seconds, or at the end of its pause."""
 
-        def act() -> None:
+        def run() -> None:
             paused_until = self._paused_until.get(address, 0.0)
             if self._clock.now < paused_until:
-                self._clock.at(paused_until, act)
+                self._clock.at(paused_until, run)
             else:
                 action()
 
-        self._clock.at(self._clock.now + at, act)
+        self._clock.at(self._clock.now + at, run)
 
     def _tick(self, address: str) -> Callable[[], None]:
         def tick() -> None:
             self._peerings[address]._on_control_tick()
-            self.do(address, tick, at=TICK)
+            self.schedule(address, tick, at=TICK)
 
         return tick
 
@@ -120,18 +122,23 @@
         for item in datagrams:
             if self._losses.random() < self.loss:
                 continue
-            taken = Datagram(address=sender, data=item.data)
-            take = self._peerings[item.address]._on_peers_received
-            self.do(
-                item.address, lambda take=take, taken=taken: take([taken]), at=ONE_WAY
+            received = Datagram(address=sender, data=item.data)
+            receive = self._peerings[item.address]._on_peers_received
+            self.schedule(
+                item.address,
+                lambda receive=receive, received=received: receive([received]),
+                at=ONE_WAY,
             )
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_hosts_hear_of_a_crash_before_its_verdict(
+def test_hosts_receive_evidence_of_a_crash_before_its_verdict(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    """Guard against a poison request that a second host runs, as it has not heard."""
+    """Announce a crash to the other host of the zone before a verdict falls.
+
+    Otherwise the second host runs a poison request because it lacks the evidence.
+    """
     clock = Clock()
     monkeypatch.setattr("ryelever.peering.time", clock)
     pair = Pair(clock, seed=seed)
@@ -147,10 +154,14 @@
 
 @pytest.mark.parametrize("pause", [0.5, 1.5, 2.5, 3.5])
 @pytest.mark.parametrize("seed", range(10))
-def test_no_bystander_is_condemned_before_a_paused_host_is_heard(
+def test_no_bystander_is_condemned_before_a_paused_host_has_reported(
     monkeypatch: pytest.MonkeyPatch, seed: int, pause: float
 ) -> None:
-    """Guard against a bystander that is refused for the crashes of a poison request."""
+    """Wait for a paused host's evidence before a verdict on a crash.
+
+    A bystander is a request that ran beside a poison request when a server crashed.
+    Without the evidence of the paused host, it would be refused for these crashes.
+    """
     clock = Clock()
     monkeypatch.setattr("ryelever.peering.time", clock)
     pair = Pair(clock, seed=seed, settle=SUSPICION_SETTLE)
@@ -158,10 +169,11 @@
     clock.run(clock.now + 10.0 + draws.uniform(0.0, 2.0))
     (first, first_view), (_, second_view) = pair.quarantines.items()
     pair.pause(first, seconds=pause)
-    # The first host notices when it goes on, before or after its next sign of life.
+    # The first host notices the crashes when its pause ends, before or after its next
+    # control tick.
     delay = TICK * (draws.random() < 0.5)
     for target in ("group-1", "group-2"):
-        pair.do(
+        pair.schedule(
             first,
             lambda target=target: first_view.crashed(target, ["poison"], now=clock.now),
             at=delay,
@@ -180,10 +192,13 @@
     ("pause", "loss"), [(0.0, 0.8), (1.5, 0.0), (1.5, 0.8), (2.5, 0.8)]
 )
 @pytest.mark.parametrize("seed", range(10))
-def test_a_caller_is_refused_only_once_the_other_host_knows(
+def test_caller_is_refused_only_after_the_other_host_has_the_evidence(
     monkeypatch: pytest.MonkeyPatch, seed: int, pause: float, loss: float
 ) -> None:
-    """Guard against a poison request that a host runs after another refused it."""
+    """Refuse a poison request only when the other host has the evidence too.
+
+    Otherwise the other host runs the request after this host has refused it.
+    """
     clock = Clock()
     monkeypatch.setattr("ryelever.peering.time", clock)
     pair = Pair(clock, seed=seed, settle=SUSPICION_SETTLE)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Test that backend servers get no more requests than the rate limit they name."""
+"""Test that backend servers get no more requests than their announced rate limits."""
 
 from __future__ import annotations
 
@@ -8,15 +8,17 @@
 
 from .limited_fleet import COLD_RATE, LimitedFleet, SimulatedClock, most_within
 
-#: Seconds after a server first named its limit from which it holds, and within which
-#: requests are counted.
+#: Seconds after a server's first announcement of a limit from which the limit must be
+#: kept, and length in seconds of the windows in which requests are counted.
 IN_FORCE = 3.0
 WINDOW = 4.0
 
-#: Times the limit, and requests beside it, that a server may get within a window.
+#: A server may get this multiple of its limit, plus this number of requests, within a
+#: window.
 OVERAGE = 1.5
 SLACK = 5
 
+#: Seconds at which the servers first announce their limits.
 NAMED_AT = 2.0
 
 
@@ -26,7 +28,7 @@
 
 @pytest.fixture
 def fleet(monkeypatch: pytest.MonkeyPatch) -> LimitedFleet:
-    """Return seven hosts of three zones before two servers in each of them."""
+    """Return seven hosts in three zones, with two servers in each zone."""
     clock = SimulatedClock()
     monkeypatch.setattr("ryelever.host_exchange.time", clock)
     return LimitedFleet(
@@ -40,7 +42,7 @@
 def test_all_hosts_together_keep_to_the_rate_limit_of_a_server(
     fleet: LimitedFleet,
 ) -> None:
-    """Guard against a server that names a rate limit and gets more from all hosts."""
+    """Keep the sum of all hosts' requests to a server within its limit."""
     limited = fleet.servers["y-server-0"]
     fleet.run(NAMED_AT)
     limited.limit = "1"
@@ -59,14 +61,17 @@
     [
         pytest.param("0", 24.0, 0.0, id="nothing"),
         pytest.param("0.25", 24.0, 0.0, id="less-than-one-a-second"),
-        pytest.param("1.4", 24.0, 0.3, id="words-are-lost"),
+        pytest.param("1.4", 24.0, 0.3, id="heartbeats-are-lost"),
         pytest.param("12.5", 100.0, 0.0, id="as-many-as-hosts"),
     ],
 )
 def test_rate_limits_of_all_servers_hold(
     fleet: LimitedFleet, limit: str, rate: float, lost_share: float
 ) -> None:
-    """Guard against hosts that exceed limits where no server without one is left."""
+    """Keep to the limits also when every server has one.
+
+    No server without a limit is left then to which hosts could send instead.
+    """
     draws = random.Random(1)
     fleet.lost = lambda sender, taker: draws.random() < lost_share
     fleet.rate_by_host = dict.fromkeys(fleet.hosts, rate / len(fleet.hosts))
@@ -78,10 +83,13 @@
         assert most_within(arrivals, window=WINDOW) <= _allowed(float(limit))
 
 
-def test_a_zone_that_is_cut_off_adds_nothing_to_what_the_others_send(
+def test_hosts_do_not_use_the_limit_shares_of_an_unreachable_zone(
     fleet: LimitedFleet,
 ) -> None:
-    """Guard against hosts that take over the part of those they don't hear."""
+    """Keep to a limit when hosts receive no heartbeats from another zone.
+
+    They must not use the shares of the hosts of that zone, which still send requests.
+    """
     limited = fleet.servers["y-server-0"]
     fleet.run(NAMED_AT)
     limited.limit = "2"
@@ -92,8 +100,8 @@
     assert most_within(arrivals, window=WINDOW) <= _allowed(2.0)
 
 
-def test_a_rate_limit_is_used(fleet: LimitedFleet) -> None:
-    """Guard against limited servers that idle while callers are refused."""
+def test_limited_servers_are_used(fleet: LimitedFleet) -> None:
+    """Use at least 0.8 of each limit rather than refuse callers."""
     fleet.rate_by_host = dict.fromkeys(fleet.hosts, 36.0 / len(fleet.hosts))
     fleet.run(NAMED_AT)
     _limit_all(fleet, "3")
@@ -103,10 +111,13 @@
     assert min(n_served) >= 0.8 * 3 * 8.0
 
 
-def test_the_one_host_that_has_callers_uses_all_of_a_limit(
+def test_only_host_with_callers_uses_the_whole_limit(
     fleet: LimitedFleet,
 ) -> None:
-    """Guard against parts that are held by hosts without requests."""
+    """Give the whole limit to the only host with requests.
+
+    Shares must not stay reserved for hosts without requests.
+    """
     for host in fleet.hosts:
         busy = host == "z-host-1"
         fleet.rate_by_host[host] = 20.0 if busy else 0.0
@@ -118,13 +129,13 @@
     assert min(n_served) >= 0.8 * 2 * 8.0
 
 
-def test_the_end_of_a_rate_limit_is_heard_by_all_hosts(fleet: LimitedFleet) -> None:
-    """Guard against a server that is left alone after it named no limit any more."""
+def test_all_hosts_receive_the_end_of_a_rate_limit(fleet: LimitedFleet) -> None:
+    """Send requests to a server again after it has stopped announcing a limit."""
     limited = fleet.servers["y-server-0"]
     limited.limit = "0"
     fleet.run(12.0)
     limited.limit = None
-    # A limit of zero is tried every ten seconds.
+    # A server with a limit of zero gets a trial request every ten seconds.
     fleet.run(24.0)
     n_before = len(limited.arrivals)
     fleet.run(30.0)
@@ -136,7 +147,8 @@
     }
 
 
-#: Times its rate, and requests beside it, that a cold server may get within a second.
+#: A cold server may get this multiple of its rate, plus this number of requests, within
+#: a second.
 COLD_OVERAGE = 1.5
 COLD_SLACK = 5
 
@@ -145,15 +157,18 @@
     ("n_hosts", "n_servers", "lost_share"),
     [
         pytest.param(2, 1, 0.0, id="small"),
-        pytest.param(13, 3, 0.0, id="as-many-as-it-bears"),
-        pytest.param(13, 3, 0.3, id="words-are-lost"),
+        pytest.param(13, 3, 0.0, id="as-many-as-it-can-serve"),
+        pytest.param(13, 3, 0.3, id="heartbeats-are-lost"),
         pytest.param(30, 4, 0.0, id="large"),
     ],
 )
-def test_cold_servers_get_no_more_in_a_second_than_they_bear(
+def test_cold_servers_get_no_more_requests_than_they_can_serve(
     monkeypatch: pytest.MonkeyPatch, n_hosts: int, n_servers: int, lost_share: float
 ) -> None:
-    """Guard against a zone that comes back cold and is rushed by all hosts at once."""
+    """Limit the requests to the servers of a zone that returns cold.
+
+    Otherwise all hosts send requests to these servers at once.
+    """
     clock = SimulatedClock()
     monkeypatch.setattr("ryelever.host_exchange.time", clock)
     fleet = LimitedFleet(
