--- a/ryelever/application.py
+++ b/ryelever/application.py
@@ -93,7 +93,7 @@
         self.fleet = FleetWatch(settings=settings, confirmations=self.confirmations)
         self.planning = Planning(
             settings=settings,
-            planner=self._planner(owner),
+            planner=self._new_planner(owner),
             configuration=self.configuration,
             placement=self.placements_by_zone[settings.availability_zone],
             hosts_by_name=self.fleet.hosts_by_name,
@@ -177,7 +177,7 @@
             folds[placement_stream(zone)] = placement
         return folds
 
-    def _planner(self, owner: str) -> Planner:
+    def _new_planner(self, owner: str) -> Planner:
         return Planner(
             holder=owner,
             stream=placement_stream(self.settings.availability_zone),
@@ -251,7 +251,7 @@
         ):
             part.register(self)
 
-    def _serving_tick(self) -> float:
+    def _serving_interval(self) -> float:
         return SERVING_TICK if self.table.requests_by_id else IDLE_SERVING_TICK
 
     @handler("started", channel="*")
@@ -260,7 +260,7 @@
         timers.every(CONTROL_TICK, control_tick, *CONTROL_CHANNELS)
         timers.every(SWEEP_INTERVAL, control_tick, "console")
         timers.every(UPDATE_INTERVAL, control_tick, "fleet_history")
-        timers.every(self._serving_tick, serving_tick, "serving")
+        timers.every(self._serving_interval, serving_tick, "serving")
         timers.every(SWEEP_INTERVAL, sweep, "http_client", "callers")
         log_event(
             "started",
--- a/ryelever/dump.py
+++ b/ryelever/dump.py
@@ -120,8 +120,8 @@
 
     def _dump(self, request: CallerRequest) -> CallerAnswer:
         key = self._application.settings.operator_key
-        given = request.headers.get("authorization", "").removeprefix("Bearer ")
-        if not key or not hmac.compare_digest(key.encode(), given.encode()):
+        sent_key = request.headers.get("authorization", "").removeprefix("Bearer ")
+        if not key or not hmac.compare_digest(key.encode(), sent_key.encode()):
             error = RyeleverError(
                 "send the operator key: Authorization: Bearer KEY",
                 category=Category.UNAUTHORIZED,
@@ -224,7 +224,7 @@
                 "listed": listed.state,
                 "reported": fresh.report.state if fresh else None,
                 "group": fresh.report.group if fresh else None,
-                "leaving": _leaving(listed, fresh)
+                "leaving": _is_leaving(listed, fresh)
                 or application.request_path.departures.is_leaving(name, now=now),
                 "report_age": _age(fresh.asked_at, now=now) if fresh else None,
             }
@@ -246,7 +246,7 @@
         ]
 
 
-def _leaving(listed: ListedHost, fresh: FreshReport | None) -> bool:
+def _is_leaving(listed: ListedHost, fresh: FreshReport | None) -> bool:
     reported = fresh.report.state if fresh is not None else ""
     return "leaving" in (listed.state, reported)
 
--- a/ryelever/fleet_watch.py
+++ b/ryelever/fleet_watch.py
@@ -67,11 +67,11 @@
         self._settings = settings
         self.confirmations = confirmations
         self.hosts_by_name: dict[str, ListedHost] = {}
-        self._followed_by_name: dict[str, ListedHost] = {}
+        self._polled_by_name: dict[str, ListedHost] = {}
         self._list_due_at = 0.0
         self._list_tag = ""
         self.shares = PollingShares(host=settings.host)
-        self._following = ReportFollowing(
+        self._report_polling = ReportFollowing(
             shares=self.shares,
             availability_zone=settings.availability_zone,
             interval=settings.report_interval,
@@ -109,11 +109,11 @@
         )
 
     def _request_reports(self, *, now: float) -> None:
-        for name, listed in self._followed_by_name.items():
+        for name, listed in self._polled_by_name.items():
             known = self.confirmations.reports_by_host.get(name)
             reported_at = known.asked_at if known is not None else None
             zone = listed.availability_zone
-            if self._following.is_due(
+            if self._report_polling.is_due(
                 name, zone=zone, reported_at=reported_at, now=now
             ):
                 self._request_report(name, listed)
@@ -130,7 +130,7 @@
             and listed.state == "live"
             and name not in self._contacted
             and name not in self.confirmations.reports_by_host
-            for name, listed in self._followed_by_name.items()
+            for name, listed in self._polled_by_name.items()
         )
 
     def _request_report(self, name: str, listed: ListedHost) -> None:
@@ -152,14 +152,14 @@
         self._list_tag = answer.headers.get("etag", "")
         self.hosts_by_name.clear()
         self.hosts_by_name.update((listed.host, listed) for listed in hosts.ok.hosts)
-        self._followed_by_name = self._followed()
-        self._following.forget(self.hosts_by_name)
+        self._polled_by_name = self._hosts_to_poll()
+        self._report_polling.forget(self.hosts_by_name)
         self._unreadable &= self.hosts_by_name.keys()
         self._contacted &= self.hosts_by_name.keys()
         for host in self._local_reports_by_host.keys() - self.hosts_by_name.keys():
             del self._local_reports_by_host[host]
 
-    def _followed(self) -> dict[str, ListedHost]:
+    def _hosts_to_poll(self) -> dict[str, ListedHost]:
         engines = {
             name: listed
             for name, listed in self.hosts_by_name.items()
--- a/ryelever/log_table.py
+++ b/ryelever/log_table.py
@@ -98,7 +98,7 @@
     "peers_address": "address at which other entry hosts reach this one",
     "phase": "phase of a request or a group",
     "ready_port": "port for readiness and metrics",
-    "proved": "whether, or which of the repeated, had passed their first crash's place",
+    "proved": "whether, or which, suspects had passed the place of their first crash",
     "rate": "requests a second that a backend server takes from all hosts; -1: any",
     "reason": "reason as one of a fixed set of words, to be counted",
     "record": "id of a record",
--- a/ryelever/peering.py
+++ b/ryelever/peering.py
@@ -102,13 +102,13 @@
         if not self._key:
             return
         now = time.monotonic()
-        is_urgent = self._is_urgent(now=now)
-        if is_urgent or now >= self._observe_at:
+        has_urgent_changes = self._has_urgent_changes(now=now)
+        if has_urgent_changes or now >= self._observe_at:
             self._observe_at = now + OBSERVE_INTERVAL
             self.exchange.observe(self._local_rows(now=now), now=now)
             self._set_members(self.exchange.live_members(now=now))
         self._send(self.exchange.tick(now=now))
-        if is_urgent:
+        if has_urgent_changes:
             self._send(self.exchange.push_to_zone(now=now))
         unsettled_since = self._unsettled_since(now=now)
         if unsettled_since is not None:
@@ -117,7 +117,7 @@
     def _unsettled_since(self, *, now: float) -> float | None:
         return None if self._urgent is None else self._urgent.unsettled_since(now=now)
 
-    def _is_urgent(self, *, now: float) -> bool:
+    def _has_urgent_changes(self, *, now: float) -> bool:
         """Return whether there are recent changes that peers must receive at once."""
         if self._urgent is None:
             return False
--- a/ryelever/serving.py
+++ b/ryelever/serving.py
@@ -116,7 +116,7 @@
     def _handle_arrival(self, arrival: Arrival) -> None:
         self._answers.expect(arrival)
         if not self.closed:
-            self._carry_out(self._table.arrive(arrival, now=time.monotonic()))
+            self._execute_and_admit(self._table.arrive(arrival, now=time.monotonic()))
             return
         error = RyeleverError(
             "this entry host is shutting down; ask again",
@@ -125,7 +125,7 @@
             code="draining",
             retry_after=1.0,
         )
-        self._carry_out(self._table.refuse(arrival, error))
+        self._execute_and_admit(self._table.refuse(arrival, error))
 
     def _answer_models(self, request: CallerRequest) -> None:
         answer = self._reader.models_answer(request)
@@ -139,7 +139,7 @@
     @handler("caller_disconnected")
     def _on_caller_disconnected(self, request_id: str) -> None:
         self._answers.forget(request_id)
-        self._carry_out(
+        self._execute_and_admit(
             self._table.caller_disconnected(request_id, now=time.monotonic())
         )
         if request_id in self._stalled:
@@ -170,7 +170,7 @@
             run_state=RunState.OUTCOME_UNKNOWN,
         )
         self._answers.answer_error(request_id, fault)
-        self._carry_out(
+        self._execute_and_admit(
             self._table.caller_disconnected(request_id, now=time.monotonic())
         )
 
@@ -190,12 +190,12 @@
 
     # Actions
 
-    def _carry_out(self, actions: list[Action]) -> None:
-        self._perform(actions)
+    def _execute_and_admit(self, actions: list[Action]) -> None:
+        self._execute(actions)
         while admitted_actions := self._table.after_release(now=time.monotonic()):
-            self._perform(admitted_actions)
+            self._execute(admitted_actions)
 
-    def _perform(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case StreamTokens():
@@ -233,25 +233,25 @@
 
     @handler("outbound_data")
     def _on_outbound_data(self, message: AttemptData) -> None:
-        self._carry_out(self._attempts.data(message))
+        self._execute_and_admit(self._attempts.data(message))
 
     @handler("outbound_end")
     def _on_outbound_end(self, attempt_id: str) -> None:
-        self._carry_out(self._attempts.end(attempt_id))
+        self._execute_and_admit(self._attempts.end(attempt_id))
 
     @handler("outbound_answer")
     def _on_outbound_answer(self, answer: OutboundAnswer) -> None:
-        self._carry_out(self._attempts.answer(answer))
+        self._execute_and_admit(self._attempts.answer(answer))
 
     @handler("outbound_failed")
     def _on_outbound_failed(self, failure: OutboundFailure) -> None:
-        self._carry_out(self._attempts.failed(failure))
+        self._execute_and_admit(self._attempts.failed(failure))
 
     # The log, ticks and shutdown
 
     @handler("claim_read_back")
     def _on_claim_read_back(self, message: ClaimReadBack) -> None:
-        self._carry_out(
+        self._execute_and_admit(
             self._table.claim_read_back(
                 message.claim_id,
                 claim=message.claim,
@@ -262,10 +262,10 @@
 
     @handler("serving_tick")
     def _on_serving_tick(self) -> None:
-        self._carry_out(self._table.tick(now=time.monotonic()))
+        self._execute_and_admit(self._table.tick(now=time.monotonic()))
         self._stalled &= self._table.requests_by_id.keys()
 
     @handler("end_requests")
     def _on_end_requests(self) -> None:
         self.closed = True
-        self._carry_out(self._table.end_all(now=time.monotonic()))
+        self._execute_and_admit(self._table.end_all(now=time.monotonic()))
--- a/ryelever/streams.py
+++ b/ryelever/streams.py
@@ -97,17 +97,17 @@
         self._budget = AppendBudget(rate=settings.log_appends_per_second)
         self._random = random.Random(claims.owner)
         self.streams_by_name = {
-            name: self._stream(name, fold)
+            name: self._new_stream(name, fold)
             for name, fold in (folds_by_stream | claims.folds_by_stream).items()
         }
 
-    def _stream(self, name: str, fold: BaseFold) -> Stream:
+    def _new_stream(self, name: str, fold: BaseFold) -> Stream:
         jitter = self._random.random
         place = zlib.crc32(f"{self._claims.owner} {name}".encode()) / 2**32
         return Stream(
             name=name,
             fold=fold,
-            reader=LogReader(fold=fold, jitter=jitter, wait=self._wait(name)),
+            reader=LogReader(fold=fold, jitter=jitter, wait=self._max_wait(name)),
             writer=LogWriter(budget=self._budget, jitter=jitter),
             schedule=SnapshotSchedule(
                 retention=self._settings.log_retention,
@@ -118,7 +118,7 @@
             ),
         )
 
-    def _wait(self, name: str) -> float:
+    def _max_wait(self, name: str) -> float:
         # Claims must be read up to the end of their streams at all times, and the
         # planner acts on the placement stream of the local zone.  Records of the
         # other streams may be read some seconds later.
@@ -142,7 +142,7 @@
     def _on_append_record(self, action: AppendRecord) -> None:
         now = time.monotonic()
         stream = self.streams_by_name[self._stream_of(action)]
-        self._add(
+        self._queue_record(
             stream,
             action.record,
             record_id=action.record_id,
@@ -156,7 +156,7 @@
             return self._claims.stream_of(record.key)
         return action.stream
 
-    def _add(
+    def _queue_record(
         self, stream: Stream, record: Record, *, record_id: str, deadline: float
     ) -> None:
         stream.writer.add(
@@ -262,7 +262,7 @@
                 status=0,
                 request_id=record.request_id,
             )
-            self._add(
+            self._queue_record(
                 stream,
                 freed,
                 record_id=uuid.uuid4().hex,
@@ -296,7 +296,7 @@
             n_parts=len(parts),
         )
         for part in parts:
-            self._add(
+            self._queue_record(
                 stream,
                 part,
                 record_id=uuid.uuid4().hex,
