--- a/ryelever/application.py
+++ b/ryelever/application.py
@@ -24,7 +24,7 @@
 from .logs import log_event
 from .metrics import Metrics
 from .peering import Peering
-from .planning import Planning, demand_of
+from .planning import Planning, count_demand
 from .protocol.log import CONFIGURATION_STREAM, claims_streams, placement_stream
 from .request_path import RequestPath, build_claims
 from .serving import Serving
@@ -186,7 +186,7 @@
         )
 
     def _demand(self) -> tuple[ModelDemand, ...]:
-        return demand_of(
+        return count_demand(
             request.arrival
             for request in self.table.requests_by_id.values()
             if request.state is RequestState.QUEUED
--- a/ryelever/log_table.py
+++ b/ryelever/log_table.py
@@ -117,7 +117,7 @@
     "took": "seconds from the decision to form a group until the group serves",
     "topic": "topic of the store",
     "traceback": "end of the traceback",
-    "unsent": "bytes that callers had not received",
+    "unsent": "callers to whom the answer has not been sent completely",
     "version": "version of a configuration; -1 for none",
     "what": "item that was requested",
     "why": "last failure of the dependency; empty if there was none",
--- a/ryelever/planning.py
+++ b/ryelever/planning.py
@@ -30,7 +30,7 @@
     from .state.fleet import ListedHost
     from .state.placement import PlacementFold
 
-__all__ = ["Planning", "demand_of"]
+__all__ = ["Planning", "count_demand"]
 
 #: Seconds between two planning passes.  Reports arrive every 0.5 s, so more frequent
 #: passes would find few changes; docs/PLANNING.md gives the cost of one pass.
@@ -159,7 +159,7 @@
         log_warning("order_failed", host=pending.subject, message=failure.error.message)
 
 
-def demand_of(arrivals: Iterable[Arrival]) -> tuple[ModelDemand, ...]:
+def count_demand(arrivals: Iterable[Arrival]) -> tuple[ModelDemand, ...]:
     """Return the number of waiting requests of each model and client account."""
     counts = Counter(
         (arrival.work.model, arrival.client_account)
