--- a/ryelever/application.py
+++ b/ryelever/application.py
@@ -1,4 +1,4 @@
-"""Wire the parts of one process together."""
+"""Build the components of an entry host and connect them."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from .dump import Dump
 from .events import control_tick, serving_tick, sweep
 from .fault_log import FaultLog
-from .fleet_history import LOOK_INTERVAL, FleetHistory
+from .fleet_history import UPDATE_INTERVAL, FleetHistory
 from .fleet_watch import FleetWatch
 from .gauges import register_gauges
 from .logs import log_event
 from .metrics import Metrics
 from .peering import Peering
-from .planning import Planning, demand_of
+from .planning import Planning, count_demand
 from .protocol.log import CONFIGURATION_STREAM, claims_streams, placement_stream
 from .request_path import RequestPath, build_claims
 from .serving import Serving
@@ -46,28 +46,29 @@
 
 __all__ = ["Application"]
 
-#: Seconds between two looks of control at its deadlines, the shortest of which are
-#: 0.2 s; what arrives is taken when it arrives.
+#: Seconds between two checks of the control components' deadlines, the shortest of
+#: which are 0.2 s.  Messages are processed as they arrive, without waiting for a tick.
 CONTROL_TICK = 0.1
 
-#: Seconds between two looks at requests' deadlines, and while there are no requests.
+#: Seconds between two checks of requests' deadlines, with and without requests in
+#: flight.
 SERVING_TICK = 0.05
 IDLE_SERVING_TICK = 0.1
 
-#: Parts that look at their deadlines together.
+#: Channels of the components that check their deadlines on the same tick.
 CONTROL_CHANNELS = ("streams", "fleet", "planning", "peering", "shutdown")
 
-#: Seconds between two looks at connections.
-SWEEP = 0.25
+#: Seconds between two checks of the connections.
+SWEEP_INTERVAL = 0.25
 
 
 class Application(BaseComponent):
-    """Own the parts of one entry host and its graceful shutdown.
+    """Run the components of one entry host until it is shut down.
 
     Parameters
     ----------
     settings : Settings
-        Checked settings.
+        Settings whose values were checked.
     """
 
     channel = "application"
@@ -92,7 +93,7 @@
         self.fleet = FleetWatch(settings=settings, confirmations=self.confirmations)
         self.planning = Planning(
             settings=settings,
-            planner=self._planner(owner),
+            planner=self._new_planner(owner),
             configuration=self.configuration,
             placement=self.placements_by_zone[settings.availability_zone],
             hosts_by_name=self.fleet.hosts_by_name,
@@ -110,8 +111,10 @@
             limits=self.account_limits,
             account=self._client_account,
             n_hosts=self._n_entry_hosts,
-            place=self._place_among_entry_hosts,
-            peers_reported_since=lambda moment: self.peering.heard_since(moment),
+            place=self._index_among_entry_hosts,
+            peers_reported_since=lambda moment: self.peering.zone_reported_since(
+                moment
+            ),
         )
         self.table = self.request_path.table
         self.http_client = HttpClient()
@@ -174,7 +177,7 @@
             folds[placement_stream(zone)] = placement
         return folds
 
-    def _planner(self, owner: str) -> Planner:
+    def _new_planner(self, owner: str) -> Planner:
         return Planner(
             holder=owner,
             stream=placement_stream(self.settings.availability_zone),
@@ -183,16 +186,16 @@
         )
 
     def _demand(self) -> tuple[ModelDemand, ...]:
-        return demand_of(
+        return count_demand(
             request.arrival
             for request in self.table.requests_by_id.values()
             if request.state is RequestState.QUEUED
         )
 
-    def _place_among_entry_hosts(self) -> tuple[int, int]:
-        own = self.peers.address
-        addresses = sorted({own, *self.settings.peers})
-        return addresses.index(own), len(addresses)
+    def _index_among_entry_hosts(self) -> tuple[int, int]:
+        local_address = self.peers.address
+        addresses = sorted({local_address, *self.settings.peers})
+        return addresses.index(local_address), len(addresses)
 
     def _n_entry_hosts(self) -> int:
         return 1 + len(self.settings.peers)
@@ -202,7 +205,7 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether enough is known of the fleet to serve."""
+        """Return whether this host has enough information on the fleet to serve."""
         stream = placement_stream(self.settings.availability_zone)
         placement = self.streams.streams_by_name[stream]
         inputs = ReadinessInputs(
@@ -248,17 +251,17 @@
         ):
             part.register(self)
 
-    def _serving_tick(self) -> float:
+    def _serving_interval(self) -> float:
         return SERVING_TICK if self.table.requests_by_id else IDLE_SERVING_TICK
 
     @handler("started", channel="*")
     def _on_started(self, *args: object) -> None:
         timers = self.timers
         timers.every(CONTROL_TICK, control_tick, *CONTROL_CHANNELS)
-        timers.every(SWEEP, control_tick, "console")
-        timers.every(LOOK_INTERVAL, control_tick, "fleet_history")
-        timers.every(self._serving_tick, serving_tick, "serving")
-        timers.every(SWEEP, sweep, "http_client", "callers")
+        timers.every(SWEEP_INTERVAL, control_tick, "console")
+        timers.every(UPDATE_INTERVAL, control_tick, "fleet_history")
+        timers.every(self._serving_interval, serving_tick, "serving")
+        timers.every(SWEEP_INTERVAL, sweep, "http_client", "callers")
         log_event(
             "started",
             host=self.settings.host,
--- a/ryelever/serving.py
+++ b/ryelever/serving.py
@@ -1,4 +1,4 @@
-"""Serve callers: join the request table with the transports."""
+"""Serve callers: connect the request table to the transports."""
 
 from __future__ import annotations
 
@@ -47,26 +47,26 @@
 
 
 class Serving(BaseComponent):
-    """Own the requests of this entry host.
+    """Handle the requests of callers and carry out the request table's decisions.
 
     Parameters
     ----------
     table : RequestTable
-        The decisions.
+        Requests in flight; decides on each event which actions follow.
     configuration : ConfigurationFold
-        What is in force.
+        Configuration in force.
     pages : dict of str to callable
-        Answers of operators' paths by path; each takes the request, and returns
-        None where its answer comes later.
+        Functions that answer operators' requests, by path.  Each takes the request
+        and returns the answer, or None if the answer is sent later.
     log_time : callable
-        Return the newest time of append read of the claims.
+        Return the newest append time among the claims that were read from the log.
 
     Attributes
     ----------
     draining : bool
-        True from the beginning of the graceful shutdown; requests are still taken.
+        True from the start of the graceful shutdown; requests are still accepted.
     closed : bool
-        True once new requests are turned away.
+        True once new requests are refused.
     """
 
     channel = "serving"
@@ -111,12 +111,12 @@
         if arrival.ok is None:
             self._answer_models(request)
             return
-        self._begin(arrival.ok)
+        self._handle_arrival(arrival.ok)
 
-    def _begin(self, arrival: Arrival) -> None:
+    def _handle_arrival(self, arrival: Arrival) -> None:
         self._answers.expect(arrival)
         if not self.closed:
-            self._carry_out(self._table.arrive(arrival, now=time.monotonic()))
+            self._execute_and_admit(self._table.arrive(arrival, now=time.monotonic()))
             return
         error = RyeleverError(
             "this entry host is shutting down; ask again",
@@ -125,7 +125,7 @@
             code="draining",
             retry_after=1.0,
         )
-        self._carry_out(self._table.refuse(arrival, error))
+        self._execute_and_admit(self._table.refuse(arrival, error))
 
     def _answer_models(self, request: CallerRequest) -> None:
         answer = self._reader.models_answer(request)
@@ -137,9 +137,9 @@
         )
 
     @handler("caller_disconnected")
-    def _on_caller_gone(self, request_id: str) -> None:
+    def _on_caller_disconnected(self, request_id: str) -> None:
         self._answers.forget(request_id)
-        self._carry_out(
+        self._execute_and_admit(
             self._table.caller_disconnected(request_id, now=time.monotonic())
         )
         if request_id in self._stalled:
@@ -154,10 +154,11 @@
         handler: object = None,
         fevent: Event | None = None,
     ) -> None:
-        """Answer the caller whose request met a fault of the program.
+        """Answer the caller whose request made a handler raise an exception.
 
-        A handler that raises answers nothing, and the caller would wait until its
-        own timeout.  What was sent by then is unknown.
+        Without this answer the caller would wait until its own timeout, because a
+        handler that raises answers nothing.  The run state is unknown: the handler
+        may have sent the request to a backend server before it raised.
         """
         if fevent is None or fevent.name != "caller_request":
             return
@@ -169,7 +170,7 @@
             run_state=RunState.OUTCOME_UNKNOWN,
         )
         self._answers.answer_error(request_id, fault)
-        self._carry_out(
+        self._execute_and_admit(
             self._table.caller_disconnected(request_id, now=time.monotonic())
         )
 
@@ -185,16 +186,16 @@
             self._stalled.discard(request_id)
         request = self._table.requests_by_id.get(request_id)
         if request is not None and request.attempt_id:
-            self._attempts.flow(request.attempt_id, stop=stop)
+            self._attempts.set_flow(request.attempt_id, stop=stop)
 
     # Actions
 
-    def _carry_out(self, actions: list[Action]) -> None:
-        self._perform(actions)
-        while let_in := self._table.after_release(now=time.monotonic()):
-            self._perform(let_in)
+    def _execute_and_admit(self, actions: list[Action]) -> None:
+        self._execute(actions)
+        while admitted_actions := self._table.after_release(now=time.monotonic()):
+            self._execute(admitted_actions)
 
-    def _perform(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case StreamTokens():
@@ -220,9 +221,9 @@
         self._metrics.count("attempts")
         self._attempts.send(action)
         if action.arrival.request_id in self._stalled:
-            # The caller stalled during an earlier attempt: this one must not fill
-            # the memory either.
-            self._attempts.flow(action.attempt_id, stop=True)
+            # The caller stalled during an earlier attempt.  This attempt's answer is
+            # not read either, since it would be buffered in memory.
+            self._attempts.set_flow(action.attempt_id, stop=True)
 
     # Backend servers
 
@@ -232,25 +233,25 @@
 
     @handler("outbound_data")
     def _on_outbound_data(self, message: AttemptData) -> None:
-        self._carry_out(self._attempts.data(message))
+        self._execute_and_admit(self._attempts.data(message))
 
     @handler("outbound_end")
     def _on_outbound_end(self, attempt_id: str) -> None:
-        self._carry_out(self._attempts.end(attempt_id))
+        self._execute_and_admit(self._attempts.end(attempt_id))
 
     @handler("outbound_answer")
     def _on_outbound_answer(self, answer: OutboundAnswer) -> None:
-        self._carry_out(self._attempts.answer(answer))
+        self._execute_and_admit(self._attempts.answer(answer))
 
     @handler("outbound_failed")
     def _on_outbound_failed(self, failure: OutboundFailure) -> None:
-        self._carry_out(self._attempts.failed(failure))
+        self._execute_and_admit(self._attempts.failed(failure))
 
-    # The log and time
+    # The log, ticks and shutdown
 
     @handler("claim_read_back")
     def _on_claim_read_back(self, message: ClaimReadBack) -> None:
-        self._carry_out(
+        self._execute_and_admit(
             self._table.claim_read_back(
                 message.claim_id,
                 claim=message.claim,
@@ -261,10 +262,10 @@
 
     @handler("serving_tick")
     def _on_serving_tick(self) -> None:
-        self._carry_out(self._table.tick(now=time.monotonic()))
+        self._execute_and_admit(self._table.tick(now=time.monotonic()))
         self._stalled &= self._table.requests_by_id.keys()
 
     @handler("end_requests")
     def _on_end_requests(self) -> None:
         self.closed = True
-        self._carry_out(self._table.end_all(now=time.monotonic()))
+        self._execute_and_admit(self._table.end_all(now=time.monotonic()))
