--- a/ryelever/fleet_directory.py
+++ b/ryelever/fleet_directory.py
@@ -1,4 +1,4 @@
-"""Read configuration, backend servers and entry hosts from the store."""
+"""Track configuration, backend servers and entry hosts as recorded in the store."""
 
 from __future__ import annotations
 
@@ -37,52 +37,55 @@
 __all__ = ["FleetDirectory"]
 
 #: Least seconds between two reads of the backend servers' records.  Fifty servers
-#: write forty a second, and a read for each would cost ten times as much; a server's
-#: leaving must be known within two seconds.
-SERVERS_INTERVAL = 0.3
-
-#: Heartbeats that a server has missed, at the least, when its entry lapses.  The
-#: store waits for three; the half less is for its clock and for the last one's way.
-LAPSED_HEARTBEATS = 2.5
-
-#: Seconds without an answer to a read of the backend servers' records, here or at a
-#: host that passes them on, after which what servers say themselves goes before the
-#: list.  Reads are answered within 0.2 s, and the list is newer than a report, which
-#: is as of some tenths of a second ago.
+#: write forty records a second, and one read for each record would cost ten times as
+#: much.  A server's departure must be known within two seconds.
+MIN_SERVERS_READ_INTERVAL = 0.3
+
+#: Least number of record renewals that a server has missed when its record expires.
+#: The store waits for three; half an interval is allowed for the store's clock and
+#: for the time in which the last renewal was on its way.
+LAPSED_RENEWALS = 2.5
+
+#: Seconds without an answered read of the backend servers' records, by this host or
+#: by a host that forwards them, after which servers' own reports take precedence over
+#: the list.  Reads are answered within 0.2 s; until then the list is newer than a
+#: report, which is some tenths of a second old.
 LIST_STALE_AFTER = 1.0
 
 #: Seconds after the store's return from an older copy within which all servers that
-#: reach it have written their entries again.
-ENTRIES_WRITTEN_AGAIN = 3.0
+#: reach the store have renewed their records.
+RENEWAL_TIME_AFTER_RETURN = 3.0
 
-#: Least seconds between two reads of the hosts' records.  All hosts write theirs
-#: within half a second of the start, and a read for each would be one a host and host.
-HOSTS_INTERVAL = 0.3
+#: Least seconds between two reads of the entry hosts' records.  When all hosts start
+#: together they write their records within half a second, and one read for each
+#: record would make the number of reads grow with the square of the hosts.
+MIN_HOSTS_READ_INTERVAL = 0.3
 
-#: Longest configuration in bytes that hosts of a zone ask each other for rather than
-#: the store.  Thirty of them ask at once, and half a megabyte takes 0.2 s of a link of
-#: 20 Mbit/s.
+#: Largest configuration in bytes that hosts of a zone fetch from each other rather
+#: than from the store.  Thirty hosts request it at once, and the half megabyte that
+#: they receive takes 0.2 s of a link of 20 Mbit/s.
 MAX_FETCHED_CONFIGURATION = 16 << 10
 
-#: Entries that can't be read of which is remembered that it was logged.  A writer that
-#: makes up keys would fill the memory otherwise.
-MAX_UNREADABLE = 1000
+#: Maximum number of unreadable records that are remembered as already logged.  Without
+#: a bound, a writer of arbitrary keys could exhaust the memory.
+MAX_REMEMBERED_UNREADABLE = 1000
 
-#: Servers that change at once of which each gets a line.  While the groups of a large
-#: fleet form, lines for all of them on all hosts cost as much as taking the changes.
-MAX_LOGGED = 50
+#: Maximum number of simultaneous server changes that are logged one line each; more
+#: are summarized in one line.  While the groups of a large fleet form, logging each
+#: change on all hosts would cost as much as applying the changes.
+MAX_LOGGED_CHANGES = 50
 
-#: Seconds after which this host writes its address again if it got no answer.
-ANNOUNCE_RETRY = 1.0
+#: Seconds after which this host writes its address again if the store hasn't answered.
+ANNOUNCE_RETRY_INTERVAL = 1.0
 
 
 class FleetDirectory(BaseComponent):
-    """Own what is read from the store.
+    """Follow the store's topics and apply their records to this host's state.
 
     Parameters
     ----------
     own_address : str
-        Where other entry hosts reach this one.
+        Address at which other entry hosts reach this host.
 
     Attributes
     ----------
@@ -119,11 +122,11 @@
         self.servers = TopicFollower(
             log=log,
             topic=documents.servers_topic,
-            interval=SERVERS_INTERVAL,
+            interval=MIN_SERVERS_READ_INTERVAL,
             wait=BUSY_WAIT,
         )
         self.hosts = TopicFollower(
-            log=log, topic=documents.hosts_topic, interval=HOSTS_INTERVAL
+            log=log, topic=documents.hosts_topic, interval=MIN_HOSTS_READ_INTERVAL
         )
         self._document = b""
         self._in_force_since: float | None = None
@@ -142,28 +145,28 @@
         )
         self.fetch = HostFetch(
             heartbeats=heartbeats,
-            take_configuration=self.take_configuration,
-            take_servers=self._apply_fetched_servers,
-            take_changes=self._take_changes,
+            on_configuration=self.apply_configuration,
+            on_servers=self._apply_fetched_servers,
+            on_changes=self._apply_fetched_changes,
         ).register(self)
         self._announced_at = float("-inf")
         self._acknowledged_at: float | None = None
-        # Servers whose entries in a copy of the store are older than what is known.
-        self._known_better: set[str] = set()
+        # Servers whose records in the store's older copy are older than this host's.
+        self._newer_than_copy: set[str] = set()
 
     @handler("started", channel="*")
     def _on_started(self, *args: object) -> None:
         self._reading.begin()
-        self._store.follow(self.configuration, self._take_configuration)
-        self._store.follow(self.servers, self._take_servers)
-        self._store.follow(self.hosts, self._take_hosts)
+        self._store.follow(self.configuration, self._apply_operator_updates)
+        self._store.follow(self.servers, self._apply_server_updates)
+        self._store.follow(self.hosts, self._apply_host_updates)
         self._announced_at = time.monotonic()
-        self._announce()
+        self._announce_address()
 
     @handler("control_tick")
     def _on_tick(self) -> None:
         now = time.monotonic()
-        self._note_reads()
+        self._record_reads()
         self._suspend_or_read(now=now)
         for server_id in self._removals.due(now=now):
             self._remove(server_id, now=now)
@@ -172,47 +175,49 @@
             for record in self._reported.due(now=now)
             if record.key in self._data_by_server
         ]
-        self._take_records(held_back, now=now)
-        self._ask_for_missed(now=now)
-        self._settle_listing(now=now)
+        self._apply_records(held_back, now=now)
+        self._request_missed_changes(now=now)
+        self._update_listing_schedule(now=now)
         if not self.servers.is_current:
             if self.servers.defers_listing:
-                self.fetch.ask_who_knows_servers(now=now)
+                self.fetch.request_known_servers(now=now)
             if self.list_is_stale():
-                self.fetch.ask_for_servers(now=now)
+                self.fetch.request_servers(now=now)
         unannounced = self._acknowledged_at is None
-        if unannounced and now - self._announced_at > ANNOUNCE_RETRY:
+        if unannounced and now - self._announced_at > ANNOUNCE_RETRY_INTERVAL:
             self._announced_at = now
-            self._announce()
+            self._announce_address()
 
-    def _settle_listing(self, *, now: float) -> None:
-        """Let this host list the backend servers itself once it is its turn."""
+    def _update_listing_schedule(self, *, now: float) -> None:
+        """Allow this host to list the backend servers when its scheduled time comes."""
         self._reading.settle_listing(acknowledged_at=self._acknowledged_at, now=now)
 
     @handler("store_returned")
     def _on_store_returned(self) -> None:
-        """Begin anew with a store that has lost what it held, but not with servers.
+        """List all topics again after the store returned from an older copy.
 
-        The copy shows servers as they were, and a member of a group that serves would
-        be given to another one.  So what it shows of those that are known is not taken;
-        they write their entries again.
+        The copy may show a member of a serving group as free, and a planner would
+        assign that member to another group.  Listed records of servers that this host
+        knows are therefore ignored until the servers renew them.
         """
-        self._known_better |= self._data_by_server.keys()
+        self._newer_than_copy |= self._data_by_server.keys()
         self.servers.list_again()
         if not self.configuration.suspended:
             self.configuration.list_again()
         if not self.hosts.suspended:
             self.hosts.list_again()
-        # This host's address may be among what is lost.
+        # The store may have lost this host's address.
         self._acknowledged_at = None
         self._announced_at = float("-inf")
 
     def _suspend_or_read(self, *, now: float) -> None:
-        """Leave it to others of the zone to read what is rarely written, or do it.
+        """Suspend reading while other hosts of the zone read, or resume it.
 
-        A host that starts is found by its words.  Of two that start at once each
-        must know the other, so both read on until what they read is younger than
-        their own record.
+        The topics of configuration and hosts, which change rarely, are read by a few
+        hosts of the zone only.  Other hosts discover a starting host by its
+        heartbeats.  Two hosts that start at once must discover each other, so each
+        keeps reading the hosts' topic until it has made a read after its own record
+        was acknowledged.
         """
         is_reachable = self._store.is_reachable
         reads = self._heartbeats.reads_for_zone(reads_store=is_reachable, now=now)
@@ -225,12 +230,12 @@
         self._reading.suspend_or_read(
             reads=reads,
             is_reachable=is_reachable,
-            last_update_at=self._store.passed_on_at,
+            last_update_at=self._store.forwarded_at,
             read_at=self._read_at,
             now=now,
         )
 
-    def _note_reads(self) -> None:
+    def _record_reads(self) -> None:
         self._removals.note_reads(
             answered_at=self._read_at,
             failed_at=max(self.servers.failed_at, self._reading.silent_at),
@@ -239,15 +244,15 @@
 
     @property
     def _read_at(self) -> float:
-        """Return when the backend servers' records were last read, here or for here."""
-        return max(self.servers.answered_at, self._store.passed_on_at)
+        """Return when this host last read the server records or received them."""
+        return max(self.servers.answered_at, self._store.forwarded_at)
 
     # Configuration
 
-    def _take_configuration(self, updates: TopicUpdates) -> None:
+    def _apply_operator_updates(self, updates: TopicUpdates) -> None:
         for record in updates.records:
             if record.key == self._documents.configuration_key and record.value:
-                self.take_configuration(record.value, self._settings.store_address)
+                self.apply_configuration(record.value, self._settings.store_address)
         follower = self.configuration
         if updates.complete:
             zones = [
@@ -257,10 +262,10 @@
             self._evacuations.listed(filter(None, zones), as_of=as_of)
             return
         for record in updates.records:
-            self._take_evacuation(record)
+            self._apply_evacuation_record(record)
 
-    def _take_evacuation(self, record: KeyedRecord) -> None:
-        """Take a record of the operator's topic that was just written."""
+    def _apply_evacuation_record(self, record: KeyedRecord) -> None:
+        """Apply a new record of the operator's topic if it concerns an evacuation."""
         zone = self._documents.evacuated_zone(record.key)
         as_of = OperatorPosition(self.configuration.era, record.offset + 1)
         if zone is None or as_of <= self._evacuations.as_of:
@@ -270,8 +275,8 @@
         else:
             self._evacuations.ended(zone, as_of=as_of)
 
-    def take_configuration(self, data: bytes, peer: str) -> None:
-        """Take a configuration, unless a newer one is in force."""
+    def apply_configuration(self, data: bytes, peer: str) -> None:
+        """Apply a configuration unless the version in force is the same or newer."""
         read = self._documents.configuration(data, peer=peer)
         if read.is_error():
             log_warning(
@@ -290,48 +295,48 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force, or -1 before there is one."""
+        """Return the configuration version in force, or -1 before there is one."""
         return -1 if self.table is None else self.table.version
 
     def configuration_age(self) -> float:
-        """Return the seconds since the configuration in force came, or -1."""
+        """Return the seconds since the configuration in force was applied, or -1."""
         if self._in_force_since is None:
             return -1.0
         return time.monotonic() - self._in_force_since
 
     def document(self) -> bytes:
-        """Return the configuration in force as it lies in the store."""
+        """Return the configuration in force, encoded as in the store."""
         return self._document
 
     def note_version(self, heartbeat: HostHeartbeat, *, now: float) -> None:
-        """Take word that another entry host has a version in force.
+        """Fetch the configuration if another entry host has a newer version in force.
 
-        The store may turn this host away, or a read hang on a silent connection,
-        while a version that is newer binds all hosts: it is asked for again, and
-        where that doesn't help soon, the other host gives it.  A host that leaves the
-        reading to others asks a host of its zone first.
+        A newer version binds all hosts, but the store may refuse this host's reads, or
+        a read may hang on a silent connection.  The host reads the store again at
+        once, and requests the configuration from the other host if that doesn't help
+        soon.  A host whose reading is suspended asks a host of its zone first.
         """
         if heartbeat.configuration_version <= self.version:
             return
-        overdue = self.fetch.note_behind(now=now)
-        is_near = heartbeat.availability_zone == self._settings.availability_zone
-        is_given = heartbeat.configuration_size <= MAX_FETCHED_CONFIGURATION
-        if overdue or not (self.configuration.suspended and is_given):
+        overdue = self.fetch.record_behind(now=now)
+        in_same_zone = heartbeat.availability_zone == self._settings.availability_zone
+        is_small = heartbeat.configuration_size <= MAX_FETCHED_CONFIGURATION
+        if overdue or not (self.configuration.suspended and is_small):
             self.configuration.poke(now=now)
-        if overdue or (self.configuration.suspended and is_given and is_near):
-            self.fetch.ask_for_configuration(heartbeat.host, now=now)
+        if overdue or (self.configuration.suspended and is_small and in_same_zone):
+            self.fetch.request_configuration(heartbeat.host, now=now)
 
-    def _apply_fetched_servers(self, given: ServerUpdates, peer: str) -> None:
-        """Take what another host knows, unless the store has answered meanwhile."""
+    def _apply_fetched_servers(self, fetched: ServerUpdates, peer: str) -> None:
+        """Apply another host's server records, unless a listing came first."""
         if self.servers.is_current:
             return
         now = time.monotonic()
-        self.servers.take_over(end=given.end, era=given.era, now=now)
-        log_event("servers_given", peer=peer, n=len(given.records))
-        if given.reported:
-            self._apply_reported(given.records, now=now)
+        self.servers.take_over(end=fetched.end, era=fetched.era, now=now)
+        log_event("servers_given", peer=peer, n=len(fetched.records))
+        if fetched.reported:
+            self._apply_reported(fetched.records, now=now)
         else:
-            self._take_records(given.records, now=now)
+            self._apply_records(fetched.records, now=now)
 
     def all_servers(self) -> ServerUpdates | None:
         """Return the records of all backend servers, or None before they are known."""
@@ -342,7 +347,7 @@
             start=0,
             end=self.servers.offset,
             era=self.servers.era,
-            # Some of it may be what servers said while the list was silent.
+            # Some records may be servers' own reports from while the list was stale.
             reported=self.list_is_stale() or not self._reported.is_empty,
             records=[
                 KeyedRecord(key=server_id, value=data, offset=0)
@@ -352,32 +357,33 @@
 
     # Backend servers
 
-    def _take_servers(self, updates: TopicUpdates) -> None:
+    def _apply_server_updates(self, updates: TopicUpdates) -> None:
         now = time.monotonic()
-        self._note_reads()
+        self._record_reads()
         if updates.complete:
-            changed = self._take_shown(
-                self._believed(updates.records, now=now), now=now
+            changed = self._apply_store_records(
+                self._trusted_records(updates.records, now=now), now=now
             )
         else:
-            changed = self._take_listed(updates.records, now=now)
+            changed = self._apply_listed(updates.records, now=now)
         if updates.start >= 0:
-            passed_on = ServerUpdates(
+            forwarded = ServerUpdates(
                 reader=self._settings.host,
                 start=updates.start,
                 end=self.servers.offset,
                 era=self.servers.era,
-                # A host that was started since then may have listed an older copy.
+                # After the store's return, all records are forwarded, as a host that
+                # started since may have listed the older copy.
                 records=updates.records if self._has_returned(now=now) else changed,
             )
             self._history.add(
-                passed_on.records,
+                forwarded.records,
                 start=updates.start,
-                end=passed_on.end,
-                era=passed_on.era,
+                end=forwarded.end,
+                era=forwarded.era,
             )
             self._reading.caught_up()
-            self.fire(server_updates(passed_on), "exchange")
+            self.fire(server_updates(forwarded), "exchange")
         if updates.complete:
             self._superseded.take_listing(updates.records, end=self.servers.offset)
             listed = {record.key for record in updates.records}
@@ -387,47 +393,57 @@
             self._remove(server_id, now=now)
 
     def _has_returned(self, *, now: float) -> bool:
-        """Tell whether the store came back from an older copy a short while ago."""
-        return now - self._store.returned_at < ENTRIES_WRITTEN_AGAIN
+        """Return whether the store recently returned from an older copy."""
+        return now - self._store.returned_at < RENEWAL_TIME_AFTER_RETURN
 
-    def _believed(self, records: list[KeyedRecord], *, now: float) -> list[KeyedRecord]:
-        """Return what a listing shows, without what is known better here.
+    def _trusted_records(
+        self, records: list[KeyedRecord], *, now: float
+    ) -> list[KeyedRecord]:
+        """Return listed records, without those that are older than this host's.
 
-        A server that isn't known may be one that has gone since the copy was made; but
-        a host that knows none has nothing better than the copy.
+        Shortly after the store's return from an older copy, even records of unknown
+        servers are ignored, as such a server may be gone since the copy was made.  A
+        host that knows no servers has no better source and trusts the copy.
         """
         if self._has_returned(now=now) and self._data_by_server:
             return []
-        return [item for item in records if item.key not in self._known_better]
+        return [item for item in records if item.key not in self._newer_than_copy]
 
     @handler("server_updates")
-    def _on_passed_on(self, updates: ServerUpdates) -> None:
-        """Take what another host has read, if it follows what was seen here."""
+    def _on_forwarded_updates(self, updates: ServerUpdates) -> None:
+        """Apply records that another host has read, or request missed ones first."""
         now = time.monotonic()
         if updates.reported:
             if self.list_is_stale():
                 self._apply_reported(updates.records, now=now)
             return
-        self._store.note_era(updates.era, peer=updates.reader, now=now)
+        self._store.record_era(updates.era, peer=updates.reader, now=now)
         if self.servers.is_behind(updates):
             self._reading.note_missed(updates, now=now)
             self._store.heard(now=now)
-            self._ask_for_missed(now=now)
+            self._request_missed_changes(now=now)
             return
         yields = updates.reader < self._settings.host
-        if self._take_part(updates, yields=yields, now=now):
+        if self._apply_consecutive(updates, yields=yields, now=now):
             self._reading.caught_up()
             self._store.heard(now=now)
 
-    def _take_part(self, updates: ServerUpdates, *, yields: bool, now: float) -> bool:
-        """Take what another host has read or kept, if it follows what was seen here.
+    def _apply_consecutive(
+        self, updates: ServerUpdates, *, yields: bool, now: float
+    ) -> bool:
+        """Apply another host's records if they continue from this host's position.
 
         Parameters
         ----------
         yields : bool
-            Whether that host goes on reading for this one.
+            Whether this host leaves the reading to the other host for a while.
+
+        Returns
+        -------
+        bool
+            Whether the records were applied.
         """
-        known_to = self.servers.offset
+        former_offset = self.servers.offset
         follows = self.servers.advance(
             start=updates.start,
             end=updates.end,
@@ -437,29 +453,36 @@
         )
         if not follows:
             return False
-        records = [record for record in updates.records if record.offset >= known_to]
-        self._history.add(records, start=known_to, end=updates.end, era=updates.era)
-        self._take_listed(records, now=now)
+        records = [
+            record for record in updates.records if record.offset >= former_offset
+        ]
+        self._history.add(
+            records, start=former_offset, end=updates.end, era=updates.era
+        )
+        self._apply_listed(records, now=now)
         return True
 
-    def _ask_for_missed(self, *, now: float) -> None:
+    def _request_missed_changes(self, *, now: float) -> None:
         provider = self._reading.provider(now=now)
         if provider is not None:
-            self.fetch.ask_for_changes(
+            self.fetch.request_changes(
                 self.servers.offset, era=self.servers.era, provider=provider, now=now
             )
 
-    def _take_changes(self, updates: ServerUpdates) -> None:
-        """Take what another host has kept of what this one missed."""
+    def _apply_fetched_changes(self, updates: ServerUpdates) -> None:
+        """Apply missed changes that another host has provided."""
         now = time.monotonic()
-        self._store.note_era(updates.era, peer=updates.reader, now=now)
-        known_to = self.servers.offset
-        self._take_part(updates, yields=False, now=now)
-        if self.servers.offset > known_to:
+        self._store.record_era(updates.era, peer=updates.reader, now=now)
+        former_offset = self.servers.offset
+        self._apply_consecutive(updates, yields=False, now=now)
+        if self.servers.offset > former_offset:
             self._reading.caught_up()
 
     def changes_since(self, offset: int, era: int) -> ServerUpdates | None:
-        """Return what changed of the backend servers, or None where it isn't known."""
+        """Return the backend servers' changes since an offset, or None if unknown.
+
+        None is returned as well if this host's history ends at the offset.
+        """
         records = self._history.since(offset, era=era)
         if records is None or offset == self._history.end:
             return None
@@ -472,12 +495,12 @@
         )
 
     def list_is_stale(self) -> bool:
-        """Tell whether nothing was read of the backend servers for a while."""
+        """Return whether no server records were read for ``LIST_STALE_AFTER``."""
         return time.monotonic() - self._read_at > LIST_STALE_AFTER
 
     @handler("server_reported")
     def _on_reported(self, server_id: str, report: bytes) -> None:
-        """Take what a server says itself where the list can't show it."""
+        """Apply a server's own report while the list of servers is stale."""
         known = self._data_by_server.get(server_id)
         if known is None or not self.list_is_stale():
             return
@@ -501,54 +524,60 @@
     def _apply_reported(
         self, records: list[KeyedRecord], *, now: float
     ) -> list[KeyedRecord]:
-        """Take what goes before the list until that has been read again for a while."""
+        """Apply servers' own reports, which take precedence over the list for a while.
+
+        Precedence ends some seconds after the list is read again.
+        """
         self._reported.add(records, seen_by_id=self._directory.by_id)
-        return self._take_records(records, now=now)
+        return self._apply_records(records, now=now)
 
-    def _take_listed(
+    def _apply_listed(
         self, records: list[KeyedRecord], *, now: float
     ) -> list[KeyedRecord]:
-        """Take what the list shows; return what others have to hear of it.
+        """Apply records that were read; return those to forward to other hosts.
 
-        What the listing has overtaken may be new to them.
+        Records that a listing has superseded are forwarded too, as they may be new to
+        other hosts.
         """
-        self._known_better.difference_update(record.key for record in records)
-        overtaken = {
+        self._newer_than_copy.difference_update(record.key for record in records)
+        superseded = {
             record.offset for record in records if self._superseded.supersedes(record)
         }
-        fresh = [record for record in records if record.offset not in overtaken]
-        told = {record.offset for record in self._take_shown(fresh, now=now)}
-        told |= overtaken
-        return [record for record in records if record.offset in told]
+        fresh = [record for record in records if record.offset not in superseded]
+        forwarded = {
+            record.offset for record in self._apply_store_records(fresh, now=now)
+        }
+        forwarded |= superseded
+        return [record for record in records if record.offset in forwarded]
 
-    def _take_shown(
+    def _apply_store_records(
         self, records: list[KeyedRecord], *, now: float
     ) -> list[KeyedRecord]:
-        """Take records; return what others have to hear of them.
+        """Apply records of the store; return those to forward to other hosts.
 
-        What goes after a server's own word says nothing new here yet, and others are
-        to hold it back as well.
+        A record whose server's own report takes precedence changes nothing on this
+        host yet, but is forwarded so that other hosts hold it back as well.
         """
-        newer = [self._newer(record, now=now) for record in records]
-        changed = {record.key for record in self._take_records(newer, now=now)}
+        merged = [self._merge_report(record, now=now) for record in records]
+        changed = {record.key for record in self._apply_records(merged, now=now)}
         return [
             record
             for record in records
             if record.key in changed or self._reported.holds(record.key)
         ]
 
-    def _newer(self, record: KeyedRecord, *, now: float) -> KeyedRecord:
-        """Return a record of the list with what its server has said since.
+    def _merge_report(self, record: KeyedRecord, *, now: float) -> KeyedRecord:
+        """Return a record of the list, updated with its server's own report.
 
-        That a server is leaving counts in any case.
+        The list's statement that a server is draining is kept in any case.
         """
-        said = self._reported.before(record, now=now)
-        if said is None:
+        report = self._reported.before(record, now=now)
+        if report is None:
             return record
-        if self._is_later_start(record):
+        if self._is_newer_incarnation(record):
             self._reported.forget(record.key)
             return record
-        merged = self._documents.reported(record.value, said, peer=record.key)
+        merged = self._documents.reported(record.value, report, peer=record.key)
         if merged.is_error():
             log_warning(
                 "server_unreadable", server=record.key, message=merged.error.message
@@ -556,18 +585,18 @@
             return record
         return KeyedRecord(key=record.key, value=merged.ok, offset=record.offset)
 
-    def _is_later_start(self, record: KeyedRecord) -> bool:
-        """Tell whether a server was started anew since it said what holds now."""
+    def _is_newer_incarnation(self, record: KeyedRecord) -> bool:
+        """Return whether a record shows that its server restarted after its report."""
         known = self._directory.by_id.get(record.key)
         listed = self._documents.server(record.key, record.value, peer=record.key)
         if known is None or listed.is_error():
             return False
         return self._reported.is_superseded(listed.ok, known)
 
-    def _take_records(
+    def _apply_records(
         self, records: list[KeyedRecord], *, now: float
     ) -> list[KeyedRecord]:
-        """Take records of backend servers; return those that say anything new."""
+        """Apply records of backend servers; return those that change anything."""
         known = {
             record.key: self._directory.by_id.get(record.key) for record in records
         }
@@ -576,23 +605,23 @@
             if not record.value:
                 self._removals.add(record.key, now=now)
                 changes.append(record)
-            elif self._take_server(record.key, record.value, now=now):
+            elif self._apply_server_record(record.key, record.value, now=now):
                 changes.append(record)
         self._log_changes(known)
         if changes:
             self.fire(directory_changed(), "relay")
         return changes
 
-    def _take_server(self, server_id: str, data: bytes, *, now: float) -> bool:
-        """Take one record; tell whether it says anything new.
+    def _apply_server_record(self, server_id: str, data: bytes, *, now: float) -> bool:
+        """Apply one record; return whether it changes anything.
 
-        That it ends a removal which is held back is new as well: hosts that read
-        nothing hold the removal too, and would carry it out.  So is one that can't be
-        read: it may come from another writer, and names no server to use.
+        A record that cancels a delayed removal counts as a change, as hosts that don't
+        read the store delay the same removal and would carry it out.  So does an
+        unreadable record: it may come from another writer, and names no usable server.
         """
         if data == self._data_by_server.get(server_id):
-            # Most servers renew their entries unchanged, hundreds a second in a large
-            # fleet, and reading one takes ten times as long as comparing it.
+            # Most servers renew their records unchanged, hundreds a second in a large
+            # fleet, and decoding a record takes ten times as long as comparing it.
             self._unreadable.discard(server_id)
             return self._removals.discard(server_id)
         read = self._documents.server(
@@ -600,21 +629,21 @@
         )
         if read.is_error():
             self._removals.add_unreadable(server_id, now=now)
-            return self._note_unreadable(server_id, read.error.message)
+            return self._log_unreadable(server_id, read.error.message)
         self._unreadable.discard(server_id)
-        is_back = self._removals.discard(server_id)
+        cancels_removal = self._removals.discard(server_id)
         self._data_by_server[server_id] = data
-        return self._directory.put(read.ok, now=now) or is_back
+        return self._directory.put(read.ok, now=now) or cancels_removal
 
     def _log_changes(self, known_by_id: dict[str, BackendServer | None]) -> None:
-        """Log what is new of some servers, as they were known before."""
+        """Log changes of servers, given their state before the changes."""
         changes = [
             (old, server)
             for server_id, old in known_by_id.items()
             if (server := self._directory.by_id.get(server_id)) is not old
-            and _is_worth_a_line(old, server)
+            and _should_log(old, server)
         ]
-        if len(changes) <= MAX_LOGGED:
+        if len(changes) <= MAX_LOGGED_CHANGES:
             for old, server in changes:
                 _log_change(old, server)
             return
@@ -623,26 +652,32 @@
         )
         log_event("servers_changed", n=len(changes), n_by_state=dict(n_by_state))
 
-    def _note_unreadable(self, server_id: str, message: str) -> bool:
-        """Log what is wrong with an entry; tell whether the one before was readable."""
+    def _log_unreadable(self, server_id: str, message: str) -> bool:
+        """Log why a record is unreadable, once until the server's record is readable.
+
+        Returns
+        -------
+        bool
+            Whether the server's previous record was readable.
+        """
         if server_id in self._unreadable:
             return False
-        if len(self._unreadable) < MAX_UNREADABLE:
+        if len(self._unreadable) < MAX_REMEMBERED_UNREADABLE:
             self._unreadable.add(server_id)
         log_warning("server_unreadable", server=server_id, message=message)
         return True
 
     def _remove(self, server_id: str, *, now: float) -> None:
-        self._known_better.discard(server_id)
+        self._newer_than_copy.discard(server_id)
         self._data_by_server.pop(server_id, None)
-        heard_at = now - LAPSED_HEARTBEATS * self._settings.heartbeat_interval
+        heard_at = now - LAPSED_RENEWALS * self._settings.heartbeat_interval
         if self._directory.remove(server_id, heard_at=heard_at):
             log_event("server_gone", server=server_id)
             self.fire(directory_changed(), "relay")
 
     # Entry hosts
 
-    def _take_hosts(self, updates: TopicUpdates) -> None:
+    def _apply_host_updates(self, updates: TopicUpdates) -> None:
         for record in updates.records:
             address = self._documents.host(record.key, record.value)
             if address is None:
@@ -650,10 +685,10 @@
             else:
                 self._heartbeats.addresses_by_host[record.key] = address
         if updates.complete:
-            self._settle_listing(now=time.monotonic())
-            self._store.ask_now(self.servers)
+            self._update_listing_schedule(now=time.monotonic())
+            self._store.send_due_call(self.servers)
 
-    def _announce(self) -> None:
+    def _announce_address(self) -> None:
         record = self._documents.host_record(
             address=self._own_address,
             zone=self._settings.availability_zone,
@@ -661,16 +696,16 @@
         call = self._log.append(
             self._documents.hosts_topic, [(self._settings.host, record)], partition=0
         )
-        self._store.call(call, self._take_announced)
+        self._store.call(call, self._on_announced)
 
-    def _take_announced(self, answer: StoreAnswer) -> None:
+    def _on_announced(self, answer: StoreAnswer) -> None:
         if answer.status == 200:
             now = self._acknowledged_at = time.monotonic()
-            self._settle_listing(now=now)
-            self._store.ask_now(self.hosts)
+            self._update_listing_schedule(now=now)
+            self._store.send_due_call(self.hosts)
 
 
-def _is_worth_a_line(old: BackendServer | None, server: BackendServer) -> bool:
+def _should_log(old: BackendServer | None, server: BackendServer) -> bool:
     return old is None or old.draining != server.draining or old.group != server.group
 
 
--- a/ryelever/host_exchange.py
+++ b/ryelever/host_exchange.py
@@ -55,7 +55,7 @@
     ----------
     describe : callable
         Return this host's word as far as other components know it.
-    take_version : callable
+    on_heartbeat : callable
         Take note that another host has a configuration version in force.
     """
 
@@ -70,7 +70,7 @@
         stall_watch: StallWatch,
         crashes: CrashWatch,
         describe: Callable[[], HostHeartbeat],
-        take_version: Callable[[HostHeartbeat], None],
+        on_heartbeat: Callable[[HostHeartbeat], None],
     ) -> None:
         super().__init__()
         self._settings = settings
@@ -79,10 +79,10 @@
         self._stall_watch = stall_watch
         self._crashes = crashes
         self._describe = describe
-        self._take_version = take_version
+        self._on_peer_heartbeat = on_heartbeat
         self._boot = int.from_bytes(os.urandom(7), "big")
         self._sequence = 0
-        self._n_spread = 0
+        self._n_broadcasts = 0
         self._last_near_state: tuple[object, ...] = ()
         self._last_far_state: tuple[object, ...] = ()
         self._heard: set[str] = set()
@@ -90,7 +90,7 @@
         self._started_at = time.monotonic()
 
     @property
-    def n_heard(self) -> int:
+    def n_reachable_peers(self) -> int:
         """Return how many other entry hosts of the zone are heard."""
         return len(self._heard)
 
@@ -117,9 +117,9 @@
             self._last_near_state = urgent_state(heartbeat)
             data = encode_heartbeat(heartbeat)
             if relied_on:
-                self._spread_near(data)
+                self._broadcast_in_zone(data)
             else:
-                self._send(data, self._near_hosts())
+                self._send(data, self._zone_peers())
         if represents_zone:
             self._send_zone_heartbeat(heartbeat, now=now)
         self._balancer.peers_in_flight_by_id = self._heartbeats.in_flight(now=now)
@@ -129,10 +129,10 @@
             n_near=len(self._heartbeats.near(now=now)),
             n_hosts=self._heartbeats.n_hosts(now=now),
         )
-        self._share_limits(now=now)
-        self._log_hearing(now=now)
+        self._update_limit_shares(now=now)
+        self._log_reachability_changes(now=now)
 
-    def _share_limits(self, *, now: float) -> None:
+    def _update_limit_shares(self, *, now: float) -> None:
         if self._balancer.limits.is_empty or now - self._started_at < DISCOVERY_TIME:
             # A host that has heard nobody yet would take all of a limit.
             return
@@ -172,7 +172,7 @@
             return
         self._last_far_state = state
         data = encode_heartbeat(summary)
-        for zone in self._far_zones():
+        for zone in self._other_zones():
             # Who spoke last may be lost, so that another one is told as well.
             others = self._heartbeats.hosts_of(zone)
             told = {others[self._sequence // TICKS_PER_ZONE_HEARTBEAT % len(others)]}
@@ -185,7 +185,7 @@
         for datagram in datagrams:
             heartbeat = decode_datagram(datagram.data, peer=datagram.address)
             if isinstance(heartbeat, RelayedDatagram):
-                self._send_on(heartbeat)
+                self._forward_relayed(heartbeat)
                 heartbeat = decode_datagram(heartbeat.data, peer=datagram.address)
             if isinstance(heartbeat, RyeleverError):
                 log_event("word_unreadable", peer=datagram.address, why=str(heartbeat))
@@ -196,18 +196,18 @@
             elif self._heartbeats.take(heartbeat, address=datagram.address, now=now):
                 if heartbeat.for_zone and not heartbeat.passed_on:
                     # The zone's other hosts hear of this one only here.
-                    self._spread_near(
+                    self._broadcast_in_zone(
                         encode_heartbeat(replace(heartbeat, passed_on=True))
                     )
                 self._mark_stalled(heartbeat, now=now)
-                self._take_version(heartbeat)
+                self._on_peer_heartbeat(heartbeat)
                 self._balancer.limits.heard(heartbeat.rate_limits, now=now)
                 if heartbeat.suspicions:
                     self._crashes.heard(
                         heartbeat.suspicions, host=heartbeat.host, now=now
                     )
         self._balancer.peers_in_flight_by_id = self._heartbeats.in_flight(now=now)
-        self._share_limits(now=now)
+        self._update_limit_shares(now=now)
 
     @handler("server_updates")
     def _on_server_updates(self, updates: ServerUpdates) -> None:
@@ -217,26 +217,26 @@
     def _apply_updates(self, updates: ServerUpdates) -> None:
         self.fire(server_updates(updates), "directory")
         reader = self._heartbeats.addresses_by_host.get(updates.reader)
-        knows_already = reader is not None and self._is_near(reader)
+        knows_already = reader is not None and self._is_in_zone(reader)
         if not updates.passed_on and not knows_already:
             # News cross between zones once, to who speaks for one, who tells it; the
             # reader has told its own.  What was passed on goes no further, or two
             # hosts would send it to and fro for ever.
             for data in encode_updates(replace(updates, passed_on=True)):
-                self._spread_near(data)
+                self._broadcast_in_zone(data)
 
     def _pass_on(self, updates: ServerUpdates) -> None:
         """Tell this zone, and one host of each other one."""
         told = {
             self._heartbeats.zone_representative(zone)
             or self._heartbeats.hosts_of(zone)[0]
-            for zone in self._far_zones()
+            for zone in self._other_zones()
         }
         for data in encode_updates(updates):
-            self._spread_near(data)
+            self._broadcast_in_zone(data)
             self._send(data, told)
 
-    def _far_zones(self) -> list[str]:
+    def _other_zones(self) -> list[str]:
         """Return the other zones that have entry hosts."""
         zones = {
             address.availability_zone
@@ -244,15 +244,15 @@
         }
         return sorted(zones - {self._settings.availability_zone})
 
-    def _near_hosts(self) -> list[str]:
+    def _zone_peers(self) -> list[str]:
         """Return the other hosts of this zone, sorted."""
         hosts = self._heartbeats.hosts_of(self._settings.availability_zone)
         return [host for host in hosts if host != self._settings.host]
 
-    def _is_near(self, address: HostAddress) -> bool:
+    def _is_in_zone(self, address: HostAddress) -> bool:
         return address.availability_zone == self._settings.availability_zone
 
-    def _spread_near(self, data: bytes) -> None:
+    def _broadcast_in_zone(self, data: bytes) -> None:
         """Tell the other hosts of this zone, some of them by way of others.
 
         For what comes often or is long, and comes from one host or few: the link of
@@ -261,9 +261,9 @@
         living = {
             heartbeat.host for heartbeat in self._heartbeats.near(now=time.monotonic())
         }
-        self._n_spread += 1
-        relayers = fan_out(self._near_hosts(), living=living, turn=self._n_spread)
-        self._send_each(
+        self._n_broadcasts += 1
+        relayers = fan_out(self._zone_peers(), living=living, turn=self._n_broadcasts)
+        self._send_datagrams(
             (
                 item.host,
                 encode_relayed(data, item.hosts) if item.hosts else data,
@@ -271,15 +271,15 @@
             for item in relayers
         )
 
-    def _send_on(self, relayed: RelayedDatagram) -> None:
+    def _forward_relayed(self, relayed: RelayedDatagram) -> None:
         """Send on what others of this zone are to hear by way of this host."""
-        self._send(relayed.data, set(relayed.hosts).intersection(self._near_hosts()))
+        self._send(relayed.data, set(relayed.hosts).intersection(self._zone_peers()))
 
     def _send(self, data: bytes, hosts: Iterable[str]) -> None:
         """Send one datagram to each of some hosts that are known."""
-        self._send_each((host, data) for host in hosts)
+        self._send_datagrams((host, data) for host in hosts)
 
-    def _send_each(self, data_by_host: Iterable[tuple[str, bytes]]) -> None:
+    def _send_datagrams(self, data_by_host: Iterable[tuple[str, bytes]]) -> None:
         """Send each of some hosts that are known a datagram, all in one event."""
         by_host = self._heartbeats.addresses_by_host
         datagrams = [
@@ -296,7 +296,7 @@
             if not self._stall_watch.has_progressed(server_id, now=now):
                 self._balancer.mark_stalled(server_id, now=now)
 
-    def _log_hearing(self, *, now: float) -> None:
+    def _log_reachability_changes(self, *, now: float) -> None:
         heard = {heartbeat.host for heartbeat in self._heartbeats.near(now=now)}
         for host in heard - self._heard:
             log_event("peer_heard", peer=host)
--- a/ryelever/host_fetch.py
+++ b/ryelever/host_fetch.py
@@ -1,4 +1,7 @@
-"""Ask other entry hosts for what this one can't read from the store."""
+"""Fetch configuration and server records from other entry hosts over HTTP.
+
+An entry host uses these requests where it can't or shouldn't read the store itself.
+"""
 
 from __future__ import annotations
 
@@ -31,29 +34,32 @@
 
 __all__ = ["HostFetch"]
 
-#: Seconds for which only the one that is asked first is asked for a newer
-#: configuration or for the backend servers: the store's answer takes some
-#: milliseconds, another host's some tens.
-ASKED_FIRST = 0.3
+#: Seconds to wait for the first source of a newer configuration or of the backend
+#: servers' records before the next source is tried: the store answers within some
+#: milliseconds, another host within some tens of milliseconds.
+FALLBACK_DELAY = 0.3
 
-#: Seconds after which another entry host is asked again.
+#: Least seconds between two requests for the configuration, and the connect and
+#: progress timeouts of all requests to other entry hosts.
 FETCH_RETRY = 0.5
 
-#: The same for what changed, which is short.
+#: Least seconds between two requests for changes, whose answers are short.
 CHANGES_RETRY = 0.2
 
 
 class HostFetch(BaseComponent):
-    """Own the requests to other entry hosts.
+    """Send requests to other entry hosts and hand on their answers.
 
     Parameters
     ----------
-    take_configuration : callable
-        Take a configuration as it lies in the store, and who gave it.
-    take_servers : callable
-        Take the records of all backend servers, and who gave them.
-    take_changes : callable
-        Take what changed of them since an offset.
+    on_configuration : callable
+        Called with a configuration document, encoded as in the store, and the address
+        of the host that provided it.
+    on_servers : callable
+        Called with the records of all backend servers and the address of the host
+        that provided them.
+    on_changes : callable
+        Called with the backend servers' records that changed since an offset.
     """
 
     channel = "host_fetch"
@@ -62,69 +68,71 @@
         self,
         *,
         heartbeats: HostHeartbeats,
-        take_configuration: Callable[[bytes, str], None],
-        take_servers: Callable[[ServerUpdates, str], None],
-        take_changes: Callable[[ServerUpdates], None],
+        on_configuration: Callable[[bytes, str], None],
+        on_servers: Callable[[ServerUpdates, str], None],
+        on_changes: Callable[[ServerUpdates], None],
     ) -> None:
         super().__init__()
         self._heartbeats = heartbeats
-        self._take_configuration = take_configuration
-        self._take_servers = take_servers
-        self._take_changes = take_changes
+        self._on_configuration = on_configuration
+        self._on_servers = on_servers
+        self._on_changes = on_changes
         self._started_at = time.monotonic()
         self._behind_since: float | None = None
-        self._configuration_asked_at = float("-inf")
-        self._servers_asked_at = float("-inf")
-        self._changes_asked_at = float("-inf")
-        self._waits_for_servers = False
-        self._waits_for_changes = False
-        self._n_changes_asked = 0
-        # Hosts that miss the same thing ask different ones.
-        self._n_asked = random.randrange(1 << 16)
+        self._configuration_requested_at = float("-inf")
+        self._servers_requested_at = float("-inf")
+        self._changes_requested_at = float("-inf")
+        self._is_fetching_servers = False
+        self._is_fetching_changes = False
+        self._n_changes_requests = 0
+        # A random start spreads hosts that miss the same data over the providers.
+        self._n_sent_requests = random.randrange(1 << 16)
 
     def caught_up(self) -> None:
-        """Take note that the newest configuration known of is in force here."""
+        """Record that the newest known configuration is in force on this host."""
         self._behind_since = None
 
-    def note_behind(self, *, now: float) -> bool:
-        """Take note that a newer configuration is in force elsewhere.
+    def record_behind(self, *, now: float) -> bool:
+        """Record that a newer configuration is in force on another host.
 
         Returns
         -------
         bool
-            True once whoever was asked first has had the time to give it.
+            True once the first source has failed to provide the configuration within
+            ``FALLBACK_DELAY``.
         """
         if self._behind_since is None:
             self._behind_since = now
-        return now - self._behind_since > ASKED_FIRST
+        return now - self._behind_since > FALLBACK_DELAY
 
-    def ask_for_configuration(self, host: str, *, now: float) -> None:
-        """Ask a host that has a newer configuration, unless one was asked just now."""
+    def request_configuration(self, host: str, *, now: float) -> None:
+        """Request the configuration from a host, at most once in ``FETCH_RETRY``."""
         address = self._heartbeats.addresses_by_host.get(host)
-        asked_lately = now - self._configuration_asked_at < FETCH_RETRY
-        if address is not None and not asked_lately:
-            self._configuration_asked_at = now
-            self._ask(CONFIGURATION_PATH, address.address)
+        requested_recently = now - self._configuration_requested_at < FETCH_RETRY
+        if address is not None and not requested_recently:
+            self._configuration_requested_at = now
+            self._send_request(CONFIGURATION_PATH, address.address)
 
-    def ask_who_knows_servers(self, *, now: float) -> None:
-        """Ask a host of the zone for the backend servers, or else another host.
+    def request_known_servers(self, *, now: float) -> None:
+        """Request all server records from a host that knows them, of this zone first.
 
-        One that is giving them to others refuses at once, and the next one is asked.
+        A host that is busy serving the records to others refuses at once, and the
+        next call asks another host.
         """
-        providers = self._knowing(self._heartbeats.near(now=now)) or self._knowing(
-            self._heartbeats.living(now=now)
-        )
-        if providers and not self._waits_for_servers:
-            self._waits_for_servers = True
-            self._ask(SERVERS_PATH, self._next_of(providers))
-
-    def ask_for_servers(self, *, now: float) -> None:
-        """Ask another entry host for the backend servers that it knows.
-
-        A host that is started anew while the store is away would serve nobody until
-        it returns, though the hosts around it know all that it needs.
+        providers = self._addresses_knowing_servers(
+            self._heartbeats.near(now=now)
+        ) or self._addresses_knowing_servers(self._heartbeats.living(now=now))
+        if providers and not self._is_fetching_servers:
+            self._is_fetching_servers = True
+            self._send_request(SERVERS_PATH, self._pick_provider(providers))
+
+    def request_servers(self, *, now: float) -> None:
+        """Request all server records from any host that has a configuration.
+
+        Without this, a host that restarts while the store is unavailable would serve
+        no requests until the store returns, although its peers know all servers.
         """
-        if now - max(self._started_at, self._servers_asked_at) < ASKED_FIRST:
+        if now - max(self._started_at, self._servers_requested_at) < FALLBACK_DELAY:
             return
         providers = [
             address.address
@@ -134,34 +142,38 @@
             is not None
         ]
         if providers:
-            self._servers_asked_at = now
-            self._ask(SERVERS_PATH, self._next_of(providers))
+            self._servers_requested_at = now
+            self._send_request(SERVERS_PATH, self._pick_provider(providers))
 
-    def ask_for_changes(
+    def request_changes(
         self, offset: int, *, era: int, provider: str, now: float
     ) -> None:
-        """Ask for what this host missed of the backend servers.
+        """Request the backend servers' changes that this host missed.
 
         Parameters
         ----------
-        giver : str
-            Address of the host that told of it, which is asked first; the next time
-            another one of the zone is.
+        offset, era : int
+            Position in the topic from which changes are missing.
+        provider : str
+            Address of the host that announced the changes.  The first request goes to
+            this host, every second one to another host of the zone.
         """
-        pause = now - self._changes_asked_at
-        if self._waits_for_changes or pause < CHANGES_RETRY:
+        pause = now - self._changes_requested_at
+        if self._is_fetching_changes or pause < CHANGES_RETRY:
             return
-        others = self._knowing(self._heartbeats.near(now=now))
-        self._n_changes_asked += 1
-        if others and (not provider or self._n_changes_asked % 2 == 0):
-            provider = self._next_of(others)
+        others = self._addresses_knowing_servers(self._heartbeats.near(now=now))
+        self._n_changes_requests += 1
+        if others and (not provider or self._n_changes_requests % 2 == 0):
+            provider = self._pick_provider(others)
         if provider:
-            self._changes_asked_at = now
-            self._waits_for_changes = True
-            self._ask(changes_path(offset, era=era), provider)
-
-    def _knowing(self, heartbeats: Iterable[HostHeartbeat]) -> list[str]:
-        """Return where hosts are asked that know all backend servers."""
+            self._changes_requested_at = now
+            self._is_fetching_changes = True
+            self._send_request(changes_path(offset, era=era), provider)
+
+    def _addresses_knowing_servers(
+        self, heartbeats: Iterable[HostHeartbeat]
+    ) -> list[str]:
+        """Return the addresses of the hosts that know all backend servers."""
         by_host = self._heartbeats.addresses_by_host
         return [
             by_host[heartbeat.host].address
@@ -169,14 +181,14 @@
             if heartbeat.knows_servers and heartbeat.host in by_host
         ]
 
-    def _next_of(self, providers: list[str]) -> str:
-        """Return the next one in turn, in case that the one before doesn't answer."""
-        return providers[self._n_asked % len(providers)]
+    def _pick_provider(self, providers: list[str]) -> str:
+        """Return the next provider in rotation, as the last one may not answer."""
+        return providers[self._n_sent_requests % len(providers)]
 
-    def _ask(self, path: str, address: str) -> None:
-        self._n_asked += 1
+    def _send_request(self, path: str, address: str) -> None:
+        self._n_sent_requests += 1
         request = OutboundRequest(
-            id=f"{path} {self._n_asked}",
+            id=f"{path} {self._n_sent_requests}",
             address=address,
             method="GET",
             path=path,
@@ -187,20 +199,20 @@
         )
         self.fire(outbound_send(request), "http_client")
 
-    def _note_end(self, call_id: str) -> None:
-        """Take note that a call has ended."""
-        if _asks_for_changes(call_id):
-            self._waits_for_changes = False
+    def _record_end(self, call_id: str) -> None:
+        """Record that a request has ended, so that the next one may be sent."""
+        if _is_changes_request(call_id):
+            self._is_fetching_changes = False
         elif call_id.startswith(SERVERS_PATH):
-            self._waits_for_servers = False
+            self._is_fetching_servers = False
 
     @handler("outbound_answer")
     def _on_answer(self, answer: OutboundAnswer) -> None:
-        self._note_end(answer.id)
+        self._record_end(answer.id)
         if answer.status == BUSY_STATUS:
             return
-        if answer.status == 404 and _asks_for_changes(answer.id):
-            # It misses the same, and the next one is asked.
+        if answer.status == 404 and _is_changes_request(answer.id):
+            # The provider misses the same changes; the next request asks another host.
             return
         if answer.status != 200:
             log_event(
@@ -211,7 +223,7 @@
             )
             return
         if answer.id.startswith(CONFIGURATION_PATH):
-            self._take_configuration(answer.body, answer.address)
+            self._on_configuration(answer.body, answer.address)
             return
         read = decode_servers(answer.body, peer=answer.address)
         if read.is_error():
@@ -223,14 +235,14 @@
                 message=error.message,
             )
             return
-        if _asks_for_changes(answer.id):
-            self._take_changes(read.ok)
+        if _is_changes_request(answer.id):
+            self._on_changes(read.ok)
         else:
-            self._take_servers(read.ok, answer.address)
+            self._on_servers(read.ok, answer.address)
 
     @handler("outbound_failed")
     def _on_failed(self, failure: OutboundFailure) -> None:
-        self._note_end(failure.id)
+        self._record_end(failure.id)
         log_event(
             "not_fetched",
             what=failure.id,
@@ -239,6 +251,6 @@
         )
 
 
-def _asks_for_changes(call_id: str) -> bool:
-    """Tell whether a call asks for what changed, and not for all servers."""
+def _is_changes_request(call_id: str) -> bool:
+    """Return whether a request is for changes rather than for all server records."""
     return call_id.startswith(f"{SERVERS_PATH}/")
--- a/ryelever/peer_requests.py
+++ b/ryelever/peer_requests.py
@@ -1,4 +1,4 @@
-"""Give other entry hosts what they can't read from the store."""
+"""Serve configuration and backend server records to other entry hosts."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 
 __all__ = ["PeerRequests"]
 
-#: Seconds for which the backend servers are given as they were encoded once.  What has
-#: changed since then is asked for as changes.
+#: Seconds for which an encoded list of all server records is reused.  A host that
+#: receives the list requests later changes separately.
 ENCODED_FOR = 1.0
 
 
 class PeerRequests(BaseComponent):
-    """Answer the other entry hosts.
+    """Answer HTTP requests from other entry hosts.
 
     Parameters
     ----------
     document : callable
-        Return the configuration in force as it lies in the store.
+        Return the configuration in force, encoded as in the store.
     servers : callable
         Return the records of all backend servers, or None before they are known.
     changes : callable
-        Return what changed of them from an offset of an era on, or None where that
-        isn't known.
+        Return the backend servers' changes from an offset of an era on, or None if
+        this host has no complete record of them.
     link_rate : float
-        Bytes a second that this host's link carries.
+        Capacity of this host's network link in bytes a second.
     """
 
     channel = "offers"
@@ -65,7 +65,8 @@
         self._transfers = TransferRate(link_rate=link_rate)
         self._encoded = b""
         self._encoded_at = float("-inf")
-        # Hosts that are told of the same news ask for the same changes.
+        # Hosts that were notified of the same updates request the same changes, so
+        # the last encoded answer is kept.
         self._changes_key: tuple[int, int, int] = (-1, -1, -1)
         self._encoded_changes = b""
 
@@ -85,7 +86,7 @@
         )
 
     def _serve_servers(self, *, now: float) -> tuple[int, bytes]:
-        """Return status and body for a host that asks for all backend servers."""
+        """Return status and body of the answer with all server records."""
         if not self._transfers.is_free(now=now):
             return BUSY_STATUS, b""
         if now - self._encoded_at > ENCODED_FOR:
@@ -98,7 +99,7 @@
         return 200, self._encoded
 
     def _body(self, path: str) -> bytes:
-        """Return what is asked for; empty where it isn't known."""
+        """Return the requested document or changes; empty if they aren't known."""
         if path == CONFIGURATION_PATH:
             return self._document()
         place = read_changes_path(path)
--- a/ryelever/relay_application.py
+++ b/ryelever/relay_application.py
@@ -203,7 +203,7 @@
             stall_watch=self.relay.stall_watch,
             crashes=crashes,
             describe=self._describe_host,
-            take_version=self._take_version,
+            on_heartbeat=self._on_peer_heartbeat,
         )
         self.shutdown = RelayShutdown(
             settings=settings,
@@ -333,9 +333,9 @@
             demand_by_model=self.relay.demand.by_model(now=now),
         )
 
-    def _take_version(self, heartbeat: HostHeartbeat) -> None:
+    def _on_peer_heartbeat(self, heartbeat: HostHeartbeat) -> None:
         now = time.monotonic()
-        self.store.note_era(heartbeat.store_era, peer=heartbeat.host, now=now)
+        self.store.record_era(heartbeat.store_era, peer=heartbeat.host, now=now)
         self.evacuations.heard(
             heartbeat.evacuated_zones, as_of=heartbeat.operator_position
         )
--- a/ryelever/relay_metrics.py
+++ b/ryelever/relay_metrics.py
@@ -64,7 +64,7 @@
     metrics.counter("store_calls", lambda: dict(store.n_calls_by_step))
     metrics.gauge("configuration_version", lambda: float(fleet.version))
     metrics.gauge("configuration_age_seconds", fleet.configuration_age)
-    metrics.gauge("peers_heard", lambda: float(exchange.n_heard))
+    metrics.gauge("peers_heard", lambda: float(exchange.n_reachable_peers))
     metrics.labelled_gauge("time_under_way_seconds", balancer.times_under_way)
     metrics.counter("groups", planning.n_groups_by_phase)
     metrics.counter("stranded_server_seconds", planning.stranded_seconds)
--- a/ryelever/store_client.py
+++ b/ryelever/store_client.py
@@ -57,7 +57,7 @@
     era: int | None = None
 
 
-class _Followed(msgspec.Struct, kw_only=True):
+class _FollowedTopic(msgspec.Struct, kw_only=True):
     """Hold one topic that is followed, and who takes its news."""
 
     follower: TopicFollower
@@ -75,7 +75,7 @@
 
     Attributes
     ----------
-    passed_on_at : float
+    forwarded_at : float
         Monotonic time at which another host passed on what it had read.
     answered_at : float
         Monotonic time of the last good answer, or of the start.
@@ -96,14 +96,14 @@
         self._address = address
         self._era_of = era_of
         self.era = 0
-        self._was_read = False
+        self._has_read = False
         self.returned_at = float("-inf")
         self._ids = itertools.count(1)
-        self._followed_by_call: dict[str, _Followed] = {}
-        self._takers_by_call: dict[str, Callable[[StoreAnswer], None]] = {}
-        self._followed: list[_Followed] = []
+        self._followed_by_call: dict[str, _FollowedTopic] = {}
+        self._callbacks_by_call: dict[str, Callable[[StoreAnswer], None]] = {}
+        self._followed: list[_FollowedTopic] = []
         self._failing_since: float | None = 0.0
-        self.passed_on_at = float("-inf")
+        self.forwarded_at = float("-inf")
         self.answered_at = time.monotonic()
         self.n_calls_by_step: Counter[str] = Counter()
         self._why = ""
@@ -125,7 +125,7 @@
         self, follower: TopicFollower, take: Callable[[TopicUpdates], None]
     ) -> None:
         """Read a topic from now on, and hand on what it brings."""
-        self._followed.append(_Followed(follower=follower, take=take))
+        self._followed.append(_FollowedTopic(follower=follower, take=take))
 
     def unfollow(self, follower: TopicFollower) -> None:
         """Read a topic no more."""
@@ -133,7 +133,7 @@
             item for item in self._followed if item.follower is not follower
         ]
 
-    def ask_now(self, follower: TopicFollower) -> None:
+    def send_due_call(self, follower: TopicFollower) -> None:
         """Make the call that is due for a topic, before the next tick."""
         for followed in self._followed:
             if followed.follower is follower:
@@ -142,13 +142,13 @@
     def call(self, call: LogCall, take: Callable[[StoreAnswer], None]) -> None:
         """Make one call; ``take`` gets the answer, of status 0 if there is none."""
         call_id = self._send(call, step="call_store", progress_timeout=CALL_TIMEOUT)
-        self._takers_by_call[call_id] = take
+        self._callbacks_by_call[call_id] = take
 
     def heard(self, *, now: float) -> None:
         """Take word of the store by way of another host, which reaches it."""
-        self.passed_on_at = now
+        self.forwarded_at = now
 
-    def note_era(self, era: int, *, peer: str, now: float) -> None:
+    def record_era(self, era: int, *, peer: str, now: float) -> None:
         """Take an era of the store, from its answer or another host's word.
 
         Parameters
@@ -159,7 +159,7 @@
         if era <= self.era:
             return
         # A store that never came back may bear no era, or zero.
-        has_returned = self.era > 0 or self._was_read
+        has_returned = self.era > 0 or self._has_read
         log_event("store_era", era=era, former=self.era, peer=peer)
         self.era = era
         if has_returned:
@@ -173,7 +173,7 @@
         for followed in self._followed:
             self._ask(followed, now=now)
 
-    def _ask(self, followed: _Followed, *, now: float) -> None:
+    def _ask(self, followed: _FollowedTopic, *, now: float) -> None:
         """Make the call that is due for a topic, if there is one."""
         call = followed.follower.next_call(now=now)
         if call is None:
@@ -209,15 +209,15 @@
     def _on_answer(self, answer: OutboundAnswer) -> None:
         now = time.monotonic()
         if answer.status in (429, 503):
-            self._note_failure(f"answered {answer.status}", now=now)
+            self._record_failure(f"answered {answer.status}", now=now)
         else:
             self._failing_since = None
             self.answered_at = now
         era = self._era_of(answer.headers)
         if era is not None:
-            self.note_era(era, peer=self._address, now=now)
-        self._was_read = self._was_read or answer.status == 200
-        taker = self._takers_by_call.pop(answer.id, None)
+            self.record_era(era, peer=self._address, now=now)
+        self._has_read = self._has_read or answer.status == 200
+        taker = self._callbacks_by_call.pop(answer.id, None)
         if taker is not None:
             taker(StoreAnswer(status=answer.status, body=answer.body, era=era))
         followed = self._followed_by_call.pop(answer.id, None)
@@ -245,8 +245,8 @@
     @handler("outbound_failed")
     def _on_failed(self, failure: OutboundFailure) -> None:
         now = time.monotonic()
-        self._note_failure(failure.error.message, now=now)
-        taker = self._takers_by_call.pop(failure.id, None)
+        self._record_failure(failure.error.message, now=now)
+        taker = self._callbacks_by_call.pop(failure.id, None)
         if taker is not None:
             taker(StoreAnswer())
         followed = self._followed_by_call.pop(failure.id, None)
@@ -254,14 +254,14 @@
             return
         followed.follower.failed(now=now)
         if failure.error.category is Category.TIMEOUT:
-            self._poke_others(followed, now=now)
+            self._poke_other_topics(followed, now=now)
 
-    def _note_failure(self, why: str, *, now: float) -> None:
+    def _record_failure(self, why: str, *, now: float) -> None:
         self._why = why
         if self._failing_since is None:
             self._failing_since = now
 
-    def _poke_others(self, silent: _Followed, *, now: float) -> None:
+    def _poke_other_topics(self, silent: _FollowedTopic, *, now: float) -> None:
         """Ask anew on all topics when one connection has gone silent.
 
         What took that one may have taken others, and a long read would show it only
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -121,7 +121,7 @@
             stall_watch=self.stall_watch,
             crashes=self.crashes,
             describe=self._describe,
-            take_version=lambda heartbeat: None,
+            on_heartbeat=lambda heartbeat: None,
         )
         self.exchange.fire = self._fired
 
--- a/tests/test_fleet_directory.py
+++ b/tests/test_fleet_directory.py
@@ -1,4 +1,4 @@
-"""Test how one host reads the backend servers' records for others."""
+"""Test how entry hosts read records from the store and share them with each other."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 from ryelever.coordination.topic import TopicUpdates
 from ryelever.events import OutboundAnswer, OutboundRequest
 from ryelever.fleet_directory import (
-    ENTRIES_WRITTEN_AGAIN,
     LIST_STALE_AFTER,
     MAX_FETCHED_CONFIGURATION,
-    MAX_LOGGED,
-    SERVERS_INTERVAL,
+    MAX_LOGGED_CHANGES,
+    MIN_SERVERS_READ_INTERVAL,
+    RENEWAL_TIME_AFTER_RETURN,
     FleetDirectory,
 )
-from ryelever.host_fetch import ASKED_FIRST, CHANGES_RETRY
+from ryelever.host_fetch import CHANGES_RETRY, FALLBACK_DELAY
 from ryelever.platform.records import PlatformRecords
 from ryelever.platform.store import StoreCalls
 from ryelever.protocol.host_messages import (
@@ -65,7 +65,7 @@
 
 
 def settings_of(name: str, *, zone: str = "z") -> RelaySettings:
-    """Return the settings of a host that reaches nothing."""
+    """Return the settings of a host whose store address is unreachable."""
     return RelaySettings(
         host=name,
         ip="127.0.0.1",
@@ -87,7 +87,7 @@
 
 
 class Host:
-    """Hold one host's directory, and the news that it passes on."""
+    """Represent one host's directory, its forwarded updates and its requests."""
 
     def __init__(self, name: str) -> None:
         settings = settings_of(name)
@@ -117,14 +117,18 @@
         follower = self.fleet.servers
         follower.next_call(now=time.monotonic())
         follower.answered(200, b'{"items": [], "more": false, "end": %d}' % end, now=0)
-        self.fleet._take_servers(TopicUpdates(records=list(records), complete=True))
+        self.fleet._apply_server_updates(
+            TopicUpdates(records=list(records), complete=True)
+        )
 
     def read(self, *records: KeyedRecord, end: int) -> ServerUpdates:
-        """Take what a read has brought; return what is passed on."""
+        """Apply records as if read from the store; return the forwarded updates."""
         start = self.fleet.servers.offset
         self.fleet.servers.offset = end
         self.fleet.servers.answered_at = time.monotonic()
-        self.fleet._take_servers(TopicUpdates(records=list(records), start=start))
+        self.fleet._apply_server_updates(
+            TopicUpdates(records=list(records), start=start)
+        )
         return self.passed_on[-1]
 
 
@@ -140,28 +144,27 @@
     return KeyedRecord(key=server_id, value=json.dumps(entry).encode(), offset=offset)
 
 
-def _gone(server_id: str, offset: int) -> KeyedRecord:
+def _removed(server_id: str, offset: int) -> KeyedRecord:
     return KeyedRecord(key=server_id, value=b"", offset=offset)
 
 
-def test_changes_reach_a_host_that_reads_nothing(clock: Clock) -> None:
+def test_host_that_does_not_read_the_store_receives_changes(clock: Clock) -> None:
     reader, other = Host("a"), Host("b")
     for host in (reader, other):
         host.listed(_put("i1", 0), end=1)
     updates = reader.read(_put("i1", 1, state="draining"), _put("i2", 2), end=3)
-    other.fleet._on_passed_on(updates)
+    other.fleet._on_forwarded_updates(updates)
     assert other.directory.by_id.keys() == {"i1", "i2"}
     assert other.directory.by_id["i1"].draining
 
 
-def test_entries_that_come_back_unchanged_are_told(clock: Clock) -> None:
-    """Show that a host that reads nothing doesn't lose servers after an outage.
+def test_records_that_return_unchanged_are_forwarded(clock: Clock) -> None:
+    """Guard against a host that has no backend servers left after a store outage.
 
-    Symptom: after an outage one host has no backend servers left.
-    Sequence: entries lapse while the store is away; it returns, the removals are read
-    and passed on, and then the entries are back, the same as before.
-    Cause: what says nothing new to the reader was not passed on, and for the other
-    host the removals, which wait for two seconds, were never taken back.
+    Records expire while the store is unavailable.  After the store returns, the reader
+    forwards the removals, and the records return unchanged.  A reader that forwards
+    only changed records would never cancel the other host's removals, which are
+    delayed by two seconds.
     """
     reader, other = Host("a"), Host("b")
     for host in (reader, other):
@@ -170,9 +173,9 @@
         host.fleet._on_tick()
         host.fleet.servers.failed_at = clock.now + 1.0
     clock.now += OUTAGE + 4.0
-    other.fleet._on_passed_on(reader.read(_gone("i1", 1), end=2))
+    other.fleet._on_forwarded_updates(reader.read(_removed("i1", 1), end=2))
     clock.now += 0.5
-    other.fleet._on_passed_on(reader.read(_put("i1", 2), end=3))
+    other.fleet._on_forwarded_updates(reader.read(_put("i1", 2), end=3))
     clock.now += ENTRIES_BACK + 1.0
     for host in (reader, other):
         host.fleet._on_tick()
@@ -184,18 +187,17 @@
 
 
 def test_a_configuration_never_reverts(clock: Clock) -> None:
-    """Show that an older version that comes late changes nothing.
+    """Guard against a revoked key that is accepted again.
 
-    Symptom: a key that was taken away is accepted again.
-    Sequence: a host has a version in force, and another host gives it an older one.
-    Cause: whatever came last was taken.
+    Another host may provide a version that is older than the version in force; it must
+    not be applied because it arrives later.
     """
     host = Host("a")
     for version in (4, 7, 5, 7):
-        host.fleet.take_configuration(_configuration(version), peer="b")
+        host.fleet.apply_configuration(_configuration(version), peer="b")
     assert host.fleet.version == 7
     assert json.loads(host.fleet.document())["version"] == 7
-    host.fleet.take_configuration(b"no configuration", peer="b")
+    host.fleet.apply_configuration(b"no configuration", peer="b")
     assert host.fleet.version == 7
 
 
@@ -213,8 +215,8 @@
     )
 
 
-def _heartbeat_of(host: str, **changes: object) -> HostHeartbeat:
-    """Return the word of a host that knows all and reaches the store."""
+def _heartbeat_from(host: str, **changes: object) -> HostHeartbeat:
+    """Return the heartbeat of a host that knows all servers and reaches the store."""
     heartbeat = HostHeartbeat(
         host=host,
         availability_zone="z",
@@ -228,62 +230,64 @@
     return replace(heartbeat, **changes)
 
 
-def _hear(host: Host, *heartbeats: HostHeartbeat) -> None:
+def _receive(host: Host, *heartbeats: HostHeartbeat) -> None:
     for heartbeat in heartbeats:
         host.fleet._heartbeats.take(
             heartbeat, address="10.0.0.7:7000", now=time.monotonic()
         )
 
 
-def test_a_host_that_missed_news_gets_them_from_another(clock: Clock) -> None:
-    """Guard against hosts that read all that the store has for one lost datagram."""
+def test_host_that_missed_updates_fetches_them_from_another(clock: Clock) -> None:
+    """Guard against hosts that read the store's whole topic after one lost datagram."""
     reader, other = Host("a"), Host("c")
     for host in (reader, other):
         host.listed(_put("i1", 0), end=1)
-    _hear(other, _heartbeat_of("a"), _heartbeat_of("b"))
+    _receive(other, _heartbeat_from("a"), _heartbeat_from("b"))
     reader.read(_put("i1", 1, state="draining"), _put("i2", 2), end=3)
     missed_one = reader.read(_put("i3", 3), end=4)
-    other.fleet._on_passed_on(missed_one)
+    other.fleet._on_forwarded_updates(missed_one)
     assert other.directory.by_id.keys() == {"i1"}
     [asked] = other.asked
     other.fleet.fetch._on_answer(_answer_of(reader, asked))
     assert other.directory.by_id.keys() == {"i1", "i2", "i3"}
     assert other.directory.by_id["i1"].draining
     assert other.fleet.servers.offset == 4
-    # It keeps them in turn for others.
+    # The host keeps the fetched changes and can provide them to others.
     assert other.fleet.changes_since(1, 0).records
-    clock.now += SERVERS_INTERVAL
+    clock.now += MIN_SERVERS_READ_INTERVAL
     assert other.fleet.servers.next_call(now=clock.now) is None
 
 
-def test_a_host_that_nobody_gives_what_it_missed_reads_the_store(clock: Clock) -> None:
-    """Guard against servers that are unknown until the next listing."""
+def test_host_reads_the_store_if_no_peer_provides_missed_changes(clock: Clock) -> None:
+    """Guard against changes that stay unknown until the next listing."""
     reader, other = Host("a"), Host("c")
     for host in (reader, other):
         host.listed(_put("i1", 0), end=1)
-    _hear(other, _heartbeat_of("a"), _heartbeat_of("b"))
+    _receive(other, _heartbeat_from("a"), _heartbeat_from("b"))
     reader.read(_put("i2", 1), end=2)
     call = None
     for offset in range(2, 8):
-        other.fleet._on_passed_on(reader.read(_put("i3", offset), end=offset + 1))
+        other.fleet._on_forwarded_updates(
+            reader.read(_put("i3", offset), end=offset + 1)
+        )
         call = call or other.fleet.servers.next_call(now=clock.now)
-        clock.now += SERVERS_INTERVAL
+        clock.now += MIN_SERVERS_READ_INTERVAL
     assert call is not None and "&from=1" in call.path
 
 
-def test_many_changes_at_once_are_fetched_from_who_tells_of_them(clock: Clock) -> None:
-    """Guard against a burst of datagrams that a link drops, and all hosts miss."""
+def test_many_changes_at_once_are_fetched_from_their_announcer(clock: Clock) -> None:
+    """Guard against a burst of datagrams that overloads a link and reaches no host."""
     reader, other = Host("a"), Host("c")
     for host in (reader, other):
         host.listed(_put("i1", 0), end=1)
     updates = reader.read(*(_put(f"i{n}", n) for n in range(1, 900)), end=900)
     [datagram] = encode_updates(updates)
-    told = decode_datagram(datagram, peer="10.0.0.9:7000")
-    other.fleet._on_passed_on(replace(told, provider="10.0.0.9:7000"))
+    received = decode_datagram(datagram, peer="10.0.0.9:7000")
+    other.fleet._on_forwarded_updates(replace(received, provider="10.0.0.9:7000"))
     [asked] = other.asked
     assert asked.address == "10.0.0.9:7000"
     answer = _answer_of(reader, asked)
-    # One that hasn't been given them itself yet is asked again.
+    # A provider that doesn't have the changes itself yet is asked again.
     other.fleet.fetch._on_answer(replace(answer, status=404, body=b""))
     clock.now += CHANGES_RETRY
     other.fleet._on_tick()
@@ -292,10 +296,10 @@
     assert len(answer.body) < 900 * 100
 
 
-def test_many_changes_at_once_are_one_line(
+def test_many_changes_at_once_are_logged_in_one_line(
     clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guard against hosts that are busy writing lines while a large fleet starts."""
+    """Guard against hosts that are busy logging while a large fleet starts."""
     lines: list[tuple[str, dict[str, object]]] = []
     monkeypatch.setattr(
         fleet_directory,
@@ -303,36 +307,38 @@
         lambda event, **fields: lines.append((event, fields)),
     )
     host = Host("a")
-    host.listed(*(_put(f"i{n}", n) for n in range(MAX_LOGGED)), end=900)
-    assert [event for event, _ in lines] == ["server_found"] * MAX_LOGGED
+    host.listed(*(_put(f"i{n}", n) for n in range(MAX_LOGGED_CHANGES)), end=900)
+    assert [event for event, _ in lines] == ["server_found"] * MAX_LOGGED_CHANGES
     lines.clear()
     group = {"name": "g", "epoch": 3, "rank": 0, "state": "ready"}
     host.read(*(_put(f"i{n}", 900 + n, group=group) for n in range(800)), end=1700)
     assert lines == [("servers_changed", {"n": 800, "n_by_state": {"ready": 800}})]
 
 
-def test_hosts_that_missed_the_same_read_the_store(clock: Clock) -> None:
-    """Guard against hosts that wait for each other while servers change unseen."""
+def test_hosts_that_missed_the_same_changes_read_the_store(clock: Clock) -> None:
+    """Guard against hosts that wait for each other while they miss server changes."""
     reader, provider, other = Host("a"), Host("b"), Host("c")
     for host in (reader, provider, other):
         host.listed(_put("i1", 0), end=1)
-    _hear(other, _heartbeat_of("b"))
+    _receive(other, _heartbeat_from("b"))
     for host in (provider, other):
-        host.fleet._on_passed_on(reader.read(_put("i1", 1), end=2))
+        host.fleet._on_forwarded_updates(reader.read(_put("i1", 1), end=2))
     reader.read(_put("i2", 2), end=3)
     call = None
     for offset in range(3, 9):
-        other.fleet._on_passed_on(reader.read(_put("i3", offset), end=offset + 1))
+        other.fleet._on_forwarded_updates(
+            reader.read(_put("i3", offset), end=offset + 1)
+        )
         for asked in other.asked:
             other.fleet.fetch._on_answer(_answer_of(provider, asked))
         other.asked.clear()
         call = call or other.fleet.servers.next_call(now=clock.now)
-        clock.now += SERVERS_INTERVAL
+        clock.now += MIN_SERVERS_READ_INTERVAL
     assert call is not None and "&from=2" in call.path
 
 
-def test_what_one_host_has_forgotten_is_not_given(clock: Clock) -> None:
-    """Guard against a host that takes a part for all that it missed."""
+def test_incomplete_history_is_not_served(clock: Clock) -> None:
+    """Guard against a host that mistakes incomplete changes for all that it missed."""
     provider = Host("a")
     provider.listed(_put("i1", 0), end=5)
     provider.read(_put("i2", 5), end=6)
@@ -341,25 +347,27 @@
     assert provider.fleet.changes_since(6, 0) is None
     assert provider.fleet.changes_since(7, 0) is None
     provider.listed(_put("i1", 0), end=9)
-    given = provider.fleet.changes_since(5, 0)
-    assert given is None or given.end == 6
+    changes = provider.fleet.changes_since(5, 0)
+    assert changes is None or changes.end == 6
 
 
 @pytest.mark.parametrize("is_reachable", [True, False])
-def test_only_the_first_hosts_of_a_zone_read_what_servers_write(
+def test_only_the_first_hosts_of_a_zone_read_server_records(
     clock: Clock, is_reachable: bool
 ) -> None:
-    """Guard against all hosts reading the store at once when its reader is lost."""
+    """Guard against all hosts of a zone reading the store when its reader is lost."""
     host = Host("c")
     host.listed(_put("i1", 0), end=1)
     host.fleet._store._failing_since = None if is_reachable else 0.0
-    host.fleet._store.passed_on_at = clock.now
+    host.fleet._store.forwarded_at = clock.now
     began = clock.now
     call = None
     while call is None and clock.now < began + 2 * MAX_UPDATE_SILENCE:
         clock.now += 0.1
         sequence = round(10 * clock.now)
-        _hear(host, *(_heartbeat_of(name, sequence=sequence) for name in ("a", "b")))
+        _receive(
+            host, *(_heartbeat_from(name, sequence=sequence) for name in ("a", "b"))
+        )
         host.fleet._suspend_or_read(now=clock.now)
         call = host.fleet.servers.next_call(now=clock.now)
     waited = clock.now - began
@@ -367,31 +375,31 @@
     assert not is_reachable or waited == pytest.approx(MAX_UPDATE_SILENCE, abs=0.21)
 
 
-def _start_among(host: Host, others: list[str]) -> None:
-    """Start a host that finds others in the store."""
+def _start_among_hosts(host: Host, others: list[str]) -> None:
+    """Start a host that finds the addresses of other hosts in the store."""
     fleet = host.fleet
     fleet._on_started()
     for name in others:
         fleet._heartbeats.addresses_by_host[name] = HostAddress(
             host=name, address="10.0.0.7:7000", availability_zone="z"
         )
-    fleet._take_announced(StoreAnswer(status=200))
+    fleet._on_announced(StoreAnswer(status=200))
     fleet.hosts.next_call(now=time.monotonic())
     fleet.hosts.answered(200, b'{"items": [], "more": false, "end": 9}', now=1001.0)
-    fleet._take_hosts(TopicUpdates(records=[], complete=True))
+    fleet._apply_host_updates(TopicUpdates(records=[], complete=True))
 
 
-def test_a_host_that_starts_among_many_lists_nothing(clock: Clock) -> None:
-    """Guard against a start of all hosts that fills the store's reads for seconds."""
+def test_host_that_starts_among_many_does_not_list_the_store(clock: Clock) -> None:
+    """Guard against hosts that start at once and saturate the store for seconds."""
     provider, other = Host("a"), Host("x")
     provider.listed(_put("i1", 0), _put("i2", 1), end=2)
     provider.fleet.servers.answered_at = clock.now
-    _start_among(other, [f"h{index}" for index in range(20)])
+    _start_among_hosts(other, [f"h{index}" for index in range(20)])
     assert other.fleet.servers.next_call(now=clock.now) is None
-    _hear(other, _heartbeat_of("h3"))
+    _receive(other, _heartbeat_from("h3"))
     other.fleet._on_tick()
     [asked] = [ask for ask in other.asked if ask.path == SERVERS_PATH]
-    # One that gives the list to others refuses; the next one is asked.
+    # A host that is busy serving the list to others refuses; the next host is asked.
     busy = replace(_answer_of(provider, asked), status=503, body=b"")
     other.fleet.fetch._on_answer(busy)
     clock.now += 0.1
@@ -399,14 +407,14 @@
     asked = [ask for ask in other.asked if ask.path == SERVERS_PATH][-1]
     other.fleet.fetch._on_answer(_answer_of(provider, asked))
     assert other.directory.by_id.keys() == {"i1", "i2"}
-    # What the servers write next counts at once.
+    # Later changes of the servers are applied at once.
     group = {"name": "g", "epoch": 3, "rank": 0, "state": "open"}
-    other.fleet._on_passed_on(provider.read(_put("i2", 2, group=group), end=3))
+    other.fleet._on_forwarded_updates(provider.read(_put("i2", 2, group=group), end=3))
     assert other.directory.by_id["i2"].group is not None
 
 
 def _listing_calls(host: Host, clock: Clock, *, seconds: float) -> list[LogCall | None]:
-    """Return the calls that a host makes to list the servers, tick after tick."""
+    """Return, for each tick, the host's call to list the servers, or None."""
     calls = []
     for _ in range(round(10 * seconds)):
         host.fleet._on_tick()
@@ -415,32 +423,32 @@
     return calls
 
 
-def test_a_host_that_nobody_gives_the_list_gets_it_from_the_store(clock: Clock) -> None:
-    """Guard against a host that waits for others that are lost."""
+def test_host_lists_the_store_if_no_peer_provides_the_list(clock: Clock) -> None:
+    """Guard against a host that waits for lost peers to list the store first."""
     host = Host("x")
-    _start_among(host, [f"h{index}" for index in range(LISTERS + 2)])
+    _start_among_hosts(host, [f"h{index}" for index in range(LISTERS + 2)])
     calls = _listing_calls(host, clock, seconds=4 * TURN)
     assert calls[0] is None and any(calls)
 
 
-def test_a_host_that_starts_without_the_store_tries_to_list(clock: Clock) -> None:
-    """Guard against a host that waits to be entered in a store that is away."""
+def test_host_that_cannot_register_tries_to_list(clock: Clock) -> None:
+    """Guard against a host that waits to be registered in an unavailable store."""
     host = Host("x")
     host.fleet._on_started()
     calls = _listing_calls(host, clock, seconds=UNANNOUNCED + 0.2)
     assert calls[0] is None and any(calls)
 
 
-def test_a_host_without_the_store_gets_all_servers_from_another(clock: Clock) -> None:
-    """Show that a host that was started anew during an outage serves.
+def test_host_without_the_store_fetches_all_servers_from_another(clock: Clock) -> None:
+    """Guard against a restarted host that refuses all callers until the store returns.
 
-    Symptom: a host refuses all its callers from its start until the store is back.
-    Sequence: hosts are restarted in turn while the store is away for eight seconds.
-    Cause: what all others know could come from the store only.
+    Hosts are restarted in turn while the store is unavailable for eight seconds.  The
+    restarted host must get the records that all its peers know from them, not only
+    from the store.
     """
     provider, other = Host("a"), Host("b")
     provider.listed(_put("i1", 0), _put("i2", 1), end=2)
-    heartbeat = _heartbeat_of("a", reads_store=False, knows_servers=False)
+    heartbeat = _heartbeat_from("a", reads_store=False, knows_servers=False)
     other.fleet._heartbeats.take(heartbeat, address="10.0.0.7:7000", now=clock.now)
     other.fleet._on_tick()
     assert [ask for ask in other.asked if ask.path == SERVERS_PATH] == []
@@ -452,24 +460,22 @@
     other.fleet.fetch._on_answer(_answer_of(provider, asked))
     assert other.directory.by_id.keys() == {"i1", "i2"}
     assert other.fleet.servers.is_current
-    # The listing that was asked for before answers late, and says nothing of i1.
+    # The listing requested earlier is answered late, and doesn't contain i1.
     late = b'{"items": [], "more": false, "end": 1}'
     updates = other.fleet.servers.answered(200, late, now=clock.now).ok
-    other.fleet._take_servers(updates)
+    other.fleet._apply_server_updates(updates)
     assert other.directory.by_id.keys() == {"i1", "i2"}
     assert other.fleet.servers.offset == 2
     assert "&from=2" in other.fleet.servers.next_call(now=clock.now + 1).path
 
 
-def test_what_a_long_listing_has_overtaken_is_not_taken_again(clock: Clock) -> None:
-    """See that servers are not shown as they were before they were listed.
+def test_records_superseded_by_a_long_listing_are_not_applied(clock: Clock) -> None:
+    """Guard against servers that join a group while the head of their group is open.
 
-    Symptom: servers joined a group while the head of their former one was open.
-    Sequence: 925 servers are listed page after page while groups form; a page shows a
-    server that is open; what was appended since the first page is then read, in
-    several reads, and the first of them holds what that server said before.
-    Cause: each record that was read took the place of the listed one, newer or not, and
-    a planner that looked between two reads took the server for a free one.
+    While 925 servers are listed page by page, groups form, and a page shows a server
+    as open.  Records appended since the first page are then read in several reads; the
+    first read contains an older record of that server.  If an older record replaced
+    the listed one, a planning pass between two reads would take the server for free.
     """
     host, other = Host("a"), Host("b")
     group = {"name": "g", "epoch": 3, "rank": 0, "state": "open"}
@@ -480,27 +486,27 @@
     assert host.directory.by_id["i2"].group is not None
     since = host.read(joined, end=13)
     assert host.directory.by_id["i2"].group is not None
-    # A host that listed earlier hears of all that has changed since then.
+    # A host that listed earlier receives all changes since its listing.
     for updates in (before, since):
-        other.fleet._on_passed_on(updates)
+        other.fleet._on_forwarded_updates(updates)
     assert other.directory.by_id["i2"].group is not None
-    # What comes later is taken as ever.
+    # Later records are applied as usual.
     host.read(_put("i2", 14), end=15)
     assert host.directory.by_id["i2"].group is None
 
 
-def test_a_host_whose_listing_goes_on_asks_no_other(clock: Clock) -> None:
-    """See that hosts which start while the store answers leave each other alone.
+def test_host_with_a_listing_in_progress_requests_nothing_from_peers(
+    clock: Clock,
+) -> None:
+    """Guard against starting hosts that saturate each other's links.
 
-    Symptom: hosts of five zones sent each other 1.3 GB in the first half minute, and
-    links of 10 Mbit/s were full of it; callers were refused meanwhile.
-    Sequence: 195 hosts start at once and list 925 servers from the store, over
-    seconds.
-    Cause: each asked another host for all servers three times a second until it had
-    them, though the store was giving them.
+    195 hosts in five zones start at once and list 925 servers from the store, which
+    takes seconds.  If each requested all servers from another host three times a
+    second although the store was answering, the hosts would send each other 1.3 GB in
+    the first half minute, fill links of 10 Mbit/s and refuse callers meanwhile.
     """
     host = Host("b")
-    heartbeat = _heartbeat_of("a", knows_servers=False)
+    heartbeat = _heartbeat_from("a", knows_servers=False)
     follower = host.fleet.servers
     for number in range(20):
         clock.now += 0.4
@@ -516,7 +522,7 @@
         clock.now += 0.1
         host.fleet._on_tick()
     assert [ask for ask in host.asked if ask.path == SERVERS_PATH] == []
-    # Once the store has fallen silent, the others are asked.
+    # Once the store stops answering, the host asks its peers.
     clock.now += 1.1
     host.fleet._heartbeats.take(
         replace(heartbeat, sequence=99), address="10.0.0.7:7000", now=clock.now
@@ -530,14 +536,12 @@
     "group": {"name": "g", "epoch": 3, "rank": 0, "state": "open"}, "busy": false}"""
 
 
-def test_reports_stand_in_for_the_list_during_an_outage(clock: Clock) -> None:
-    """Show that a head that opens while the store is away gets requests.
+def test_reports_replace_the_list_during_an_outage(clock: Clock) -> None:
+    """Guard against a serving group that gets no requests for five seconds.
 
-    Symptom: a group that serves gets no request for five seconds.
-    Sequence: its head is told to open, the store goes away, and the entry that says so
-    can't be written.
-    Cause: only entries told of states; the planner that asks the head keeps to itself
-    what it hears.
+    A head is ordered to open and the store becomes unavailable, so the head's record
+    with the new state can't be written.  The planner that probes the head must
+    announce the reported state to other hosts, as it isn't known from records.
     """
     planner, other = Host("a"), Host("b")
     for host in (planner, other):
@@ -549,7 +553,7 @@
     planner.fleet._on_reported("i1", REPORT)
     updates = planner.passed_on[-1]
     assert updates.reported
-    other.fleet._on_passed_on(updates)
+    other.fleet._on_forwarded_updates(updates)
     for host in (planner, other):
         found = host.directory.by_id["i1"]
         assert (found.group.state, found.slots) == (GroupState.OPEN, 7)
@@ -560,7 +564,7 @@
     assert len(planner.passed_on) == n_passed_on
 
 
-def test_what_another_was_told_changes_no_list_that_is_read(clock: Clock) -> None:
+def test_forwarded_reports_are_ignored_while_the_list_is_current(clock: Clock) -> None:
     reader, other = Host("a"), Host("b")
     for host in (reader, other):
         host.listed(_put("i1", 0), end=1)
@@ -568,12 +572,12 @@
     clock.now += LIST_STALE_AFTER + 0.1
     reader.fleet._on_reported("i1", REPORT)
     other.fleet.servers.answered_at = clock.now
-    other.fleet._on_passed_on(reader.passed_on[-1])
+    other.fleet._on_forwarded_updates(reader.passed_on[-1])
     assert other.directory.by_id["i1"].group is None
 
 
 @pytest.mark.parametrize("report", [b"", b"<html>", b"[]", b'{"group": 3}'])
-def test_reports_that_make_no_sense_change_nothing(clock: Clock, report: bytes) -> None:
+def test_unreadable_reports_change_nothing(clock: Clock, report: bytes) -> None:
     host = Host("a")
     host.listed(_put("i1", 0), end=1)
     clock.now += LIST_STALE_AFTER + 0.1
@@ -583,105 +587,101 @@
     assert host.directory.by_id.keys() == {"i1"}
 
 
-def test_what_was_written_before_an_outage_goes_after_what_was_said_in_it(
+def test_reports_take_precedence_over_records_from_before_an_outage(
     clock: Clock,
 ) -> None:
-    """Show that a group that opened during an outage isn't taken for gone after it.
-
-    Symptom: two servers are joined to a group while the head of theirs is open.
-    Sequence: a group is decided on, the store goes away, its members are asked and its
-    head opens; the store is back, and what is read first was written before its
-    members had joined.
-    Cause: the older record took the place of the newer word; the head seemed to have
-    left, so its members seemed free.
+    """Guard against two servers that join a group while the head of theirs is open.
+
+    A group is planned, the store becomes unavailable, the group's members are probed
+    and its head opens.  The first records read after the store's return were written
+    before the members joined.  If such an older record replaced the newer report, the
+    head would seem to have left, and its members would seem free.
     """
     planner, other = Host("a"), Host("b")
     for host in (planner, other):
         host.listed(_put("i1", 0), end=1)
     clock.now += LIST_STALE_AFTER + 0.1
     planner.fleet._on_reported("i1", REPORT)
-    other.fleet._on_passed_on(planner.passed_on[-1])
+    other.fleet._on_forwarded_updates(planner.passed_on[-1])
     clock.now += 5.0
     stale = planner.read(_put("i1", 1, state="draining"), end=2)
-    other.fleet._on_passed_on(stale)
+    other.fleet._on_forwarded_updates(stale)
     for host in (planner, other):
         found = host.directory.by_id["i1"]
         assert found.group.state is GroupState.OPEN
-        # That it is leaving counts at once.
+        # The record's draining state applies at once.
         assert found.draining
     clock.now += REPORTED_FOR - 0.1
     planner.fleet._on_tick()
     assert planner.directory.by_id["i1"].group is not None
     clock.now += 0.2
-    # By now it has written anew, or is in no group any more.
+    # By now the server has renewed its record, or is no longer in a group.
     for host in (planner, other):
         host.fleet._on_tick()
         assert host.directory.by_id["i1"].group is None
 
 
-def test_a_server_that_was_started_anew_since_it_was_asked_is_shown_so(
+def test_record_of_a_restarted_server_replaces_its_report(
     clock: Clock,
 ) -> None:
-    """Show that the list goes first where it tells of a later start.
-
-    Symptom: for three seconds after an outage requests are sent to a head that has
-    forgotten its group.
-    Sequence: a head opens while the store is away and says so when it is asked; it
-    crashes, starts again under its id, by a clock that has stepped back, and the store
-    is back.
-    Cause: its own word went before the list, whatever incarnation each was of.
+    """Guard against requests to a restarted head for three seconds after an outage.
+
+    A head reports that it is open while the store is unavailable.  It crashes and
+    restarts under the same id, with a clock that has stepped back and without its
+    group, and the store returns.  The report must take precedence over the record only
+    if the record isn't of a later incarnation.
     """
     planner, other = Host("a"), Host("b")
     for host in (planner, other):
         host.listed(_put("i1", 0, born=1000), end=1)
     clock.now += LIST_STALE_AFTER + 0.1
-    said = REPORT.replace(b'"busy"', b'"born": 2000, "busy"')
-    planner.fleet._on_reported("i1", said)
-    other.fleet._on_passed_on(planner.passed_on[-1])
-    # What was written before the outage is of the start before: it goes after.
+    report = REPORT.replace(b'"busy"', b'"born": 2000, "busy"')
+    planner.fleet._on_reported("i1", report)
+    other.fleet._on_forwarded_updates(planner.passed_on[-1])
+    # The record written before the outage is of the earlier start, so the report takes
+    # precedence.
     clock.now += 5.0
-    other.fleet._on_passed_on(planner.read(_put("i1", 1, born=1000), end=2))
+    other.fleet._on_forwarded_updates(planner.read(_put("i1", 1, born=1000), end=2))
     for host in (planner, other):
         assert host.directory.by_id["i1"].started_at == 2000
     later = planner.read(_put("i1", 2, born=1500, group=None), end=3)
-    other.fleet._on_passed_on(later)
+    other.fleet._on_forwarded_updates(later)
     for host in (planner, other):
         found = host.directory.by_id["i1"]
         assert (found.started_at, found.group) == (1500, None)
 
 
-def test_an_entry_of_another_writer_names_no_server(
+def test_unreadable_record_of_another_writer_affects_no_other_server(
     clock: Clock, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Show that one entry that can't be read stays without effect on the others.
+    """Guard against requests to a server whose record was overwritten.
 
-    Symptom: requests go on being sent to a server whose entry was written over, or
-    one that is wrong is logged at each of its heartbeats.
-    Sequence: another writer writes under ids of its own and under that of a server
-    which lives, and of one which doesn't write any more.
-    Cause: what can't be read was passed over, and the entry before held on.
+    Another writer writes unreadable records under new ids, under the id of a live
+    server and under the id of a server that no longer writes.  If unreadable records
+    were only skipped, the previous record would stay valid.  An unreadable record must
+    not be logged again at each renewal either.
     """
     reader, other = Host("a"), Host("b")
     for host in (reader, other):
         host.listed(_put("i1", 0), _put("i2", 1), end=2)
     wrong = [_put(key, 2 + n, slots="x") for n, key in enumerate(("i1", "i2", "i9"))]
-    other.fleet._on_passed_on(reader.read(*wrong, end=5))
-    other.fleet._on_passed_on(reader.read(_put("i9", 5, state="odd"), end=6))
+    other.fleet._on_forwarded_updates(reader.read(*wrong, end=5))
+    other.fleet._on_forwarded_updates(reader.read(_put("i9", 5, state="odd"), end=6))
     assert caplog.messages.count("server_unreadable") == 2 * len(wrong)
-    other.fleet._on_passed_on(reader.read(_put("i1", 6), _put("i3", 7), end=8))
+    other.fleet._on_forwarded_updates(reader.read(_put("i1", 6), _put("i3", 7), end=8))
     clock.now += 2.5
     for host in (reader, other):
         host.fleet._on_tick()
         assert host.directory.by_id.keys() == {"i1", "i3"}
 
 
-def test_a_server_that_is_gone_after_an_outage_is_gone(clock: Clock) -> None:
+def test_server_removed_after_an_outage_is_removed(clock: Clock) -> None:
     host = Host("a")
     host.listed(_put("i1", 0), end=1)
     clock.now += LIST_STALE_AFTER + 0.1
     host.fleet._on_reported("i1", REPORT)
     clock.now += OUTAGE + ENTRIES_BACK
-    host.read(_put("i1", 1), _gone("i1", 2), end=3)
+    host.read(_put("i1", 1), _removed("i1", 2), end=3)
     clock.now += ENTRIES_BACK + REPORTED_FOR + 0.1
     host.fleet._on_tick()
     clock.now += 0.1
@@ -689,8 +689,8 @@
     assert host.directory.by_id == {}
 
 
-def _resting(name: str) -> Host:
-    """Return a host that leaves the reading of configurations to others."""
+def _host_with_suspended_reading(name: str) -> Host:
+    """Return a host whose reading of the configuration is suspended."""
     host = Host(name)
     follower = host.fleet.configuration
     follower.next_call(now=0.0)
@@ -699,8 +699,8 @@
     return host
 
 
-def _newer(host: Host, *, zone: str = "z", size: int = 100) -> HostHeartbeat:
-    """Return the word of a host that has a newer configuration."""
+def _newer_heartbeat(host: Host, *, zone: str = "z", size: int = 100) -> HostHeartbeat:
+    """Return the heartbeat of a host that has a newer configuration."""
     host.fleet._heartbeats.addresses_by_host["a"] = HostAddress(
         host="a", address="10.0.0.9:7000", availability_zone=zone
     )
@@ -725,42 +725,40 @@
     ],
     ids=["of its zone", "too long for one link", "of another zone"],
 )
-def test_a_host_that_rests_gets_a_newer_configuration(
+def test_host_with_suspended_reading_fetches_a_newer_configuration(
     clock: Clock, zone: str, size: int, asks_host: bool, asks_store: bool
 ) -> None:
-    host = _resting("b")
-    host.fleet.note_version(_newer(host, zone=zone, size=size), now=clock.now)
+    host = _host_with_suspended_reading("b")
+    host.fleet.note_version(_newer_heartbeat(host, zone=zone, size=size), now=clock.now)
     assert [request.path for request in host.asked] == [CONFIGURATION_PATH] * asks_host
     call = host.fleet.configuration.next_call(now=clock.now)
     assert (call is not None) is asks_store
 
 
-def test_a_configuration_that_does_not_come_is_asked_for_everywhere(
+def test_overdue_configuration_is_requested_from_all_sources(
     clock: Clock,
 ) -> None:
-    """Let the host that has a newer configuration give none.
+    """Guard against a host that applies a newer configuration late.
 
-    Symptom: a configuration is in force late on one host.  Sequence: it rests, hears
-    of a newer version, and the way to the host that has it goes silent.  Cause: only
-    that one was asked.
+    A host with suspended reading learns of a newer version, and its connection to the
+    host that announced the version goes silent.  It must then read the store as well.
     """
-    host = _resting("b")
-    heartbeat = _newer(host)
+    host = _host_with_suspended_reading("b")
+    heartbeat = _newer_heartbeat(host)
     host.fleet.note_version(heartbeat, now=clock.now)
-    host.fleet.note_version(heartbeat, now=clock.now + ASKED_FIRST + 0.01)
+    host.fleet.note_version(heartbeat, now=clock.now + FALLBACK_DELAY + 0.01)
     assert host.fleet.configuration.next_call(now=clock.now + 0.4) is not None
 
 
-def test_a_host_reads_the_others_until_they_can_know_it(clock: Clock) -> None:
-    """Start two hosts at once.
+def test_starting_hosts_read_until_they_can_discover_each_other(clock: Clock) -> None:
+    """Guard against two hosts that start at once and never exchange heartbeats.
 
-    Symptom: two hosts never hear each other.  Sequence: both list the hosts, then
-    both write their own record.  Cause: each rested before it read what came after
-    its own record.
+    Both hosts list the hosts' records before either has written its own.  Neither may
+    suspend reading before it has read past its own record.
     """
-    host = _resting("c")
+    host = _host_with_suspended_reading("c")
     for name in ("a", "b"):
-        heartbeat = _newer(host)
+        heartbeat = _newer_heartbeat(host)
         host.fleet._heartbeats.take(
             replace(heartbeat, host=name), address=name, now=clock.now
         )
@@ -770,7 +768,7 @@
     follower.next_call(now=clock.now)
     follower.answered(200, b'{"items": [], "more": false, "end": 0}', now=clock.now)
     clock.now += 0.5
-    host.fleet._take_announced(StoreAnswer(status=200))
+    host.fleet._on_announced(StoreAnswer(status=200))
     host.fleet._suspend_or_read(now=clock.now)
     assert not follower.suspended
     clock.now += 0.1
@@ -779,51 +777,60 @@
     assert follower.suspended
 
 
-def _come_back(
-    host: Host, *records: KeyedRecord, is_told_first: bool = True, end: int
+def _return_store(
+    host: Host, *records: KeyedRecord, is_notified_first: bool = True, end: int
 ) -> None:
-    """Let the store come back from an older copy, and the host list it."""
+    """Simulate the store's return from an older copy, which the host then lists.
+
+    Parameters
+    ----------
+    is_notified_first : bool
+        Whether the host is notified of the return before it lists the copy.
+    """
     store = host.fleet._store
-    store.note_era(1, peer="store", now=time.monotonic())
-    told: list[object] = []
-    store.fire = lambda event, *channels: told.append(event)
-    store.note_era(2, peer="store", now=time.monotonic())
-    assert len(told) == 1
-    if is_told_first:
+    store.record_era(1, peer="store", now=time.monotonic())
+    fired: list[object] = []
+    store.fire = lambda event, *channels: fired.append(event)
+    store.record_era(2, peer="store", now=time.monotonic())
+    assert len(fired) == 1
+    if is_notified_first:
         host.fleet._on_store_returned()
     host.listed(*records, end=end)
     host.fleet.servers.era = 2
-    if not is_told_first:
+    if not is_notified_first:
         host.fleet._on_store_returned()
 
 
-def test_a_copy_of_the_store_takes_back_nothing_that_is_known(clock: Clock) -> None:
-    """Guard against an older entry: a leaving server as ready, a member as free."""
+def test_older_copy_of_the_store_does_not_revert_known_servers(clock: Clock) -> None:
+    """Guard against an older record that shows a draining server as ready.
+
+    An older record could likewise show a member of a group as free.
+    """
     host = Host("a")
     host.listed(_put("i1", 0), end=1)
     host.read(_put("i1", 1, state="draining"), end=2)
-    _come_back(host, _put("i1", 0), _put("gone", 0), end=1)
+    _return_store(host, _put("i1", 0), _put("gone", 0), end=1)
     assert host.directory.by_id["i1"].draining
     assert "gone" not in host.directory.by_id
     clock.now += ENTRIES_BACK + 0.1
     host.fleet._on_tick()
     assert host.directory.by_id["i1"].draining
-    # What it writes again is newer than the copy.
+    # The server's renewed record is newer than the copy.
     host.read(_put("i1", 1, slots=7), end=2)
     assert not host.directory.by_id["i1"].draining
 
 
-@pytest.mark.parametrize("is_told_first", [True, False])
-def test_servers_that_a_copy_lacks_are_waited_for(
-    clock: Clock, is_told_first: bool
+@pytest.mark.parametrize("is_notified_first", [True, False])
+def test_servers_missing_from_an_older_copy_are_kept_for_a_while(
+    clock: Clock, is_notified_first: bool
 ) -> None:
     """Guard against groups that end because a copy doesn't show their members yet.
 
-    The listing of the copy may itself be what shows that the store has returned.
+    The host may learn of the store's return only from the listing of the copy itself.
     """
     host = Host("a")
     host.listed(_put("i1", 0), _put("i2", 1), end=2)
-    _come_back(host, is_told_first=is_told_first, end=0)
+    _return_store(host, is_notified_first=is_notified_first, end=0)
     host.fleet._on_tick()
     assert host.directory.by_id.keys() == {"i1", "i2"}
     host.read(_put("i1", 0), end=1)
@@ -832,55 +839,58 @@
     assert host.directory.by_id.keys() == {"i1"}
 
 
-def test_a_host_that_knows_no_server_takes_a_copy_for_the_truth(clock: Clock) -> None:
-    """Guard against a host that is started in a return and serves nobody."""
+def test_host_that_knows_no_servers_trusts_an_older_copy(clock: Clock) -> None:
+    """Guard against a host that starts during the store's return and can't serve."""
     host = Host("a")
-    _come_back(host, _put("i1", 0), end=1)
+    _return_store(host, _put("i1", 0), end=1)
     assert host.directory.by_id.keys() == {"i1"}
 
 
-def test_what_is_written_again_is_told_though_it_says_nothing_new(
+def test_renewed_records_are_forwarded_unchanged_after_a_return(
     clock: Clock,
 ) -> None:
-    """Guard against a host that was started in between and has listed the copy."""
+    """Guard against a host that started in the meantime and has listed the copy."""
     host = Host("a")
     host.listed(_put("i1", 0), end=1)
-    _come_back(host, end=0)
+    _return_store(host, end=0)
     updates = host.read(_put("i1", 0), end=1)
     assert [record.key for record in updates.records] == ["i1"]
     assert updates.era == 2
-    clock.now += ENTRIES_WRITTEN_AGAIN + 0.1
+    clock.now += RENEWAL_TIME_AFTER_RETURN + 0.1
     assert host.read(_put("i1", 1), end=2).records == []
 
 
-def test_a_host_whose_address_may_be_lost_writes_it_again(clock: Clock) -> None:
-    """Guard against hosts that others don't find after the store's return."""
+def test_host_writes_its_address_again_after_the_store_returns(clock: Clock) -> None:
+    """Guard against hosts whose address others can't find after the store's return."""
     host = Host("a")
-    host.fleet._take_announced(StoreAnswer(status=200))
+    host.fleet._on_announced(StoreAnswer(status=200))
     appended: list[LogCall] = []
     host.fleet._store.call = lambda call, take: appended.append(call)
     host.fleet._on_tick()
     assert appended == []
-    _come_back(host, end=0)
+    _return_store(host, end=0)
     host.fleet._on_tick()
     [call] = appended
     assert call.method == "POST"
 
 
-def _operators(key: str, value: bytes, offset: int) -> KeyedRecord:
+def _operator_record(key: str, value: bytes, offset: int) -> KeyedRecord:
     return KeyedRecord(key=key, value=value, offset=offset)
 
 
 def test_requests_to_evacuate_zones_are_read(clock: Clock) -> None:
     host = Host("a")
     host.fleet.configuration.offset = 4
-    listed = [_operators("evacuate/x", b"{}", 3)]
-    host.fleet._take_configuration(TopicUpdates(records=listed, complete=True))
+    listed = [_operator_record("evacuate/x", b"{}", 3)]
+    host.fleet._apply_operator_updates(TopicUpdates(records=listed, complete=True))
     evacuations = host.fleet._evacuations
     assert evacuations.zones == {"x"}
-    read = [_operators("evacuate/y", b"{}", 4), _operators("evacuate/x", b"", 5)]
-    host.fleet._take_configuration(TopicUpdates(records=read, start=4))
+    read = [
+        _operator_record("evacuate/y", b"{}", 4),
+        _operator_record("evacuate/x", b"", 5),
+    ]
+    host.fleet._apply_operator_updates(TopicUpdates(records=read, start=4))
     assert evacuations.zones == {"y"}
-    # What another host has told of already comes late.
-    host.fleet._take_configuration(TopicUpdates(records=read[:1], start=4))
+    # A record older than the known position is ignored.
+    host.fleet._apply_operator_updates(TopicUpdates(records=read[:1], start=4))
     assert (evacuations.zones, evacuations.as_of.offset) == ({"y"}, 6)
--- a/tests/test_host_exchange.py
+++ b/tests/test_host_exchange.py
@@ -81,7 +81,7 @@
                 still=self.still_by_host.get(host, ()),
                 plans=(zone,),
             ),
-            take_version=lambda heartbeat: None,
+            on_heartbeat=lambda heartbeat: None,
         )
         exchange.fire = lambda event, channel: self._fired(host, event, channel)
         return exchange
@@ -126,7 +126,7 @@
     return network.n_sent - before
 
 
-def test_news_are_passed_on_once(network: Network) -> None:
+def test_updates_are_forwarded_once(network: Network) -> None:
     """Show that hosts of a zone don't pass the same news to each other for ever.
 
     Symptom: a zone's links and processors are full for as long as several of its
@@ -141,11 +141,11 @@
         assert [taken.records for taken in network.taken_by_host[host]]
 
 
-def test_a_reader_tells_its_own_zone_itself(network: Network) -> None:
+def test_reader_sends_updates_to_its_own_zone_itself(network: Network) -> None:
     assert _read(network, "b") == 3
 
 
-def test_no_host_sends_what_one_has_read_to_a_whole_zone() -> None:
+def test_sending_updates_to_a_large_zone_is_shared() -> None:
     """Guard against a reader whose link fills while the groups of a fleet form."""
     zone_by_host = {f"x{index:03}": "x" for index in range(90)}
     zone_by_host |= {f"y{index:03}": "y" for index in range(130)}
@@ -166,7 +166,7 @@
     return network.exchanges_by_host[host]._heartbeats
 
 
-def test_one_host_speaks_for_its_zone(network: Network) -> None:
+def test_one_host_represents_its_zone(network: Network) -> None:
     """Show that words between zones don't grow with the square of the hosts.
 
     Symptom: at 390 hosts words take a twelfth of a core on each.  Sequence: each host
@@ -195,7 +195,7 @@
         assert heartbeats.n_hosts(now=time.monotonic()) == len(ZONE_BY_HOST)
 
 
-def test_a_word_for_a_zone_is_passed_on_once(network: Network) -> None:
+def test_zone_heartbeat_is_forwarded_once(network: Network) -> None:
     before = network.n_sent
     for _ in range(TICKS_PER_ZONE_HEARTBEAT):
         network.exchanges_by_host["a"]._on_tick()
@@ -204,7 +204,7 @@
     assert network.n_sent - before <= 2 + 2 * 2
 
 
-def test_another_host_is_told_when_the_one_that_spoke_is_lost(
+def test_another_host_gets_heartbeats_when_the_zone_representative_is_lost(
     network: Network,
 ) -> None:
     """Lose the host that speaks for a zone.
@@ -225,7 +225,7 @@
     assert told == {"c", "d"}
 
 
-def test_a_group_that_stands_still_is_told_at_once(network: Network) -> None:
+def test_stalled_group_is_announced_at_once(network: Network) -> None:
     """Let a group stand still in a zone where words are seldom.
 
     Symptom: at 87 hosts, half of the requests of a busy day are late.  Sequence: a
@@ -251,7 +251,7 @@
     assert network.n_sent == before
 
 
-def test_a_host_that_will_tell_less_often_says_so(network: Network) -> None:
+def test_host_announces_its_longer_heartbeat_interval(network: Network) -> None:
     """Guard against living hosts that count as gone while a large zone starts."""
     for exchange in network.exchanges_by_host.values():
         exchange._heartbeats.reads_for_zone = lambda reads_store, now: False
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -51,7 +51,7 @@
     os.close(opened.write_fd)
 
 
-def test_a_line_holds_its_fields(pipe: Pipe) -> None:
+def test_line_has_the_fields_of_its_event(pipe: Pipe) -> None:
     pipe.log("answered", at=1.0, request="r1", status=200)
     assert pipe.lines() == [
         {"time": 1.0, "level": "info", "event": "answered", "request": "r1"}
@@ -59,7 +59,7 @@
     ]
 
 
-def test_a_pipe_that_nobody_reads_holds_nothing_up(pipe: Pipe) -> None:
+def test_unread_pipe_does_not_block_the_process(pipe: Pipe) -> None:
     """Show that a process goes on when its log isn't read.
 
     Symptom: a host answers nothing any more, and nothing says why.
@@ -82,14 +82,14 @@
     assert lines[-1]["event"] == "later"
 
 
-def test_a_reader_that_is_gone_ends_nothing(pipe: Pipe) -> None:
+def test_closed_reader_does_not_raise(pipe: Pipe) -> None:
     os.close(pipe.read_fd)
     pipe.log("answered", at=1.0)
     pipe.log("answered", at=1.0)
     pipe.read_fd = os.open(os.devnull, os.O_RDONLY)
 
 
-def test_lines_are_bounded_and_failures_kept(pipe: Pipe) -> None:
+def test_lines_are_limited_and_failures_kept(pipe: Pipe) -> None:
     for number in range(1000):
         pipe.log("answered", at=5.5, request=f"r{number}", status=200)
     for number in range(50):
@@ -106,7 +106,7 @@
     assert told["n_in_all"] == 1000 - MAX_LINES_OF_KIND
 
 
-def test_lines_of_all_kinds_are_bounded(pipe: Pipe) -> None:
+def test_lines_of_all_kinds_are_limited(pipe: Pipe) -> None:
     for number in range(1000):
         pipe.log(f"kind-{number}", at=5.5)
     assert len(pipe.lines()) <= MAX_LINES + 1
--- a/tests/test_relay_host.py
+++ b/tests/test_relay_host.py
@@ -55,7 +55,7 @@
     )
 
 
-def test_a_host_imports_nothing_that_it_does_not_serve_with() -> None:
+def test_host_imports_only_what_it_needs() -> None:
     """Show that callers don't wait for modules that nobody uses.
 
     Symptom: after all hosts lost their power, callers are refused for 1.3 s.
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("port", ["x", "-1", "65536"])
-def test_a_wrong_port_of_the_metrics_is_named(port: str) -> None:
+def test_invalid_metrics_port_is_reported(port: str) -> None:
     code = "import sys; from ryelever.relay_host import main; sys.exit(main())"
     ended = _started(code, **{METRICS_VARIABLE: port})
     assert ended.returncode == ExitCode.FAULTY_INPUT
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -28,7 +28,7 @@
         pytest.param(["1", None, "many", "", "-2", "1"], 0, id="none-that-is-read"),
     ],
 )
-def test_the_stores_return_is_noticed_once(
+def test_return_of_the_store_is_detected_once(
     eras: list[str | None], n_returns: int
 ) -> None:
     """Guard against a return that is missed, or taken for one more."""
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -73,7 +73,7 @@
     assert short.issuperset(long)
 
 
-def test_missed_rounds_are_left_out(fired: list[tuple[float, str]]) -> None:
+def test_missed_rounds_are_skipped(fired: list[tuple[float, str]]) -> None:
     times = [when for when, name in fired if name == "short_round"]
     gaps = [later - earlier for earlier, later in zip(times, times[1:], strict=False)]
     assert min(gaps) > 0.05
