--- a/ryelever/fleet_directory.py
+++ b/ryelever/fleet_directory.py
@@ -540,14 +540,14 @@
         other hosts.
         """
         self._newer_than_copy.difference_update(record.key for record in records)
-        superseded = {
+        overtaken = {
             record.offset for record in records if self._superseded.supersedes(record)
         }
-        fresh = [record for record in records if record.offset not in superseded]
+        fresh = [record for record in records if record.offset not in overtaken]
         forwarded = {
             record.offset for record in self._apply_store_records(fresh, now=now)
         }
-        forwarded |= superseded
+        forwarded |= overtaken
         return [record for record in records if record.offset in forwarded]
 
     def _apply_store_records(
--- a/ryelever/host_exchange.py
+++ b/ryelever/host_exchange.py
@@ -1,4 +1,4 @@
-"""Exchange words with the other entry hosts."""
+"""Exchange heartbeats and server updates with the other entry hosts over UDP."""
 
 from __future__ import annotations
 
@@ -33,30 +33,30 @@
 
 __all__ = ["HostExchange", "HEARTBEAT_INTERVAL"]
 
-#: Seconds between two words to the hosts of the same availability zone, where there
-#: are few.  What another host sends to a group is known within this time, a seventh
-#: of a stream.
+#: Seconds between two heartbeats to the hosts of the same availability zone, if the
+#: zone has few hosts.  Requests that another host sends to a group are known within
+#: this time, a seventh of a stream's duration.
 HEARTBEAT_INTERVAL = 0.2
 
-#: Ticks between two words to another zone: bytes between zones are paid for, and load
-#: there matters less.
+#: Ticks between two heartbeats to another zone: traffic between zones costs money, and
+#: the other zone's load matters less.
 TICKS_PER_ZONE_HEARTBEAT = 3
 
 
-#: Seconds after its start within which a host hears the others of its zone, and those
-#: that speak for other zones.
+#: Seconds after its start within which a host receives heartbeats from the other hosts
+#: of its zone and from the representatives of other zones.
 DISCOVERY_TIME = 1.0
 
 
 class HostExchange(BaseComponent):
-    """Own what this host tells others, and take what they tell.
+    """Send this host's heartbeats and updates, and process those of other hosts.
 
     Parameters
     ----------
     describe : callable
-        Return this host's word as far as other components know it.
+        Return this host's heartbeat without the fields that this component sets.
     on_heartbeat : callable
-        Take note that another host has a configuration version in force.
+        Called with each new heartbeat of another host.
     """
 
     channel = "exchange"
@@ -85,14 +85,14 @@
         self._n_broadcasts = 0
         self._last_near_state: tuple[object, ...] = ()
         self._last_far_state: tuple[object, ...] = ()
-        self._heard: set[str] = set()
+        self._reachable_peers: set[str] = set()
         self._unreachable_zones: set[str] = set()
         self._started_at = time.monotonic()
 
     @property
     def n_reachable_peers(self) -> int:
-        """Return how many other entry hosts of the zone are heard."""
-        return len(self._heard)
+        """Return the number of other hosts of the zone that send heartbeats."""
+        return len(self._reachable_peers)
 
     @handler("heartbeat_tick")
     def _on_tick(self) -> None:
@@ -101,7 +101,8 @@
         described = self._describe()
         planning = self._settings.availability_zone in described.plans
         represents_zone = self._heartbeats.represents_zone(planning=planning, now=now)
-        # Others rely on who speaks or reads for them, and notice soon if it is lost.
+        # Other hosts rely on a zone representative or reader, so such a host sends a
+        # heartbeat at each tick, and its loss is noticed soon.
         relied_on = represents_zone or self._heartbeats.reads_for_zone(
             reads_store=described.reads_store, now=now
         )
@@ -134,7 +135,7 @@
 
     def _update_limit_shares(self, *, now: float) -> None:
         if self._balancer.limits.is_empty or now - self._started_at < DISCOVERY_TIME:
-            # A host that has heard nobody yet would take all of a limit.
+            # A host that has not yet received any heartbeats would claim a whole limit.
             return
         self._balancer.limits.share_out(
             host=self._settings.host,
@@ -161,7 +162,7 @@
         )
 
     def _send_zone_heartbeat(self, own: HostHeartbeat, *, now: float) -> None:
-        """Tell the other zones what there is to say for this one, if it is time."""
+        """Send this zone's summary to the other zones if it is due or urgent."""
         summary = replace(
             zone_summary(own, self._heartbeats.near(now=now)),
             for_zone=True,
@@ -173,11 +174,14 @@
         self._last_far_state = state
         data = encode_heartbeat(summary)
         for zone in self._other_zones():
-            # Who spoke last may be lost, so that another one is told as well.
+            # The last known representative may be lost, so one more host of the zone,
+            # a different one each time, gets the heartbeat as well.
             others = self._heartbeats.hosts_of(zone)
-            told = {others[self._sequence // TICKS_PER_ZONE_HEARTBEAT % len(others)]}
-            told.add(self._heartbeats.zone_representative(zone) or "")
-            self._send(data, told)
+            receivers = {
+                others[self._sequence // TICKS_PER_ZONE_HEARTBEAT % len(others)]
+            }
+            receivers.add(self._heartbeats.zone_representative(zone) or "")
+            self._send(data, receivers)
 
     @handler("peers_received")
     def _on_received(self, datagrams: list[Datagram]) -> None:
@@ -195,7 +199,7 @@
                 log_event("word_unreadable", peer=datagram.address, why="relayed twice")
             elif self._heartbeats.take(heartbeat, address=datagram.address, now=now):
                 if heartbeat.for_zone and not heartbeat.passed_on:
-                    # The zone's other hosts hear of this one only here.
+                    # The other hosts of this zone get this heartbeat only from here.
                     self._broadcast_in_zone(
                         encode_heartbeat(replace(heartbeat, passed_on=True))
                     )
@@ -211,30 +215,34 @@
 
     @handler("server_updates")
     def _on_server_updates(self, updates: ServerUpdates) -> None:
-        """Pass on what this host has read, so that others need not read it."""
-        self._pass_on(updates)
+        """Send records that this host has read, so that other hosts needn't read them.
+
+        Each other zone gets them through one of its hosts.
+        """
+        self._send_updates(updates)
 
     def _apply_updates(self, updates: ServerUpdates) -> None:
         self.fire(server_updates(updates), "directory")
         reader = self._heartbeats.addresses_by_host.get(updates.reader)
-        knows_already = reader is not None and self._is_in_zone(reader)
-        if not updates.passed_on and not knows_already:
-            # News cross between zones once, to who speaks for one, who tells it; the
-            # reader has told its own.  What was passed on goes no further, or two
-            # hosts would send it to and fro for ever.
+        is_known_in_zone = reader is not None and self._is_in_zone(reader)
+        if not updates.passed_on and not is_known_in_zone:
+            # Updates are sent to another zone once, to its representative, which
+            # broadcasts them there; the reader itself broadcasts them in its own zone.
+            # Forwarded updates aren't forwarded again, or two hosts would send them
+            # back and forth forever.
             for data in encode_updates(replace(updates, passed_on=True)):
                 self._broadcast_in_zone(data)
 
-    def _pass_on(self, updates: ServerUpdates) -> None:
-        """Tell this zone, and one host of each other one."""
-        told = {
+    def _send_updates(self, updates: ServerUpdates) -> None:
+        """Send updates to all hosts of this zone and to one host of each other zone."""
+        receivers = {
             self._heartbeats.zone_representative(zone)
             or self._heartbeats.hosts_of(zone)[0]
             for zone in self._other_zones()
         }
         for data in encode_updates(updates):
             self._broadcast_in_zone(data)
-            self._send(data, told)
+            self._send(data, receivers)
 
     def _other_zones(self) -> list[str]:
         """Return the other zones that have entry hosts."""
@@ -253,10 +261,11 @@
         return address.availability_zone == self._settings.availability_zone
 
     def _broadcast_in_zone(self, data: bytes) -> None:
-        """Tell the other hosts of this zone, some of them by way of others.
+        """Send a datagram to the other hosts of this zone, to some through others.
 
-        For what comes often or is long, and comes from one host or few: the link of
-        that one would carry it as many times as the zone has hosts.
+        Used for datagrams that are frequent or large and come from one host or a few:
+        sent directly, each would cross the sender's link once for every host of the
+        zone.
         """
         living = {
             heartbeat.host for heartbeat in self._heartbeats.near(now=time.monotonic())
@@ -272,15 +281,15 @@
         )
 
     def _forward_relayed(self, relayed: RelayedDatagram) -> None:
-        """Send on what others of this zone are to hear by way of this host."""
+        """Forward a relayed datagram to the receivers of this zone that it names."""
         self._send(relayed.data, set(relayed.hosts).intersection(self._zone_peers()))
 
     def _send(self, data: bytes, hosts: Iterable[str]) -> None:
-        """Send one datagram to each of some hosts that are known."""
+        """Send one datagram to several hosts; skip hosts without a known address."""
         self._send_datagrams((host, data) for host in hosts)
 
     def _send_datagrams(self, data_by_host: Iterable[tuple[str, bytes]]) -> None:
-        """Send each of some hosts that are known a datagram, all in one event."""
+        """Send a datagram to each host, all in one event; skip unknown hosts."""
         by_host = self._heartbeats.addresses_by_host
         datagrams = [
             Datagram(address=by_host[host].address, data=data)
@@ -291,21 +300,21 @@
             self.fire(peers_send(datagrams), "peers")
 
     def _mark_stalled(self, heartbeat: HostHeartbeat, *, now: float) -> None:
-        """Leave groups alone that stand still for another host, and not here."""
+        """Avoid groups that another host sees stalled, unless they progress here."""
         for server_id in heartbeat.still:
             if not self._stall_watch.has_progressed(server_id, now=now):
                 self._balancer.mark_stalled(server_id, now=now)
 
     def _log_reachability_changes(self, *, now: float) -> None:
-        heard = {heartbeat.host for heartbeat in self._heartbeats.near(now=now)}
-        for host in heard - self._heard:
+        reachable = {heartbeat.host for heartbeat in self._heartbeats.near(now=now)}
+        for host in reachable - self._reachable_peers:
             log_event("peer_heard", peer=host)
-        for host in self._heard - heard:
+        for host in self._reachable_peers - reachable:
             log_event("peer_lost", peer=host)
-        self._heard = heard
-        unheard = self._balancer.unreachable_zones
-        for zone in unheard - self._unreachable_zones:
+        self._reachable_peers = reachable
+        unreachable = self._balancer.unreachable_zones
+        for zone in unreachable - self._unreachable_zones:
             log_event("zone_lost", zone=zone)
-        for zone in self._unreachable_zones - unheard:
+        for zone in self._unreachable_zones - unreachable:
             log_event("zone_regained", zone=zone)
-        self._unreachable_zones = unheard
+        self._unreachable_zones = unreachable
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -1,4 +1,4 @@
-"""Play entry hosts before backend servers that name rate limits, without a network."""
+"""Simulate entry hosts and backend servers with rate limits, without a network."""
 
 from __future__ import annotations
 
@@ -35,42 +35,44 @@
 
 MESSAGES = PlatformMessages()
 
-#: Seconds from a host to a backend server or to another host.
+#: One-way latency in seconds from a host to a backend server or to another host.
 ONE_WAY = 0.002
 
-#: Requests a second that a cold server bears.
+#: Requests a second that a cold server can handle.
 COLD_RATE = 17.0
 
-#: Seconds within which all hosts have read a server's entry.
+#: Seconds within which all hosts have read a server's record.
 ENTRY_READ = 0.4
 
-#: Seconds between two looks of a host at what waits.
+#: Seconds between two passes of a host over its waiting requests.
 TICK = 0.05
 
 
 def most_within(times: list[float], *, window: float) -> int:
-    """Return the most of some times, in their order, that lie within one window."""
+    """Return the maximum number of sorted times that lie within one window."""
     first = 0
-    most = 0
+    n_max = 0
     for index, at in enumerate(times):
         while times[first] < at - window:
             first += 1
-        most = max(most, index - first + 1)
-    return most
+        n_max = max(n_max, index - first + 1)
+    return n_max
 
 
 @dataclass(slots=True, kw_only=True)
 class LimitedServer:
-    """Hold one backend server, and what reached it.
+    """Represent one backend server and the requests that reached it.
 
     Attributes
     ----------
+    seconds : float
+        Time that the server takes for each request.
     limit : str or None
-        What its answers name as its rate limit.
+        Value of the rate limit header in the server's answers; None for no header.
     arrivals : list of (float, str)
-        When requests came, and from which host.
+        Arrival times of requests, and the hosts that sent them.
     told_at_by_host : dict of str to float
-        When each host passed on an answer that names a limit, for the first time.
+        Time at which each host first received an answer that contains a limit.
     """
 
     server: BackendServer
@@ -80,7 +82,13 @@
     told_at_by_host: dict[str, float] = field(default_factory=dict)
 
     def arrivals_of_told(self, *, after: float) -> list[float]:
-        """Return when requests came from hosts that had known for half a second."""
+        """Return arrival times of requests from hosts that had known a limit for 0.5 s.
+
+        Parameters
+        ----------
+        after : float
+            Time before which arrivals are left out.
+        """
         never = float("inf")
         return [
             at
@@ -89,12 +97,12 @@
         ]
 
     def n_between(self, start: float, end: float) -> int:
-        """Return how many requests came in a span."""
+        """Return the number of requests that arrived between two times."""
         return sum(start <= at < end for at, _ in self.arrivals)
 
 
 class SimulatedClock:
-    """Take the place of the module ``time``."""
+    """Replace the module ``time`` with a simulated clock."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -105,7 +113,7 @@
 
 
 class _Host(Relaying):
-    """Hold one entry host: its decisions, and its words with others."""
+    """Simulate one entry host: its relaying decisions and its host exchange."""
 
     def __init__(self, *, fleet: LimitedFleet, name: str, zone: str, seed: int) -> None:
         super().__init__(
@@ -150,27 +158,27 @@
 
 
 class LimitedFleet:
-    """Run entry hosts, callers and backend servers by a clock of their own.
+    """Run entry hosts, callers and backend servers on a simulated clock.
 
     Parameters
     ----------
     clock : SimulatedClock
-        What the hosts take for the time.
+        Clock that the hosts read.
     n_hosts_by_zone : dict of str to int
-        Entry hosts of each availability zone.
+        Number of entry hosts by availability zone.
     n_servers_by_zone : dict of str to int
-        Backend servers of each.
+        Number of backend servers by availability zone.
     rate : float
-        Requests a second over all hosts.
+        Requests a second of all hosts together.
 
     Attributes
     ----------
     lost : callable
-        Whether nothing gets from one host to another now.
+        Return whether datagrams from one host to another are lost now.
     rate_by_host : dict of str to float
         Requests a second at each host.
     refusals : list of (float, str, RelayRefusal)
-        When and by which host callers were refused.
+        Time, host and answer of each refused request.
     """
 
     def __init__(
@@ -183,7 +191,7 @@
         seed: int = 1,
     ) -> None:
         self._clock = clock
-        self.lost: Callable[[_Host, _Host], bool] = lambda sender, taker: False
+        self.lost: Callable[[_Host, _Host], bool] = lambda sender, receiver: False
         self.refusals: list[tuple[float, str, RelayRefusal]] = []
         self.servers: dict[str, LimitedServer] = {}
         self.hosts: dict[str, _Host] = {}
@@ -201,27 +209,27 @@
 
     @property
     def now(self) -> float:
-        """Return the time."""
+        """Return the simulated time in seconds."""
         return self._clock.now
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Carry out all actions that are due up to a time."""
         while self._due and self._due[0][0] <= until:
             self._clock.now, _, action = heapq.heappop(self._due)
             action()
         self._clock.now = until
 
     def at(self, when: float, action: Callable[[], None]) -> None:
-        """Do something later."""
+        """Schedule an action."""
         heapq.heappush(self._due, (when, next(self._order), action))
 
     def come_back_cold(self, name: str, *, seconds: float) -> None:
-        """Let a server that is gone come back cold; hosts read so one after the other.
+        """Return a lost server as cold; hosts read its record at different times.
 
         Parameters
         ----------
         seconds : float
-            For which it stays cold.
+            Time for which the server stays cold.
         """
         cold = replace(self.servers[name].server, cold_for=seconds, started_at=1)
         warm = replace(cold, cold_for=0.0)
@@ -235,21 +243,21 @@
         host.directory.put(server, now=self.now)
 
     def lose(self, name: str) -> None:
-        """Take a server out of all hosts' lists."""
+        """Remove a server from the directories of all hosts."""
         for host in self.hosts.values():
             host.directory.remove(name, heard_at=self.now)
 
     def deliver(self, sender: _Host, datagram: Datagram) -> None:
-        """Bring a datagram to another host, unless it is lost."""
-        taker = self.hosts[datagram.address]
-        if self.lost(sender, taker):
+        """Deliver a datagram to another host, unless it is lost."""
+        receiver = self.hosts[datagram.address]
+        if self.lost(sender, receiver):
             return
         message = Datagram(address=sender.name, data=datagram.data)
-        take = taker.exchange._on_received
-        self.at(self.now + ONE_WAY, lambda: take([message]))
+        receive = receiver.exchange._on_received
+        self.at(self.now + ONE_WAY, lambda: receive([message]))
 
     def sent(self, host: _Host, attempt: RelayAttempt) -> None:
-        """Bring a request to its backend server, and the answer back."""
+        """Deliver a request to its backend server, which will answer the host."""
         self.at(self.now + ONE_WAY, lambda: self._arrive(host, attempt))
 
     def _add_server(self, name: str, *, zone: str) -> None:
@@ -283,7 +291,7 @@
         self.at(self._random.uniform(0.0, interval), again)
 
     def _call(self, host: _Host) -> None:
-        """Let a caller come, and the next one after it."""
+        """Send a caller's request to a host, and schedule the next request."""
         rate = self.rate_by_host[host.name]
         if rate:
             number = next(self._numbers)
@@ -304,9 +312,11 @@
         ]
         if server.limit is not None:
             headers.append((b"server-limit", server.limit.encode()))
-        self.at(self.now + ONE_WAY, lambda: self._pass_on(host, attempt, headers))
+        self.at(
+            self.now + ONE_WAY, lambda: self._deliver_answer(host, attempt, headers)
+        )
 
-    def _pass_on(
+    def _deliver_answer(
         self, host: _Host, attempt: RelayAttempt, headers: list[tuple[bytes, bytes]]
     ) -> None:
         server = self.servers[attempt.server_id]
@@ -318,7 +328,7 @@
 
 
 def _introduce(host: _Host, other: _Host) -> None:
-    """Let a host know where another one is."""
+    """Record another host's address at a host."""
     address = HostAddress(
         host=other.name, address=other.name, availability_zone=other.zone
     )
--- a/tests/test_host_exchange.py
+++ b/tests/test_host_exchange.py
@@ -1,4 +1,4 @@
-"""Test how news of the backend servers spread among entry hosts."""
+"""Test how heartbeats and server updates spread among entry hosts."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
 
 
 class Network:
-    """Hold the exchanges of several hosts, all of which plan for their zones.
+    """Simulate the network between several hosts, all of which plan for their zones.
 
     Attributes
     ----------
     n_sent : int
-        Datagrams that were delivered.
-    taken_by_host : dict of str to list of ServerUpdates
-        What each host took for its own list.
+        Datagrams taken from the network, including those dropped at the lost host.
+    applied_by_host : dict of str to list of ServerUpdates
+        Updates that each host's exchange handed to its directory.
     lost : str
-        A host that gets nothing any more.
-    still_by_host : dict of str to tuple of str
-        Heads whose groups stand still for a host.
+        Name of a host that no longer receives datagrams.
+    stalled_by_host : dict of str to tuple of str
+        Heads of the groups that each host sees stalled.
     """
 
     def __init__(self, zone_by_host: dict[str, str] = ZONE_BY_HOST) -> None:
@@ -50,12 +50,12 @@
         self.n_sent = 0
         self.n_sent_by_host: Counter[str] = Counter()
         self.lost = ""
-        self.still_by_host: dict[str, tuple[str, ...]] = {}
-        self.taken_by_host: dict[str, list[ServerUpdates]] = {}
+        self.stalled_by_host: dict[str, tuple[str, ...]] = {}
+        self.applied_by_host: dict[str, list[ServerUpdates]] = {}
         self.exchanges_by_host: dict[str, HostExchange] = {}
         self._waiting: list[tuple[str, Datagram]] = []
         for host in zone_by_host:
-            self.taken_by_host[host] = []
+            self.applied_by_host[host] = []
             self.exchanges_by_host[host] = self._exchange(host)
 
     def _exchange(self, host: str) -> HostExchange:
@@ -78,7 +78,7 @@
                 reads_store=True,
                 stopping=False,
                 configuration_version=1,
-                still=self.still_by_host.get(host, ()),
+                still=self.stalled_by_host.get(host, ()),
                 plans=(zone,),
             ),
             on_heartbeat=lambda heartbeat: None,
@@ -88,7 +88,7 @@
 
     def _fired(self, host: str, event: object, channel: str) -> None:
         if channel == "directory":
-            self.taken_by_host[host] += event.args
+            self.applied_by_host[host] += event.args
         elif channel == "peers":
             self.n_sent_by_host[host] += len(event.args[0])
             for datagram in event.args[0]:
@@ -97,7 +97,7 @@
                 )
 
     def deliver(self, *, at_most: int) -> None:
-        """Deliver what is under way, and what comes of it."""
+        """Deliver datagrams in flight and those sent in response."""
         while self._waiting and self.n_sent < at_most:
             host, datagram = self._waiting.pop(0)
             self.n_sent += 1
@@ -107,7 +107,7 @@
 
 @pytest.fixture
 def network() -> Network:
-    """Return hosts that have heard each other."""
+    """Return hosts that have received each other's heartbeats."""
     network = Network()
     for _ in range(TICKS_PER_ZONE_HEARTBEAT):
         for exchange in network.exchanges_by_host.values():
@@ -117,7 +117,7 @@
 
 
 def _read(network: Network, reader: str) -> int:
-    """Let a host read something; return how many datagrams come of it."""
+    """Simulate a host's read of a record; return the number of datagrams sent."""
     before = network.n_sent
     records = [KeyedRecord(key="i1", value=b"{}", offset=4)]
     updates = ServerUpdates(reader=reader, start=4, end=5, records=records)
@@ -127,18 +127,16 @@
 
 
 def test_updates_are_forwarded_once(network: Network) -> None:
-    """Show that hosts of a zone don't pass the same news to each other for ever.
+    """Guard against hosts of a zone that forward the same updates forever.
 
-    Symptom: a zone's links and processors are full for as long as several of its
-    hosts take themselves for the planner, as all do in the first moment.
-    Sequence: news come from another zone; each planner passes them on to its zone,
-    where the other planners do the same.
-    Cause: whoever planned passed on all that came, also what had been passed on.
+    Updates arrive from another zone while several hosts act as the zone's planner, as
+    all do right after their start.  If each planner also forwarded updates that had
+    been forwarded already, the zone's links and processors would be saturated.
     """
-    # To the one that speaks for the other zone, which tells the two others there.
+    # One datagram to the other zone's representative, two from there to its peers.
     assert _read(network, "a") == 1 + 2
     for host in "bcd":
-        assert [taken.records for taken in network.taken_by_host[host]]
+        assert [updates.records for updates in network.applied_by_host[host]]
 
 
 def test_reader_sends_updates_to_its_own_zone_itself(network: Network) -> None:
@@ -146,7 +144,7 @@
 
 
 def test_sending_updates_to_a_large_zone_is_shared() -> None:
-    """Guard against a reader whose link fills while the groups of a fleet form."""
+    """Guard against a reader whose link is saturated while a fleet's groups form."""
     zone_by_host = {f"x{index:03}": "x" for index in range(90)}
     zone_by_host |= {f"y{index:03}": "y" for index in range(130)}
     network = Network(zone_by_host)
@@ -155,11 +153,13 @@
         network.exchanges_by_host["y000"]._on_tick()
         network.deliver(at_most=100_000)
     network.n_sent_by_host.clear()
-    network.taken_by_host = {host: [] for host in zone_by_host}
+    network.applied_by_host = {host: [] for host in zone_by_host}
     _read(network, "x000")
     assert max(network.n_sent_by_host.values()) <= MAX_RECEIVERS + 1
-    taken = {host: len(updates) for host, updates in network.taken_by_host.items()}
-    assert taken == dict.fromkeys(zone_by_host, 1) | {"x000": 0}
+    n_applied = {
+        host: len(updates) for host, updates in network.applied_by_host.items()
+    }
+    assert n_applied == dict.fromkeys(zone_by_host, 1) | {"x000": 0}
 
 
 def _heartbeats_at(network: Network, host: str) -> HostHeartbeats:
@@ -167,10 +167,10 @@
 
 
 def test_one_host_represents_its_zone(network: Network) -> None:
-    """Show that words between zones don't grow with the square of the hosts.
+    """Guard against heartbeats between zones that grow with the square of the hosts.
 
-    Symptom: at 390 hosts words take a twelfth of a core on each.  Sequence: each host
-    tells each host of the other zones.  Cause: nobody spoke for more than itself.
+    If each host sent heartbeats to each host of the other zones, processing them would
+    take a twelfth of a core on each of 390 hosts.
     """
     for name, exchange in network.exchanges_by_host.items():
         exchange._balancer.record("i1").in_flight = ord(name)
@@ -178,14 +178,15 @@
         for exchange in network.exchanges_by_host.values():
             exchange._on_tick()
         network.deliver(at_most=network.n_sent + 100)
-    heard = _heartbeats_at(network, "a").living(now=time.monotonic())
+    received = _heartbeats_at(network, "a").living(now=time.monotonic())
     assert [
-        (heartbeat.host, heartbeat.for_zone, heartbeat.n_hosts) for heartbeat in heard
+        (heartbeat.host, heartbeat.for_zone, heartbeat.n_hosts)
+        for heartbeat in received
     ] == [("b", True, 3)]
     assert _heartbeats_at(network, "a").in_flight(now=time.monotonic()) == {
         "i1": sum(map(ord, "bcd"))
     }
-    # Those that don't speak hear of the other zone from the one that does.
+    # The other hosts of the zone get the other zone's summary through "b".
     for name in "cd":
         heartbeats = _heartbeats_at(network, name)
         assert heartbeats.zone_representative("x") == "a"
@@ -200,43 +201,41 @@
     for _ in range(TICKS_PER_ZONE_HEARTBEAT):
         network.exchanges_by_host["a"]._on_tick()
     network.deliver(at_most=before + 100)
-    # To who speaks there and to one more, whichever tells the two others first.
+    # To the representative and to one more host; each may forward to its two peers.
     assert network.n_sent - before <= 2 + 2 * 2
 
 
 def test_another_host_gets_heartbeats_when_the_zone_representative_is_lost(
     network: Network,
 ) -> None:
-    """Lose the host that speaks for a zone.
+    """Guard against a zone that gets no heartbeats of another zone for seconds.
 
-    Symptom: a zone hears nothing of another for seconds.  Sequence: the host that
-    spoke for it is killed, and the others of the zone have not yet spoken.  Cause:
-    words went only to the one that was heard last.
+    The zone's representative is killed, and no other host of the zone has sent a zone
+    heartbeat yet.  Heartbeats must not be sent to the last known representative only.
     """
-    told: set[str] = set()
+    reached: set[str] = set()
     network.lost = "b"
     for _ in range(3 * TICKS_PER_ZONE_HEARTBEAT):
         network.exchanges_by_host["a"]._on_tick()
     network.deliver(at_most=network.n_sent + 100)
     for name in "cd":
-        heard = _heartbeats_at(network, name)._heard_by_host["a"].heartbeat
-        if heard.sequence > TICKS_PER_ZONE_HEARTBEAT:
-            told.add(name)
-    assert told == {"c", "d"}
+        received = _heartbeats_at(network, name)._heard_by_host["a"].heartbeat
+        if received.sequence > TICKS_PER_ZONE_HEARTBEAT:
+            reached.add(name)
+    assert reached == {"c", "d"}
 
 
 def test_stalled_group_is_announced_at_once(network: Network) -> None:
-    """Let a group stand still in a zone where words are seldom.
+    """Guard against requests to a stalled group in a zone with infrequent heartbeats.
 
-    Symptom: at 87 hosts, half of the requests of a busy day are late.  Sequence: a
-    group stands still; the host that notices tells the others with its next regular
-    word, and they send requests there until then.  Cause: words about loads and about
-    lost groups were equally seldom.
+    If the host that notices a stall announced it only with its next regular heartbeat,
+    the other hosts would send requests to the group until then: at 87 hosts, half of
+    the requests of a busy day would be late.  A stall must be announced at once.
     """
     for exchange in network.exchanges_by_host.values():
         exchange._heartbeats.ticks_between_heartbeats = lambda now: 10**6
         exchange._heartbeats.reads_for_zone = lambda reads_store, now: False
-    network.still_by_host["d"] = ("h1",)
+    network.stalled_by_host["d"] = ("h1",)
     for name in "db":
         network.exchanges_by_host[name]._on_tick()
         network.deliver(at_most=network.n_sent + 100)
@@ -244,7 +243,7 @@
     for name in "bc":
         assert _heartbeats_at(network, name).still(now=now) == {"h1"}
     assert _heartbeats_at(network, "a").still(now=now) == {"h1"}
-    # What has not changed is not told again before its time.
+    # An unchanged state isn't sent again before the next regular heartbeat.
     before = network.n_sent
     network.exchanges_by_host["d"]._on_tick()
     network.deliver(at_most=before + 100)
@@ -252,18 +251,18 @@
 
 
 def test_host_announces_its_longer_heartbeat_interval(network: Network) -> None:
-    """Guard against living hosts that count as gone while a large zone starts."""
+    """Guard against live hosts that are considered lost while a large zone starts."""
     for exchange in network.exchanges_by_host.values():
         exchange._heartbeats.reads_for_zone = lambda reads_store, now: False
         exchange._heartbeats.represents_zone = lambda planning, now: False
-    teller = network.exchanges_by_host["d"]
-    # None of the next words is due at these intervals, but for the first.
-    teller._sequence = 4 * 7
+    sender = network.exchanges_by_host["d"]
+    # Of the next three heartbeats, only the first is due at these intervals.
+    sender._sequence = 4 * 7
     for n_ticks in (1, 4, 7):
-        teller._heartbeats.ticks_between_heartbeats = lambda now, n_ticks=n_ticks: (
+        sender._heartbeats.ticks_between_heartbeats = lambda now, n_ticks=n_ticks: (
             n_ticks
         )
-        teller._on_tick()
+        sender._on_tick()
         network.deliver(at_most=network.n_sent + 100)
-        heard = _heartbeats_at(network, "b")._heard_by_host["d"].heartbeat
-        assert heard.interval == pytest.approx(n_ticks * HEARTBEAT_INTERVAL)
+        received = _heartbeats_at(network, "b")._heard_by_host["d"].heartbeat
+        assert received.interval == pytest.approx(n_ticks * HEARTBEAT_INTERVAL)
