--- a/ryelever/fleet_directory.py
+++ b/ryelever/fleet_directory.py
@@ -420,13 +420,13 @@
         self._store.record_era(updates.era, peer=updates.reader, now=now)
         if self.servers.is_behind(updates):
             self._reading.note_missed(updates, now=now)
-            self._store.heard(now=now)
+            self._store.record_peer_update(now=now)
             self._request_missed_changes(now=now)
             return
         yields = updates.reader < self._settings.host
         if self._apply_consecutive(updates, yields=yields, now=now):
             self._reading.caught_up()
-            self._store.heard(now=now)
+            self._store.record_peer_update(now=now)
 
     def _apply_consecutive(
         self, updates: ServerUpdates, *, yields: bool, now: float
@@ -686,7 +686,7 @@
                 self._heartbeats.addresses_by_host[record.key] = address
         if updates.complete:
             self._update_listing_schedule(now=time.monotonic())
-            self._store.send_due_call(self.servers)
+            self._store.call_now(self.servers)
 
     def _announce_address(self) -> None:
         record = self._documents.host_record(
@@ -702,7 +702,7 @@
         if answer.status == 200:
             now = self._acknowledged_at = time.monotonic()
             self._update_listing_schedule(now=now)
-            self._store.send_due_call(self.hosts)
+            self._store.call_now(self.hosts)
 
 
 def _should_log(old: BackendServer | None, server: BackendServer) -> bool:
--- a/ryelever/group_planning.py
+++ b/ryelever/group_planning.py
@@ -1,4 +1,4 @@
-"""Carry out what is planned for the groups of the availability zones."""
+"""Run the group planners of availability zones and carry out their decisions."""
 
 from __future__ import annotations
 
@@ -40,25 +40,30 @@
 
 __all__ = ["GroupPlanning"]
 
-#: Seconds for a backend server to take an order; it answers within milliseconds.
+#: Seconds to wait for a backend server's answer to an order, which takes milliseconds,
+#: and for its connection.
 ORDER_TIMEOUT = 0.8
 ORDER_CONNECT_TIMEOUT = 0.4
 
-#: Seconds for a probe's answer, which needs no place at the backend server.
+#: Seconds to wait for the answer to a probe, which needs no slot at the backend server.
 PROBE_TIMEOUT = 0.4
 
 
 class GroupPlanning(BaseComponent):
-    """Own the planners of the zones that this host plans for.
+    """Run the planners of the zones that this host plans for.
+
+    A planner's group records are appended to the store, and its orders are sent to
+    backend servers.
 
     Parameters
     ----------
     plans_for : callable
-        Tell whether this host is the one to plan for a zone, given whether it does.
+        Return whether this host should plan for a zone, given the zone and whether
+        the host plans for it now.
     still : callable
-        Return the heads whose groups stand still, as any host sees them.
+        Return the heads whose groups are stalled according to any host.
     new_planner : callable
-        Make the planner of a zone.
+        Return a new planner for a zone.
     """
 
     channel = "groups"
@@ -83,9 +88,9 @@
         self._store = store
         self._plans_for = plans_for
         self._new_planner = new_planner
-        self._still = still
+        self._get_stalled_heads = still
         self._ids = itertools.count(1)
-        self._asked_by_id: dict[str, tuple[str, GroupOrder]] = {}
+        self._orders_by_id: dict[str, tuple[str, GroupOrder]] = {}
         self._orders = OrderQueue()
         self._followers_by_zone: dict[str, TopicFollower] = {}
         self.planners_by_zone: dict[str, ZonePlanner] = {}
@@ -99,21 +104,21 @@
         )
 
     def stranded_seconds(self) -> dict[str, float]:
-        """Return the server-seconds that served nobody, by zone."""
+        """Return the server-seconds of usable servers in no serving group, by zone."""
         return {
             zone: planner.times.stranded
             for zone, planner in self.planners_by_zone.items()
         }
 
     def down_seconds(self) -> Counter[str]:
-        """Return the group-seconds in which groups served nobody, by phase."""
+        """Return the group-seconds in which groups weren't serving, by phase."""
         total: Counter[str] = Counter()
         for planner in self.planners_by_zone.values():
             total.update(planner.times.down)
         return total
 
     def reshaped_zones(self) -> tuple[str, ...]:
-        """Return the zones in which this host takes groups apart."""
+        """Return the zones in which this host disbands groups or is about to."""
         return tuple(
             zone for zone, planner in self.planners_by_zone.items() if planner.reshapes
         )
@@ -127,8 +132,8 @@
     def _on_tick(self) -> None:
         now = time.monotonic()
         for zone in self._settings.zones:
-            self._settle_lead(zone)
-        still = self._still() if self.planners_by_zone else set()
+            self._update_planner(zone)
+        still = self._get_stalled_heads() if self.planners_by_zone else set()
         for zone, planner in self.planners_by_zone.items():
             planner.manager.suspect(still)
             orders, append = planner.look(now=now)
@@ -136,9 +141,9 @@
                 self._orders.add(zone, order)
             if append is not None:
                 self._append(zone, append)
-        self._give_due()
+        self._send_due_orders()
 
-    def _settle_lead(self, zone: str) -> None:
+    def _update_planner(self, zone: str) -> None:
         planning = zone in self.planners_by_zone
         leads = self._plans_for(zone, planning)
         if leads == planning:
@@ -156,7 +161,7 @@
         )
         self._followers_by_zone[zone] = follower
         self._store.follow(
-            follower, lambda updates: self._take(zone, follower, updates)
+            follower, lambda updates: self._apply_updates(zone, follower, updates)
         )
 
     def _partition(self, zone: str) -> int:
@@ -164,7 +169,9 @@
 
     # Records
 
-    def _take(self, zone: str, follower: TopicFollower, updates: TopicUpdates) -> None:
+    def _apply_updates(
+        self, zone: str, follower: TopicFollower, updates: TopicUpdates
+    ) -> None:
         planner = self.planners_by_zone.get(zone)
         if planner is None:
             return
@@ -183,19 +190,19 @@
             else:
                 planner.recorded(group, end=record.offset + 1, now=now)
 
-    def _append(self, zone: str, asked: AppendGroups) -> None:
+    def _append(self, zone: str, append: AppendGroups) -> None:
         records = [
             (group.name, self._documents.group_record(group))
-            for group in (*asked.formed, *asked.restored)
+            for group in (*append.formed, *append.restored)
         ]
-        records += [(name, b"") for name in asked.dropped]
+        records += [(name, b"") for name in append.dropped]
         call = self._log.append(
             self._documents.groups_topic,
             records,
             partition=self._partition(zone),
-            at=asked.at,
+            at=append.at,
         )
-        for group in asked.formed:
+        for group in append.formed:
             log_event(
                 "group_decided",
                 group=group.name,
@@ -203,43 +210,48 @@
                 model=group.model,
                 members=group.member_ids,
             )
-        self._store.call(call, lambda answer: self._appended(zone, asked, answer))
+        self._store.call(
+            call, lambda answer: self._on_append_answer(zone, append, answer)
+        )
 
-    def _appended(self, zone: str, asked: AppendGroups, given: StoreAnswer) -> None:
+    def _on_append_answer(
+        self, zone: str, append: AppendGroups, store_answer: StoreAnswer
+    ) -> None:
         planner = self.planners_by_zone.get(zone)
         if planner is None:
             return
-        outcome = self._log.appended(given.status, given.body)
+        outcome = self._log.appended(store_answer.status, store_answer.body)
         if outcome.is_error():
             planner.append_failed(end=None)
-            status = given.status
-            log_event("append_unanswered", zone=zone, at=asked.at, status=status)
+            status = store_answer.status
+            log_event("append_unanswered", zone=zone, at=append.at, status=status)
             return
         answer = outcome.ok
         if isinstance(answer, Appended):
-            era = asked.era if given.era is None else given.era
-            planner.appended(asked, end=answer.end, era=era, now=time.monotonic())
+            era = append.era if store_answer.era is None else store_answer.era
+            planner.appended(append, end=answer.end, era=era, now=time.monotonic())
         else:
             planner.append_failed(end=answer.end)
-            log_event("append_refused", zone=zone, at=asked.at, end=answer.end)
+            log_event("append_refused", zone=zone, at=append.at, end=answer.end)
 
     # Orders
 
-    def _give_due(self) -> None:
+    def _send_due_orders(self) -> None:
         for zone, order in self._orders.due(is_wanted=self._is_wanted):
-            self._give(zone, order)
+            self._send_order(zone, order)
 
     def _is_wanted(self, zone: str, order: GroupOrder) -> bool:
-        """Tell whether an order that has waited still makes sense.
+        """Return whether a queued order is still needed.
 
-        One to join a group that has ended meanwhile would tie up its member.
+        An order to join a group that has ended in the meantime would make the server
+        unavailable for other groups.
         """
         planner = self.planners_by_zone.get(zone)
         return planner is not None and planner.manager.wants(order)
 
-    def _give(self, zone: str, order: GroupOrder) -> None:
+    def _send_order(self, zone: str, order: GroupOrder) -> None:
         order_id = f"order-{next(self._ids)}"
-        self._asked_by_id[order_id] = (zone, order)
+        self._orders_by_id[order_id] = (zone, order)
         call = self._groups.order(order)
         is_probe = order.kind is OrderKind.PROBE
         request = OutboundRequest(
@@ -258,20 +270,20 @@
 
     @handler("outbound_answer")
     def _on_answer(self, answer: OutboundAnswer) -> None:
-        _, order = self._asked_by_id[answer.id]
+        _, order = self._orders_by_id[answer.id]
         if order.kind is OrderKind.PROBE and answer.status == 200:
             self.fire(server_reported(order.server_id, answer.body), "directory")
         outcome = self._groups.outcome(order, answer.status, answer.body)
-        self._take_outcome(answer.id, outcome)
+        self._record_outcome(answer.id, outcome)
 
     @handler("outbound_failed")
     def _on_failed(self, failure: OutboundFailure) -> None:
         refused = failure.error.code == REFUSED
         outcome = OrderOutcome.WRONG_INSTANCE if refused else OrderOutcome.UNKNOWN
-        self._take_outcome(failure.id, outcome)
+        self._record_outcome(failure.id, outcome)
 
-    def _take_outcome(self, order_id: str, outcome: OrderOutcome) -> None:
-        zone, order = self._asked_by_id.pop(order_id)
+    def _record_outcome(self, order_id: str, outcome: OrderOutcome) -> None:
+        zone, order = self._orders_by_id.pop(order_id)
         self._orders.ended()
         log_event(
             "order_answered",
@@ -285,4 +297,4 @@
         planner = self.planners_by_zone.get(zone)
         if planner is not None and order.group:
             planner.manager.answered(order, outcome, now=time.monotonic())
-        self._give_due()
+        self._send_due_orders()
--- a/ryelever/relay_application.py
+++ b/ryelever/relay_application.py
@@ -1,4 +1,4 @@
-"""Wire the parts of an entry host that passes requests on unchanged."""
+"""Assemble the components of an entry host that relays requests unchanged."""
 
 from __future__ import annotations
 
@@ -58,23 +58,26 @@
 
 __all__ = ["RelayApplication"]
 
-#: Seconds between two looks of control at its deadlines, the shortest of which are
-#: 0.15 s.
-CONTROL_TICK = 0.1
+#: Seconds between two checks of the deadlines of store calls, groups and shutdown, the
+#: shortest of which are 0.15 s.
+CONTROL_INTERVAL = 0.1
 
-#: Seconds between two looks at the requests' deadlines, and at groups that may stand
-#: still, which shows after 0.45 s at the earliest.
-SERVING_TICK = 0.1
+#: Seconds between two checks of request deadlines and of stalled groups, which can be
+#: detected after 0.45 s at the earliest.
+SERVING_INTERVAL = 0.1
 
-#: The same while requests wait for a place: who waits is late after a few tenths.
-WAITING_TICK = 0.05
+#: Seconds between two such checks while requests wait for a slot, as a waiting request
+#: is late after some tenths of a second.
+WAITING_INTERVAL = 0.05
 
-#: Seconds between two looks at what other hosts have sent.  Their words come every
-#: 0.2 s at most, so that half of this is little beside the age that they have anyway.
+#: Seconds between two reads of the datagrams that other hosts have sent.  Each host
+#: sends a heartbeat every 0.2 s or less often, so the mean delay, half of this
+#: interval, is small compared with the heartbeats' age.
 PEERS_POLL_INTERVAL = 0.1
 
-#: Seconds between two looks at connections.
-SWEEP = 0.2
+#: Seconds between two checks for connections that have timed out, and between two
+#: flushes of waiting log lines.
+SWEEP_INTERVAL = 0.2
 
 SWEPT_CHANNELS = (
     "http_client",
@@ -88,18 +91,18 @@
 
 
 class RelayApplication(BaseComponent):
-    """Own the parts of one entry host.
+    """Build and run the components of one entry host.
 
     Parameters
     ----------
     settings : RelaySettings
         Checked settings.
     log, documents, groups, messages
-        The platform's side of each interface.
+        The platform's implementation of each interface.
     log_writer : StreamWriter
-        Where log lines go.
+        Writer of the log lines.
     reload : callable
-        Look at the settings file again; tell what has changed.
+        Read the settings file again, and log whether the settings have changed.
     """
 
     channel = "application"
@@ -126,7 +129,7 @@
         )
         self.evacuations = Evacuations(log=log_event)
         self.store = StoreClient(address=settings.store_address, era_of=log.era)
-        # Where a host is told something over UDP, it is asked over TCP.
+        # The UDP port for datagrams has the same number as the TCP port for requests.
         self.peer_callers = RelayCallers(
             bind=split_address(settings.peers_address),
             channel="peer_callers",
@@ -153,7 +156,7 @@
             bind=split_address(settings.callers_address),
             channel="relay_callers",
             reply_channel="relay",
-            limits=self._limits,
+            limits=self._connection_limits,
         )
         self.watchers = RelayCallers(
             bind=split_address(settings.ready_address),
@@ -229,9 +232,9 @@
             balancer=self.balancer,
             log_writer=log_writer,
         )
-        self._register_parts()
+        self._register_components()
 
-    # What parts ask of each other
+    # Callbacks that connect the components
 
     def _table(self) -> object:
         return self.fleet.table
@@ -244,7 +247,7 @@
     def _is_evacuated(self, zone: str) -> bool:
         return zone in self.evacuations.zones
 
-    def _limits(self) -> ConnectionLimits:
+    def _connection_limits(self) -> ConnectionLimits:
         table = self.fleet.table
         return table.limits if table is not None else ConnectionLimits()
 
@@ -260,8 +263,8 @@
         now = time.monotonic()
         stall_watch = self.relay.stall_watch
         still = self.heartbeats.still(now=now).union(stall_watch.still(now=now))
-        # A host that has lost its way to a head sees a group stand still that serves
-        # all others.
+        # A host that can't reach a head sees its group stalled although the group
+        # serves all other hosts.
         moving = self.heartbeats.moving(now=now)
         return {
             head
@@ -270,11 +273,11 @@
         }
 
     def _progressing_heads(self, *, now: float) -> tuple[str, ...]:
-        """Return the heads that others saw stand still, and that move here."""
-        in_doubt = self.heartbeats.still(now=now)
+        """Return the heads that other hosts see stalled but that progress here."""
+        reported_stalled = self.heartbeats.still(now=now)
         return tuple(
             head
-            for head in in_doubt
+            for head in reported_stalled
             if self.relay.stall_watch.has_progressed(head, now=now)
         )
 
@@ -301,9 +304,9 @@
         )
 
     def _reshaping(self, zone: str) -> set[str]:
-        """Return the zones besides this one in which groups are taken apart."""
-        own = set(self.planning.reshaped_zones())
-        return (own | self.heartbeats.reshaping(now=time.monotonic())) - {zone}
+        """Return the zones other than the given one in which groups are disbanded."""
+        local = set(self.planning.reshaped_zones())
+        return (local | self.heartbeats.reshaping(now=time.monotonic())) - {zone}
 
     def _demand(self) -> dict[str, float]:
         now = time.monotonic()
@@ -345,7 +348,7 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether this host can serve."""
+        """Return whether this host can serve requests."""
         return (
             not self.shutdown.stopping
             and self.fleet.table is not None
@@ -356,20 +359,20 @@
 
     def _serving_tick(self) -> float:
         waits = self.relay.requests.has_waiting
-        return WAITING_TICK if waits else SERVING_TICK
+        return WAITING_INTERVAL if waits else SERVING_INTERVAL
 
     @handler("sweep")
     def _on_sweep(self) -> None:
         self._log_writer.flush()
 
-    def _register_parts(self) -> None:
+    def _register_components(self) -> None:
         Poller().register(self)
         for part in (
             self.timers,
             self.http_client,
             self.callers,
             self.watchers,
-            *self._metrics_parts(),
+            *self._metrics_components(),
             self._watch_page("watch_page", self.watchers),
             self.store,
             self.fleet,
@@ -392,8 +395,8 @@
             metrics=self.metrics,
         )
 
-    def _metrics_parts(self) -> list[BaseComponent]:
-        """Return what serves the metrics on an address of their own, if anything."""
+    def _metrics_components(self) -> list[BaseComponent]:
+        """Return the components that serve metrics on a separate port, if any."""
         if not self.settings.metrics_port:
             return []
         callers = RelayCallers(
@@ -407,12 +410,13 @@
     @handler("started", channel="*")
     def _on_started(self, *args: object) -> None:
         timers = self.timers
-        # First of all, so that what is decided in a round knows what others said.
+        # Registered first, so that the other handlers of a round use the datagrams
+        # received before it.
         timers.every(PEERS_POLL_INTERVAL, peers_poll, "peers")
-        timers.every(CONTROL_TICK, control_tick, *CONTROL_CHANNELS)
+        timers.every(CONTROL_INTERVAL, control_tick, *CONTROL_CHANNELS)
         timers.every(self._serving_tick, serving_tick, "relay")
         timers.every(HEARTBEAT_INTERVAL, heartbeat_tick, "exchange")
-        timers.every(SWEEP, sweep, *SWEPT_CHANNELS, self.channel)
+        timers.every(SWEEP_INTERVAL, sweep, *SWEPT_CHANNELS, self.channel)
         log_event(
             "started",
             host=self.settings.host,
--- a/ryelever/store_client.py
+++ b/ryelever/store_client.py
@@ -1,4 +1,4 @@
-"""Call the platform's store and follow its topics."""
+"""Send calls to the platform's store and follow its topics."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 __all__ = ["StoreAnswer", "StoreClient"]
 
-#: Seconds for the answer to an append: one takes some milliseconds, and one that is
-#: lost may not hold up the next decision.
+#: Seconds to wait for the answer to an append.  An append takes some milliseconds, and
+#: a lost append must not delay the next decision.
 CALL_TIMEOUT = 1.0
 
-#: Seconds of nothing but failures after which the store counts as lost: the time of
-#: three reads of the backend servers' records.
+#: Seconds from a first failure, without a good answer since, after which the store
+#: counts as unreachable: the duration of three reads of the backend servers' records.
 LOST_AFTER = 1.2
 
 #: Seconds for a connection to the store to be established.
@@ -42,14 +42,14 @@
 
 
 class StoreAnswer(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold the answer to one call.
+    """Represent the answer to one call.
 
     Attributes
     ----------
     status : int
-        HTTP status; 0 where no answer came.
+        HTTP status; 0 if the call failed without an answer.
     era : int or None
-        Era of the store that it bears; None where it bears none.
+        Era of the store in the answer's headers; None if they contain none.
     """
 
     status: int = 0
@@ -58,7 +58,7 @@
 
 
 class _FollowedTopic(msgspec.Struct, kw_only=True):
-    """Hold one topic that is followed, and who takes its news."""
+    """Represent one followed topic and the callback for its updates."""
 
     follower: TopicFollower
     take: Callable[[TopicUpdates], None]
@@ -66,25 +66,25 @@
 
 
 class StoreClient(BaseComponent):
-    """Own the calls to the store.
+    """Send reads and appends to the store and dispatch their answers.
 
     Parameters
     ----------
     era_of : callable
-        Return the era that the headers of an answer bear, or None.
+        Return the era in the headers of an answer, or None.
 
     Attributes
     ----------
     forwarded_at : float
-        Monotonic time at which another host passed on what it had read.
+        Monotonic time at which another host last forwarded records that it had read.
     answered_at : float
         Monotonic time of the last good answer, or of the start.
     era : int
-        Highest era of the store that this host has seen or heard of; 0 before any.
+        Highest era of the store in any answer or heartbeat; 0 before the first.
     returned_at : float
-        Monotonic time at which it rose, other than at the first answer.
+        Monotonic time at which the era last rose, other than at the first answer.
     n_calls_by_step : Counter of str
-        Calls so far: reads, and appends.
+        Number of calls so far, separately for reads and appends.
     """
 
     channel = "store"
@@ -106,15 +106,15 @@
         self.forwarded_at = float("-inf")
         self.answered_at = time.monotonic()
         self.n_calls_by_step: Counter[str] = Counter()
-        self._why = ""
+        self._last_failure = ""
         self._reachable = False
 
     @property
     def is_reachable(self) -> bool:
-        """Tell whether this host's own calls are answered.
+        """Return whether the store answers this host's own calls.
 
-        A single failure says little: a connection from before an outage may fail
-        long after it.  And a host to which others pass on what they read makes few
+        A single failure doesn't count: a connection from before an outage may fail
+        long after the outage, and a host that gets records from other hosts makes few
         calls of its own.
         """
         if self._failing_since is None:
@@ -124,41 +124,41 @@
     def follow(
         self, follower: TopicFollower, take: Callable[[TopicUpdates], None]
     ) -> None:
-        """Read a topic from now on, and hand on what it brings."""
+        """Start reading a topic, and call ``take`` with its updates."""
         self._followed.append(_FollowedTopic(follower=follower, take=take))
 
     def unfollow(self, follower: TopicFollower) -> None:
-        """Read a topic no more."""
+        """Stop reading a topic."""
         self._followed = [
             item for item in self._followed if item.follower is not follower
         ]
 
-    def send_due_call(self, follower: TopicFollower) -> None:
-        """Make the call that is due for a topic, before the next tick."""
+    def call_now(self, follower: TopicFollower) -> None:
+        """Send the call that is due for a topic without waiting for the next tick."""
         for followed in self._followed:
             if followed.follower is follower:
-                self._ask(followed, now=time.monotonic())
+                self._send_due_call(followed, now=time.monotonic())
 
     def call(self, call: LogCall, take: Callable[[StoreAnswer], None]) -> None:
-        """Make one call; ``take`` gets the answer, of status 0 if there is none."""
+        """Send one call, and call ``take`` with its answer, of status 0 on failure."""
         call_id = self._send(call, step="call_store", progress_timeout=CALL_TIMEOUT)
         self._callbacks_by_call[call_id] = take
 
-    def heard(self, *, now: float) -> None:
-        """Take word of the store by way of another host, which reaches it."""
+    def record_peer_update(self, *, now: float) -> None:
+        """Record that another host has forwarded updates from the store."""
         self.forwarded_at = now
 
     def record_era(self, era: int, *, peer: str, now: float) -> None:
-        """Take an era of the store, from its answer or another host's word.
+        """Record an era of the store; announce the store's return if the era rose.
 
         Parameters
         ----------
         peer : str
-            Who named it.
+            Store address or entry host from which the era was received.
         """
         if era <= self.era:
             return
-        # A store that never came back may bear no era, or zero.
+        # A store that has never returned from an older copy may send no era, or zero.
         has_returned = self.era > 0 or self._has_read
         log_event("store_era", era=era, former=self.era, peer=peer)
         self.era = era
@@ -171,10 +171,10 @@
         now = time.monotonic()
         self._log_reachability()
         for followed in self._followed:
-            self._ask(followed, now=now)
+            self._send_due_call(followed, now=now)
 
-    def _ask(self, followed: _FollowedTopic, *, now: float) -> None:
-        """Make the call that is due for a topic, if there is one."""
+    def _send_due_call(self, followed: _FollowedTopic, *, now: float) -> None:
+        """Send the call that is due for a topic, if there is one."""
         call = followed.follower.next_call(now=now)
         if call is None:
             return
@@ -198,8 +198,8 @@
             step=step,
             connect_timeout=CONNECT_TIMEOUT,
             progress_timeout=progress_timeout,
-            # An append that may have been carried out is looked for in the log
-            # before it is made again.
+            # An append that may have been carried out must be searched for in the log
+            # before it is repeated.
             resend_stale=not call.body,
         )
         self.fire(outbound_send(request), "http_client")
@@ -217,9 +217,9 @@
         if era is not None:
             self.record_era(era, peer=self._address, now=now)
         self._has_read = self._has_read or answer.status == 200
-        taker = self._callbacks_by_call.pop(answer.id, None)
-        if taker is not None:
-            taker(StoreAnswer(status=answer.status, body=answer.body, era=era))
+        callback = self._callbacks_by_call.pop(answer.id, None)
+        if callback is not None:
+            callback(StoreAnswer(status=answer.status, body=answer.body, era=era))
         followed = self._followed_by_call.pop(answer.id, None)
         if followed is None or followed not in self._followed:
             return
@@ -238,17 +238,17 @@
             return
         followed.take(outcome.ok)
         if followed.follower.is_listing:
-            # Not at the next tick: a list of twenty pages would take two seconds of
-            # ticks, in which the host serves nobody.
-            self._ask(followed, now=now)
+            # At one page a tick, a list of twenty pages would take two seconds, in
+            # which the host can't serve requests.
+            self._send_due_call(followed, now=now)
 
     @handler("outbound_failed")
     def _on_failed(self, failure: OutboundFailure) -> None:
         now = time.monotonic()
         self._record_failure(failure.error.message, now=now)
-        taker = self._callbacks_by_call.pop(failure.id, None)
-        if taker is not None:
-            taker(StoreAnswer())
+        callback = self._callbacks_by_call.pop(failure.id, None)
+        if callback is not None:
+            callback(StoreAnswer())
         followed = self._followed_by_call.pop(failure.id, None)
         if followed is None:
             return
@@ -257,15 +257,15 @@
             self._poke_other_topics(followed, now=now)
 
     def _record_failure(self, why: str, *, now: float) -> None:
-        self._why = why
+        self._last_failure = why
         if self._failing_since is None:
             self._failing_since = now
 
     def _poke_other_topics(self, silent: _FollowedTopic, *, now: float) -> None:
-        """Ask anew on all topics when one connection has gone silent.
+        """Read all other topics again when one topic's connection has gone silent.
 
-        What took that one may have taken others, and a long read would show it only
-        seconds later.
+        The same fault may have silenced the other connections, and their long reads
+        would time out only seconds later.
         """
         for followed in self._followed:
             if followed is not silent:
@@ -276,5 +276,5 @@
         if reachable is not self._reachable:
             self._reachable = reachable
             name = "store_regained" if reachable else "store_lost"
-            log_event(name, peer=self._address, why=self._why)
-            self._why = ""
+            log_event(name, peer=self._address, why=self._last_failure)
+            self._last_failure = ""
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -1,4 +1,4 @@
-"""Test what a host notices of the platform's store by the answers to its calls."""
+"""Test how a host detects from answers that the platform's store has returned."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 def test_return_of_the_store_is_detected_once(
     eras: list[str | None], n_returns: int
 ) -> None:
-    """Guard against a return that is missed, or taken for one more."""
+    """Guard against a return that is missed or counted twice."""
     client = StoreClient(address="store", era_of=STORE.era)
     fired: list[object] = []
     client.fire = lambda event, *channels: fired.append(event)
