--- a/ryelever/logs.py
+++ b/ryelever/logs.py
@@ -1,4 +1,4 @@
-"""Write one structured line an event through ``absl.logging``."""
+"""Write one structured log line for each event through ``absl.logging``."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     """Format a record as one line of JSON."""
 
     def format(self, record: standard_logging.LogRecord) -> str:
-        """Return the line."""
+        """Return the record's time, level, event and fields as a line of JSON."""
         fields = {
             "time": round(record.created, 3),
             "level": record.levelname.lower(),
@@ -40,7 +40,7 @@
 
 
 def configure_stdout() -> StreamWriter:
-    """Send structured lines to standard output, without waiting for its reader."""
+    """Send structured lines to standard output without blocking on its reader."""
     writer = StreamWriter(fd=sys.stdout.fileno())
     _send_to(writer)
     return writer
@@ -60,7 +60,7 @@
 
 
 def log_warning(event: str, **fields: object) -> None:
-    """Log one event that an operator may want to act on."""
+    """Log one event that may require an operator's action."""
     logging.get_absl_logger().warning(event, extra={"fields": fields})
 
 
--- a/ryelever/metrics.py
+++ b/ryelever/metrics.py
@@ -1,4 +1,4 @@
-"""Count and time what a process does, for ``/metrics``."""
+"""Collect a process's counters, durations and gauges for ``/metrics``."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 __all__ = ["Metrics"]
 
-#: Histograms hold microseconds from 1 to one hour with two significant digits.
+#: Histograms record microseconds, from 1 to one hour, with two significant digits.
 LOWEST_US = 1
 HIGHEST_US = 3_600_000_000
 N_DIGITS = 2
@@ -22,12 +22,12 @@
 PERCENTILES = (50.0, 95.0, 99.0)
 
 
-#: Names and values that tell one series of a metric from another.
+#: Names and values of the labels that identify one series of a metric.
 Labels = tuple[tuple[str, str], ...]
 
 
 class _Durations:
-    """Hold the durations of one series."""
+    """Histogram and sum of the durations of one series."""
 
     __slots__ = ("histogram", "total")
 
@@ -42,9 +42,9 @@
 
 
 class Metrics:
-    """Hold counters, histograms and gauges by name.
+    """Registry of counters, histograms and gauges by name.
 
-    Gauges are read when ``/metrics`` is asked for, from callables that the parts
+    Gauges are read when ``/metrics`` is requested, by callables that the components
     of the process register.
     """
 
@@ -65,7 +65,8 @@
         Parameters
         ----------
         **labels : str
-            What tells it from others of that name; the same labels each time.
+            Labels of the duration's series; the same label names for every duration
+            of a metric.
         """
         by_labels = self._durations_by_name.setdefault(name, {})
         key = tuple(labels.items())
@@ -75,21 +76,21 @@
         durations.add(seconds)
 
     def gauge(self, name: str, read: Callable[[], float]) -> None:
-        """Register a gauge."""
+        """Register a callable that returns a gauge's value."""
         self._gauges_by_name[name] = read
 
     def labelled_gauge(self, name: str, read: Callable[[], dict[str, float]]) -> None:
-        """Register a gauge that another part keeps for each of several kinds."""
+        """Register a callable that returns a gauge's values by kind."""
         self._labelled_by_name[name] = read
 
     def counter(self, name: str, read: Callable[[], dict[str, int]]) -> None:
-        """Register a counter that another part keeps, as counts by label."""
+        """Register a callable that returns a counter's counts by label."""
         self._counters_by_name[name] = read
 
     def render(self) -> bytes:
         """Return everything in the Prometheus text format."""
-        # The library brings a web server, an eighth of a host's modules; a host that
-        # was just started is to serve callers first.
+        # Imported here because the library loads a web server, an eighth of a host's
+        # modules, and a starting host should serve callers first.
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry()
--- a/ryelever/relay.py
+++ b/ryelever/relay.py
@@ -1,4 +1,8 @@
-"""Pass requests on between callers and backend servers, as is decided."""
+"""Relay requests and answers between callers and backend servers.
+
+``RelayRequests`` decides on each request; this module connects its decisions with the
+network.
+"""
 
 from __future__ import annotations
 
@@ -42,24 +46,24 @@
 
 __all__ = ["Relay"]
 
-#: Seconds for a backend server's connection to be established; one takes a few
-#: milliseconds, and a server that is gone silently answers never.
+#: Seconds to wait for a connection to a backend server.  Connecting takes a few
+#: milliseconds, and a server that has silently disappeared never answers.
 CONNECT_TIMEOUT = 0.3
 
-#: Seconds beyond the request's own deadline after which its connection is closed.
-LATE = 0.5
+#: Seconds from a request's deadline until its connection is closed.
+CLOSE_DELAY = 0.5
 
-#: Bytes of the hash by which repeats of a request are known.
-CONTENT_HASH = 12
+#: Length in bytes of the hash by which repeated requests are recognized.
+CONTENT_HASH_BYTES = 12
 
 
 class Relay(BaseComponent):
-    """Own the requests that are passed on.
+    """Connect the decisions on relayed requests with callers and backend servers.
 
     Parameters
     ----------
     messages : RelayInterface
-        Reads and writes heads as callers and backend servers have them.
+        Reader and writer of message heads in the format of callers and backend servers.
     callers : RelayCallers
         The callers' connections.
     """
@@ -121,15 +125,15 @@
         )
         self._received_by_number[received.number] = received
         if arrival.model:
-            self._measure(arrival.model, arrival.n_prompt, now=now)
+            self._record_demand(arrival.model, arrival.n_prompt, now=now)
         self.requests.arrive(received.number, arrival)
 
     @handler("relayed_caller_disconnected")
-    def _on_gone(self, number: int) -> None:
+    def _on_caller_disconnected(self, number: int) -> None:
         self.requests.caller_disconnected(number)
         self._received_by_number.pop(number, None)
 
-    def _measure(self, model: str, n_prompt: int, *, now: float) -> None:
+    def _record_demand(self, model: str, n_prompt: int, *, now: float) -> None:
         table = self._table()
         for _, engine in table.engines() if table else ():
             if model in engine.models_by_name:
@@ -187,7 +191,7 @@
     def _on_directory_changed(self) -> None:
         self.requests.dispatch_waiting(now=time.monotonic())
 
-    # What is decided
+    # Actions of RelayRequests
 
     def send(self, attempt: RelayAttempt) -> None:
         """Send a request to a backend server."""
@@ -205,7 +209,7 @@
             streamed=True,
             fresh=attempt.fresh,
             connect_timeout=CONNECT_TIMEOUT,
-            progress_timeout=max(LATE, attempt.deadline - now + LATE),
+            progress_timeout=max(CLOSE_DELAY, attempt.deadline - now + CLOSE_DELAY),
             send_before=attempt.deadline,
             resend_stale=False,
             verbatim=True,
@@ -213,19 +217,19 @@
         self.fire(outbound_send(request), "http_client")
 
     def cancel(self, attempt_id: str) -> None:
-        """Close the connection of an attempt whose answer nobody waits for."""
+        """Close the connection of an attempt whose answer is no longer needed."""
         self._cutters_by_attempt.pop(attempt_id, None)
         self.fire(outbound_cancel(attempt_id), "http_client")
 
     def answer(
         self, request_number: int, *, status: int, headers: Headers, body: bytes
     ) -> None:
-        """Give the caller a backend server's whole answer."""
+        """Send the caller a backend server's complete answer."""
         self._received_by_number.pop(request_number, None)
         self._callers.answer(request_number, status=status, headers=headers, body=body)
 
     def refuse(self, request_number: int, refusal: RelayRefusal) -> None:
-        """Give the caller an answer of the entry host's own."""
+        """Send the caller a refusal that this entry host creates."""
         self._received_by_number.pop(request_number, None)
         headers = self._messages.refusal(
             refusal.request_id, retry_after=refusal.retry_after
@@ -235,11 +239,11 @@
         )
 
     def start(self, request_number: int, *, status: int, headers: Headers) -> None:
-        """Begin a streamed answer."""
+        """Send the caller the head of a streamed answer."""
         self._callers.start(request_number, status=status, headers=headers)
 
     def data(self, request_number: int, data: bytes) -> None:
-        """Pass on whole events of a stream."""
+        """Send the caller complete events of a stream."""
         self._callers.data(request_number, data)
 
     def finish(self, request_number: int) -> None:
@@ -248,13 +252,13 @@
         self._callers.finish(request_number)
 
     def abort(self, request_number: int) -> None:
-        """Break a streamed answer off, so that it doesn't look complete."""
+        """Abort a streamed answer so that the caller sees it as incomplete."""
         self._received_by_number.pop(request_number, None)
         self._callers.abort(request_number)
 
 
 def _content_hash(received: RelayedRequest) -> str:
-    found = hashlib.blake2b(digest_size=CONTENT_HASH)
+    content_hash = hashlib.blake2b(digest_size=CONTENT_HASH_BYTES)
     for part in (received.method, b" ", received.target, b"\n", received.body):
-        found.update(part)
-    return found.hexdigest()
+        content_hash.update(part)
+    return content_hash.hexdigest()
--- a/ryelever/relay_host.py
+++ b/ryelever/relay_host.py
@@ -1,8 +1,8 @@
-"""Start an entry host on the platform, which has no command line to read.
+"""Start an entry host on the platform without parsing a command line.
 
-Its settings file says all that a command line would.  ``ryelever serve`` runs the same
-host; reading its own arguments takes longer than all that a host imports to serve, and
-a host that lost its power is called as soon as it listens.
+The platform's settings file contains all options.  ``ryelever serve`` runs the same
+host, but reading its arguments takes longer than importing all that a host needs to
+serve, and after a power failure callers arrive as soon as the host listens.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 __all__ = ["METRICS_VARIABLE", "main"]
 
-#: Name of the variable that holds the port of the metrics; 0 or none serves them only
-#: beside readiness.
+#: Environment variable that contains the separate port for metrics.  If it is 0 or
+#: unset, metrics are served only on the address of the readiness probe.
 METRICS_VARIABLE = "RYELEVER_METRICS_PORT"
 
 
 def main() -> int:
-    """Run an entry host until it is told to stop; return its exit code."""
+    """Run an entry host until it is signalled to stop; return its exit code."""
     _import_circuits()
     from .wiring import run
 
@@ -31,23 +31,24 @@
 
         print(f"{METRICS_VARIABLE}: expected 0 to 65535, found {text}", file=sys.stderr)
         return ExitCode.FAULTY_INPUT
-    # What was imported lives as long as the process: without this each full collection
-    # goes over all of it, some hundred thousand objects.
+    # Imported objects live as long as the process.  If they weren't frozen, each full
+    # garbage collection would traverse them all, some hundred thousand objects.
     gc.freeze()
     return run(None, metrics_port=int(text))
 
 
 def _import_circuits() -> None:
-    """Import circuits without the package that it declares its namespace with.
+    """Import circuits with a stub for ``pkg_resources``.
 
-    ``pkg_resources`` reads what every installed package says of itself, which took a
-    third of a host's start and 10 MB of its 50.  Nothing here extends the namespace.
+    circuits uses ``pkg_resources`` only to declare its namespace, which nothing here
+    extends.  Importing the real package reads the metadata of every installed package,
+    which takes a third of a host's start time and 10 MB of its 50 MB of memory.
     """
-    standin = types.ModuleType("pkg_resources")
-    standin.declare_namespace = lambda name: None
-    had = sys.modules.setdefault("pkg_resources", standin)
+    stub = types.ModuleType("pkg_resources")
+    stub.declare_namespace = lambda name: None
+    registered = sys.modules.setdefault("pkg_resources", stub)
     importlib.import_module("circuits")
-    if had is standin:
+    if registered is stub:
         del sys.modules["pkg_resources"]
 
 
--- a/ryelever/relay_metrics.py
+++ b/ryelever/relay_metrics.py
@@ -1,4 +1,4 @@
-"""Measure what becomes of relayed requests and of replica groups."""
+"""Record metrics of relayed requests, and register the gauges of an entry host."""
 
 from __future__ import annotations
 
@@ -18,13 +18,21 @@
 
 
 class RelayMetrics:
-    """Take what the decisions about requests tell, as ``RelayMeasures`` has it."""
+    """Record metrics of relayed requests; implements ``RelayMeasures``."""
 
     def __init__(self, *, metrics: Metrics) -> None:
         self._metrics = metrics
 
     def sent(self, *, is_repeat: bool, limited: bool, waited: float) -> None:
-        """Take a sending, and the seconds since its request arrived."""
+        """Count an attempt, and record the seconds since its request arrived.
+
+        Parameters
+        ----------
+        is_repeat : bool
+            Whether the request was sent before; its waiting time isn't recorded then.
+        limited : bool
+            Whether the backend server has announced a rate limit.
+        """
         kind = "repeat" if is_repeat else "first"
         self._metrics.count("relay_sendings", kind)
         if limited:
@@ -33,15 +41,15 @@
             self._metrics.observe("relay_waiting", waited)
 
     def first_event(self, seconds: float) -> None:
-        """Take the time from a request's arrival to its first event."""
+        """Record the seconds from a request's arrival to its first event."""
         self._metrics.observe("relay_first_event", seconds)
 
     def gap(self, seconds: float) -> None:
-        """Take the time between two events of a stream."""
+        """Record the seconds between two events of a stream."""
         self._metrics.observe("relay_gap", seconds)
 
     def ended(self, *, route: str, account: str, status: int, seconds: float) -> None:
-        """Take a request's end; status 0 is a stream that was cut off."""
+        """Record a request's end; status 0 is a stream that was cut off."""
         outcome = "cut_off" if status == 0 else str(status)
         self._metrics.observe("relay_request", seconds, route=route, outcome=outcome)
         self._metrics.count("relay_account_requests", f"{account} {outcome}")
@@ -57,7 +65,7 @@
     balancer: Balancer,
     log_writer: StreamWriter,
 ) -> None:
-    """Let the parts of an entry host show their state."""
+    """Register the gauges and counters of an entry host's components."""
     metrics.gauge("store_reachable", lambda: float(store.is_reachable))
     metrics.gauge("store_silent_seconds", lambda: time.monotonic() - store.answered_at)
     metrics.gauge("store_era", lambda: float(store.era))
@@ -71,5 +79,5 @@
     metrics.counter("group_down_seconds", planning.down_seconds)
     metrics.counter(
         "log_lines",
-        lambda: {"written": log_writer.n_written, "left_out": log_writer.n_left_out},
+        lambda: {"written": log_writer.n_written, "left_out": log_writer.n_dropped},
     )
--- a/ryelever/relay_settings.py
+++ b/ryelever/relay_settings.py
@@ -1,4 +1,4 @@
-"""Hold the checked settings of an entry host that relays requests unchanged."""
+"""Checked settings of an entry host that relays requests unchanged."""
 
 from __future__ import annotations
 
@@ -8,29 +8,31 @@
 
 
 class RelaySettings(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold what one process is told at its start; times are in seconds.
+    """Settings of one process, read at its start; times are in seconds.
 
     Attributes
     ----------
     ports : tuple of (int, int)
-        First and last port that are free for what entry hosts tell each other.
+        First and last port reserved for the traffic between entry hosts.
     zones : tuple of str
         All availability zones, sorted.
     store_partitions : int
-        Partitions of each topic of the store.
+        Number of partitions of each topic of the store.
     grace : float
-        From the signal to stop to the kill.
+        Time from the signal to stop until the process is killed.
     stall_time : float
-        For which a group stands still when a member is lost, before it breaks off.
+        Time for which a group stalls when it has lost a member, before the group
+        breaks off.
     repeat_ratio, repeat_window, repeat_slack : float
-        Sendings beyond the first that all entry hosts may make in any window: a
-        share of the requests in it, plus the slack.
+        Retry budget of all entry hosts together: in any window of ``repeat_window``
+        seconds they may send ``repeat_ratio`` times the window's requests plus
+        ``repeat_slack`` attempts beyond first attempts.
     last_bytes : float
-        Kept of the grace for the last answers to leave.
+        Part of the grace period reserved for sending the last answers.
     link_rate : float
-        Bytes a second that the host's link carries.
+        Capacity of the host's network link in bytes a second.
     metrics_port : int
-        Where the metrics are served on an address of their own; 0 for nowhere.
+        Separate port on which metrics are served; 0 for none.
     """
 
     host: str
@@ -54,5 +56,5 @@
 
     @property
     def peers_address(self) -> str:
-        """Return where peers are listened to; port 0 picks a free one."""
+        """Return the address for traffic from peers; port 0 picks a free port."""
         return f"{self.ip}:{self.ports[0]}"
--- a/ryelever/relay_shutdown.py
+++ b/ryelever/relay_shutdown.py
@@ -1,4 +1,4 @@
-"""Stop a relaying entry host without cutting off a request in flight."""
+"""Stop a relaying entry host without cutting off requests in flight."""
 
 from __future__ import annotations
 
@@ -20,22 +20,23 @@
 
 __all__ = ["RelayShutdown"]
 
-#: Seconds that a stream takes at the most, but for one in a hundred.  What comes so
-#: near to the end of the grace would be cut off.
-LONGEST_STREAM = 3.0
+#: Seconds within which all but one in a hundred streams end.  A request that arrives
+#: with less of the grace period left would be cut off.
+MAX_STREAM_TIME = 3.0
 
-#: Seconds for the balancer to see that this host isn't ready: it asks each second
-#: and turns away after two misses, and callers take half a second to come.
-TURNING_AWAY = 2.8
+#: Seconds until the platform's balancer stops sending callers to this host after the
+#: host has become unready: the balancer probes each second and reacts to two failed
+#: probes, and callers take half a second to arrive.
+BALANCER_REACTION_TIME = 2.8
 
 
 class RelayShutdown(BaseComponent):
-    """Take the process from the signal to its end.
+    """Shut the process down after a signal.
 
-    First the host stops being ready and still takes what comes; answers say that the
-    connection closes.  When the balancer has turned away, idle connections are
-    closed, and what still comes is refused if it couldn't be finished.  Once nothing
-    is in flight, or the grace is over, the process ends.
+    First the host becomes unready but still accepts requests; its answers announce
+    that the connection closes.  When the balancer has stopped sending callers, idle
+    connections are closed, and new requests are refused if they couldn't be finished.
+    The process ends when no request is in flight, or when the grace period is over.
     """
 
     channel = "shutdown"
@@ -55,20 +56,20 @@
         self._requests = requests
         self._stop = stop
         self._reload = reload
-        self._since: float | None = None
+        self._stopping_since: float | None = None
         self._closed_idle = False
 
     @property
     def stopping(self) -> bool:
-        """Tell whether the process is on its way to its end."""
-        return self._since is not None
+        """Return whether the process is shutting down."""
+        return self._stopping_since is not None
 
     @handler("started", channel="*")
     def _on_started(self, *args: object) -> None:
-        # circuits itself takes the signals to stop, and no others.
-        signal.signal(signal.SIGHUP, self._take_signal)
+        # circuits itself handles only the signals to stop.
+        signal.signal(signal.SIGHUP, self._fire_signal)
 
-    def _take_signal(self, signal_number: int, stack: object) -> None:
+    def _fire_signal(self, signal_number: int, stack: object) -> None:
         self.fire(signal_caught(signal_number, stack), "*")
 
     @handler("signal", channel="*")
@@ -77,32 +78,32 @@
         if signal_number == signal.SIGHUP:
             self._reload()
         elif signal_number in (signal.SIGINT, signal.SIGTERM) and not self.stopping:
-            self._since = time.monotonic()
+            self._stopping_since = time.monotonic()
             self._callers.draining = True
             log_event("stopping", in_flight=self._n_in_flight)
 
     @handler("control_tick")
     def _on_tick(self) -> None:
-        if self._since is None:
+        if self._stopping_since is None:
             return
-        passed = time.monotonic() - self._since
-        if passed > TURNING_AWAY:
-            self._turn_away(passed)
-        quiet = not self._n_in_flight and not self._callers.n_busy
-        out_of_time = passed > self._settings.grace - self._settings.last_bytes
-        if out_of_time or (passed > TURNING_AWAY and quiet):
-            log_event("stopped", in_flight=self._n_in_flight, after=round(passed, 2))
+        elapsed = time.monotonic() - self._stopping_since
+        if elapsed > BALANCER_REACTION_TIME:
+            self._close_idle_and_refuse(elapsed)
+        is_idle = not self._n_in_flight and not self._callers.n_busy
+        out_of_time = elapsed > self._settings.grace - self._settings.last_bytes
+        if out_of_time or (elapsed > BALANCER_REACTION_TIME and is_idle):
+            log_event("stopped", in_flight=self._n_in_flight, after=round(elapsed, 2))
             self._stop()
 
     @property
     def _n_in_flight(self) -> int:
         return len(self._requests.requests_by_number)
 
-    def _turn_away(self, passed: float) -> None:
-        """Close what idles, and refuse what can't be finished any more."""
+    def _close_idle_and_refuse(self, elapsed: float) -> None:
+        """Close idle connections; refuse new requests that can't be finished."""
         n_closed = self._callers.close_idle()
         if not self._closed_idle:
             self._closed_idle = True
             log_event("idle_connections_closed", n=n_closed)
-        left = self._settings.grace - self._settings.last_bytes - passed
-        self._requests.refuses_new = left < LONGEST_STREAM
+        remaining = self._settings.grace - self._settings.last_bytes - elapsed
+        self._requests.refuses_new = remaining < MAX_STREAM_TIME
--- a/ryelever/request_sender.py
+++ b/ryelever/request_sender.py
@@ -1,4 +1,4 @@
-"""Ask outside systems questions whose answers come back whole."""
+"""Send requests to other systems and match their complete answers."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class PendingRequest:
-    """Remember what an answer belongs to.
+    """Context of a request whose answer is pending.
 
     Attributes
     ----------
     kind : str
-        What was asked.
+        Kind of request.
     subject : str
-        What it was asked about, such as a stream or a host.
+        Object of the request, such as a stream or a host.
     """
 
     __slots__ = ("kind", "subject")
@@ -37,7 +37,7 @@
 
 
 class RequestSender(BaseComponent):
-    """Match answers with questions for a component that asks many.
+    """Base class of components that send many requests and handle their answers.
 
     A subclass implements ``answered`` and ``failed``.
     """
@@ -58,7 +58,7 @@
         body: bytes = b"",
         headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
-        """Send one question."""
+        """Send one request, and keep its context until it is answered or fails."""
         request = OutboundRequest(
             id=uuid.uuid4().hex,
             address=address,
@@ -74,11 +74,11 @@
         self.fire(outbound_send(request), "http_client")
 
     def answered(self, pending: PendingRequest, answer: OutboundAnswer) -> None:
-        """Take the answer to a question."""
+        """Handle the answer to a request."""
         raise NotImplementedError
 
     def failed(self, pending: PendingRequest, failure: OutboundFailure) -> None:
-        """Take note that a question got no answer."""
+        """Handle the failure of a request that got no answer."""
         raise NotImplementedError
 
     @handler("outbound_answer")
--- a/ryelever/store_client.py
+++ b/ryelever/store_client.py
@@ -61,7 +61,7 @@
     """Represent one followed topic and the callback for its updates."""
 
     follower: TopicFollower
-    take: Callable[[TopicUpdates], None]
+    on_updates: Callable[[TopicUpdates], None]
     call_id: str = ""
 
 
@@ -122,10 +122,10 @@
         return time.monotonic() - self._failing_since < LOST_AFTER
 
     def follow(
-        self, follower: TopicFollower, take: Callable[[TopicUpdates], None]
+        self, follower: TopicFollower, on_updates: Callable[[TopicUpdates], None]
     ) -> None:
-        """Start reading a topic, and call ``take`` with its updates."""
-        self._followed.append(_FollowedTopic(follower=follower, take=take))
+        """Start reading a topic, and call ``on_updates`` with its updates."""
+        self._followed.append(_FollowedTopic(follower=follower, on_updates=on_updates))
 
     def unfollow(self, follower: TopicFollower) -> None:
         """Stop reading a topic."""
@@ -139,10 +139,13 @@
             if followed.follower is follower:
                 self._send_due_call(followed, now=time.monotonic())
 
-    def call(self, call: LogCall, take: Callable[[StoreAnswer], None]) -> None:
-        """Send one call, and call ``take`` with its answer, of status 0 on failure."""
+    def call(self, call: LogCall, on_answer: Callable[[StoreAnswer], None]) -> None:
+        """Send one call, and pass its answer to ``on_answer``.
+
+        If the call fails, ``on_answer`` gets an answer of status 0.
+        """
         call_id = self._send(call, step="call_store", progress_timeout=CALL_TIMEOUT)
-        self._callbacks_by_call[call_id] = take
+        self._callbacks_by_call[call_id] = on_answer
 
     def record_peer_update(self, *, now: float) -> None:
         """Record that another host has forwarded updates from the store."""
@@ -236,7 +239,7 @@
                 message=error.message,
             )
             return
-        followed.take(outcome.ok)
+        followed.on_updates(outcome.ok)
         if followed.follower.is_listing:
             # At one page a tick, a list of twenty pages would take two seconds, in
             # which the host can't serve requests.
--- a/ryelever/timers.py
+++ b/ryelever/timers.py
@@ -1,8 +1,8 @@
-"""Fire events at monotonic times from one heap.
+"""Fire events at monotonic times from a single heap.
 
-``circuits.Timer`` uses the wall clock and is polled one by one on every pass: a
-clock that is set back would stretch a lease, and a thousand deadlines would cost
-a thousand checks a pass.
+Each ``circuits.Timer`` uses the wall clock and is polled on every pass of the event
+loop: a clock that is set back would stretch a lease, and a thousand deadlines would
+cost a thousand checks a pass.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 
 __all__ = ["Timer", "Timers"]
 
-#: Longest wait for input, in seconds, so that signals are noticed.
+#: Maximum seconds to wait for input, so that signals are noticed in time.
 MAX_WAIT = 0.5
 
-#: Part of an interval by which a clock's rounding may place a round too early.
+#: Fraction of an interval by which the clock's rounding may make a round begin early.
 ROUNDING = 1e-3
 
 
 class Timer(msgspec.Struct, kw_only=True):
-    """Hold one event that is due at a monotonic time.
+    """Represent one event that is due at a monotonic time.
 
     Attributes
     ----------
     interval : callable or None
-        Return the seconds to the next round; None for an event that is due once.
+        Return the seconds between rounds; None for an event that is due once.
     """
 
     due_at: float
@@ -46,16 +46,16 @@
     cancelled: bool = False
 
     def cancel(self) -> None:
-        """Keep the event from being fired."""
+        """Prevent the event from being fired."""
         self.cancelled = True
 
 
 class Timers(BaseComponent):
-    """Own the process's deadlines.
+    """Schedule the process's events.
 
-    Rounds of an interval begin at whole multiples of it since the process's start, so
-    that timers of 0.1 and 0.2 s wake the process ten times a second, and not fifteen:
-    what a round costs is mostly the waking.
+    Rounds of a repeated event begin at whole multiples of its interval since the
+    process's start, so that timers of 0.1 and 0.2 s wake the process ten times a second
+    and not fifteen: most of the cost of a round is waking the process.
     """
 
     channel = "timers"
@@ -80,12 +80,16 @@
     ) -> Timer:
         """Fire an event of one class every ``interval`` seconds.
 
-        One event for all channels costs a fraction of one for each.
+        One event for all channels costs a fraction of one event for each channel.
 
         Parameters
         ----------
         interval : float or callable
-            Seconds, or what returns them anew for each round.
+            Seconds, or a callable that returns them for each round.
+        make_event : type of Event
+            Class of the event; a new event is created for each round.
+        *channels : str
+            Channels on which each event is fired.
         """
         read = interval if callable(interval) else lambda: interval
         timer = Timer(
@@ -112,7 +116,8 @@
             self.fire(timer.event, *timer.channels)
             return
         self.fire(timer.event(), *timer.channels)
-        # After a pause the missed rounds are left out: ticks look at the present.
+        # After a pause, missed rounds are skipped, as handlers of periodic events check
+        # the current state only.
         timer.due_at = self._next_round(timer.interval(), now=now)
         self._push(timer)
 
--- a/ryelever/watch_page.py
+++ b/ryelever/watch_page.py
@@ -1,4 +1,4 @@
-"""Answer those who watch an entry host: whether it is ready, and its metrics."""
+"""Serve the readiness probe and the metrics of an entry host over HTTP."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 class WatchPage(BaseComponent):
-    """Answer on one address.
+    """Answer readiness probes and metrics requests on one address.
 
     Parameters
     ----------
     channel : str
-        Channel on which the requests are announced.
+        Channel on which requests arrive as ``relayed_request`` events.
     callers : RelayCallers
         The connections of that address.
     ready : callable
-        Tell whether the host can serve.
+        Return whether the host can serve requests.
     """
 
     def __init__(
--- a/ryelever/wiring.py
+++ b/ryelever/wiring.py
@@ -1,8 +1,8 @@
-"""Wire an entry host to the outside that its settings file belongs to.
+"""Build and run the kind of entry host that a settings file describes.
 
-Settings in JSON with comments are those of the OpenAI interface, with a log, a hosts
-list and engines of its own.  With the platform's file the host passes requests on,
-between the platform's store and its backend servers.
+Settings in JSON with comments describe a host with the OpenAI interface, which has its
+own log, hosts list and engines.  The platform's settings file describes a host that
+relays requests, using the platform's store and backend servers.
 """
 
 from __future__ import annotations
@@ -30,15 +30,15 @@
 
 
 def run(settings: Path | None, *, metrics_port: int) -> int:
-    """Run an entry host until it is told to stop; return its exit code.
+    """Run an entry host until it is signalled to stop; return its exit code.
 
     Parameters
     ----------
     settings : Path or None
-        Settings of either kind; None for the file that the platform names in the
+        Settings file of either kind; None for the file that the platform names in the
         environment.
     metrics_port : int
-        Port of its own for the metrics of a host on the platform; 0 for none.
+        Separate port for the metrics of a host on the platform; 0 for none.
     """
     from .platform.settings import SETTINGS_VARIABLE, is_node_file
 
@@ -55,7 +55,8 @@
     return _run_relay(path, metrics_port=metrics_port)
 
 
-# Each side is imported where it is used: it takes a third of a second.
+# Each kind of host is imported only where it is used, as importing it takes a third of
+# a second.
 
 
 def _run_openai(path: Path) -> int:
@@ -81,8 +82,8 @@
     from .platform.store import StoreCalls
     from .relay_application import RelayApplication
 
-    # Without this, word that the settings have changed would end a process that is
-    # still starting.
+    # Without this, the signal that the settings have changed would end a process that
+    # is still starting.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     read = read_node_settings(path)
     if read.is_error():
@@ -108,7 +109,7 @@
 def _run(
     build: Callable[[], Application | RelayApplication], *, address: str, remedy: str
 ) -> int:
-    """Run what is built, or say which address it could not listen on."""
+    """Run the application; log the address if it can't be bound."""
     try:
         application = build()
     except OSError as error:
@@ -124,10 +125,10 @@
 
 
 def _reload(path: Path, running: RelaySettings) -> None:
-    """Look at the platform's settings again.
+    """Read the platform's settings again and log whether they have changed.
 
-    Addresses and bounds hold for a process's life: what has changed is logged, and
-    takes effect at the next start.
+    Addresses and bounds are fixed for a process's lifetime, so changes take effect at
+    the next start.
     """
     from .platform.settings import read_node_settings
 
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -71,7 +71,7 @@
         Value of the rate limit header in the server's answers; None for no header.
     arrivals : list of (float, str)
         Arrival times of requests, and the hosts that sent them.
-    told_at_by_host : dict of str to float
+    limit_known_at_by_host : dict of str to float
         Time at which each host first received an answer that contains a limit.
     """
 
@@ -79,7 +79,7 @@
     seconds: float = 0.3
     limit: str | None = None
     arrivals: list[tuple[float, str]] = field(default_factory=list)
-    told_at_by_host: dict[str, float] = field(default_factory=dict)
+    limit_known_at_by_host: dict[str, float] = field(default_factory=dict)
 
     def arrivals_of_told(self, *, after: float) -> list[float]:
         """Return arrival times of requests from hosts that had known a limit for 0.5 s.
@@ -93,7 +93,7 @@
         return [
             at
             for at, host in self.arrivals
-            if at >= after and at >= self.told_at_by_host.get(host, never) + 0.5
+            if at >= after and at >= self.limit_known_at_by_host.get(host, never) + 0.5
         ]
 
     def n_between(self, start: float, end: float) -> int:
@@ -321,7 +321,7 @@
     ) -> None:
         server = self.servers[attempt.server_id]
         if server.limit is not None:
-            server.told_at_by_host.setdefault(host.name, self.now)
+            server.limit_known_at_by_host.setdefault(host.name, self.now)
         answer = MESSAGES.answer_head(200, headers)
         host.requests.answer_head(attempt.id, answer, now=self.now)
         host.requests.answer_end(attempt.id, cut=False, now=self.now)
--- a/tests/relay_zone.py
+++ b/tests/relay_zone.py
@@ -1,4 +1,4 @@
-"""Run entry hosts that relay requests, before stand-ins of the platform."""
+"""Run entry hosts that relay requests against simulated platform processes."""
 
 from __future__ import annotations
 
@@ -51,21 +51,21 @@
 
 @dataclass(slots=True, kw_only=True)
 class RelayHost:
-    """Hold one running entry host."""
+    """Represent one running entry host."""
 
     process: Process
     callers_address: str
     ready_address: str
 
     def is_ready(self) -> bool:
-        """Ask as the platform does."""
+        """Return whether the readiness probe, as the platform sends it, succeeds."""
         url = f"http://{self.ready_address}/ready"
         return httpx.get(url, timeout=5).status_code == 200
 
     def call(
         self, path: str, *, request_id: str, method: str = "GET", **headers: str
     ) -> httpx.Response:
-        """Send one request of a caller and return the whole answer."""
+        """Send one request as a caller and return the complete answer."""
         url = f"http://{self.callers_address}{path}"
         body = b"a body" if method == "POST" else None
         sent = HEADERS | {"Request-Id": request_id}
@@ -75,14 +75,14 @@
     def chat(
         self, *, request_id: str, model: str = "large", **headers: str
     ) -> httpx.Response:
-        """Ask a model for a stream."""
+        """Request a streamed answer from a model."""
         headers = {"Model": model, "Token_Usage": "100,50"} | headers
         return self.call("/chat/1", request_id=request_id, method="POST", **headers)
 
 
 @dataclass(slots=True, kw_only=True)
 class RelayZone:
-    """Start the platform's stand-ins and entry hosts."""
+    """Start and control simulated platform processes and entry hosts."""
 
     directory: Path
     processes: list[Process] = field(default_factory=list)
@@ -90,7 +90,7 @@
     addresses: dict[str, str] = field(default_factory=dict)
 
     def start_platform(self, *, n_engines: int = 4, n_plain: int = 2) -> None:
-        """Start the store and the backend servers."""
+        """Start a process that simulates the store and the backend servers."""
         process = Process(
             name="platform",
             arguments=[
@@ -118,19 +118,22 @@
         peers_port: int = 0,
         metrics_port: int = 0,
     ) -> RelayHost:
-        """Start an entry host and wait until it is ready.
+        """Start an entry host and, if ``wait`` is true, wait until it is ready.
 
         Parameters
         ----------
         door : str
-            Where it reaches the store: ``"store"`` or ``"side-door"``.
+            Address at which the host reaches the store: ``"store"`` or
+            ``"side-door"``.
         ip : str
-            Address of its ports for peers and metrics; one of its own where a port is
-            named, as others take ports of the common one at any moment.
+            Address of the ports for peers and metrics.  A fixed port needs an address
+            that no other process uses, as processes on a shared address take its
+            ports at any time.
         peers_port : int
-            Where other entry hosts reach it; 0 picks a free port.
+            Port for other entry hosts; 0 picks a free port.
         metrics_port : int
-            Where its metrics are served, besides beside readiness.
+            Additional port for metrics, which are also served on the readiness
+            address; 0 for none.
         """
         path = self.directory / f"{name}.conf"
         path.write_text(
@@ -174,15 +177,15 @@
         httpx.post(url, json=body, timeout=5).raise_for_status()
 
     def seen(self) -> dict[str, Any]:
-        """Return what the stand-ins have seen."""
+        """Return the state that the simulated platform has recorded."""
         return httpx.get(f"http://{self.addresses['control']}/control").json()
 
     def servers(self) -> dict[str, Any]:
-        """Return what each backend server has seen, by id."""
+        """Return the recorded state of each backend server, by id."""
         return self.seen()["servers"]
 
     def open_heads(self) -> list[str]:
-        """Return the heads of the groups that serve."""
+        """Return the heads of the serving groups."""
         return [
             name
             for name, server in self.servers().items()
@@ -192,7 +195,7 @@
         ]
 
     def head_of(self, size: int) -> str:
-        """Return a serving head of a group of a size, once there is one."""
+        """Wait for a serving group of the given size, and return its head."""
         servers = self.servers
         return wait_until(
             lambda: next(
@@ -207,20 +210,20 @@
         )
 
     def slow_engines(self, *, n_events: int, event_ms: float = 100.0) -> None:
-        """Let streams last, so that something can happen in their midst."""
+        """Make streams last long enough for a test to act during a stream."""
         switches = {"event_ms": event_ms, "n_events": n_events}
         engines = [name for name in self.servers() if name.startswith("engine")]
         self.control(**{name.replace("-", "_"): dict(switches) for name in engines})
 
     def server_that_runs(self, request_id: str, *, other_than: str = "") -> str | None:
-        """Return a backend server that has begun a request, if any has."""
+        """Return a backend server that has started a request, or None."""
         for name, server in self.servers().items():
             if request_id in server["n_runs"] and name != other_than:
                 return name
         return None
 
     def n_runs(self) -> dict[str, int]:
-        """Return how often each request was run, over all backend servers."""
+        """Return how often each request was run on all backend servers together."""
         total: dict[str, int] = {}
         for server in self.servers().values():
             for request_id, count in server["n_runs"].items():
@@ -235,7 +238,7 @@
 
 
 def events_of_stream(n_events: int) -> str:
-    """Return a whole stream as the stand-ins write it."""
+    """Return a complete stream as the simulated backend servers send it."""
     return "".join(
         f"id: {number}\ndata: piece {number}\n\n" for number in range(1, n_events + 1)
     )
@@ -243,7 +246,7 @@
 
 @contextmanager
 def running_relay_zone(directory: Path) -> Iterator[RelayZone]:
-    """Yield a zone whose processes are ended afterwards."""
+    """Yield a zone whose processes are killed afterwards."""
     zone = RelayZone(directory=directory)
     try:
         yield zone
--- a/tests/test_fleet_directory.py
+++ b/tests/test_fleet_directory.py
@@ -103,7 +103,7 @@
             own_address="127.0.0.1:2",
         )
         self.passed_on: list[ServerUpdates] = []
-        self.asked: list[OutboundRequest] = []
+        self.sent_requests: list[OutboundRequest] = []
         self.fleet.fire = self._keep
         self.fleet.fetch.fire = self._keep
 
@@ -111,9 +111,11 @@
         self.passed_on += [
             item for item in event.args if isinstance(item, ServerUpdates)
         ]
-        self.asked += [item for item in event.args if isinstance(item, OutboundRequest)]
+        self.sent_requests += [
+            item for item in event.args if isinstance(item, OutboundRequest)
+        ]
 
-    def listed(self, *records: KeyedRecord, end: int) -> None:
+    def apply_listing(self, *records: KeyedRecord, end: int) -> None:
         follower = self.fleet.servers
         follower.next_call(now=time.monotonic())
         follower.answered(200, b'{"items": [], "more": false, "end": %d}' % end, now=0)
@@ -121,7 +123,7 @@
             TopicUpdates(records=list(records), complete=True)
         )
 
-    def read(self, *records: KeyedRecord, end: int) -> ServerUpdates:
+    def apply_read(self, *records: KeyedRecord, end: int) -> ServerUpdates:
         """Apply records as if read from the store; return the forwarded updates."""
         start = self.fleet.servers.offset
         self.fleet.servers.offset = end
@@ -132,7 +134,7 @@
         return self.passed_on[-1]
 
 
-def _put(server_id: str, offset: int, **changes: object) -> KeyedRecord:
+def _server_record(server_id: str, offset: int, **changes: object) -> KeyedRecord:
     entry = {
         "service": "s",
         "address": "10.0.0.1:80",
@@ -151,8 +153,10 @@
 def test_host_that_does_not_read_the_store_receives_changes(clock: Clock) -> None:
     reader, other = Host("a"), Host("b")
     for host in (reader, other):
-        host.listed(_put("i1", 0), end=1)
-    updates = reader.read(_put("i1", 1, state="draining"), _put("i2", 2), end=3)
+        host.apply_listing(_server_record("i1", 0), end=1)
+    updates = reader.apply_read(
+        _server_record("i1", 1, state="draining"), _server_record("i2", 2), end=3
+    )
     other.fleet._on_forwarded_updates(updates)
     assert other.directory.by_id.keys() == {"i1", "i2"}
     assert other.directory.by_id["i1"].draining
@@ -168,14 +172,14 @@
     """
     reader, other = Host("a"), Host("b")
     for host in (reader, other):
-        host.listed(_put("i1", 0), end=1)
+        host.apply_listing(_server_record("i1", 0), end=1)
         host.fleet.servers.answered_at = clock.now
         host.fleet._on_tick()
         host.fleet.servers.failed_at = clock.now + 1.0
     clock.now += OUTAGE + 4.0
-    other.fleet._on_forwarded_updates(reader.read(_removed("i1", 1), end=2))
+    other.fleet._on_forwarded_updates(reader.apply_read(_removed("i1", 1), end=2))
     clock.now += 0.5
-    other.fleet._on_forwarded_updates(reader.read(_put("i1", 2), end=3))
+    other.fleet._on_forwarded_updates(reader.apply_read(_server_record("i1", 2), end=3))
     clock.now += ENTRIES_BACK + 1.0
     for host in (reader, other):
         host.fleet._on_tick()
@@ -241,14 +245,16 @@
     """Guard against hosts that read the store's whole topic after one lost datagram."""
     reader, other = Host("a"), Host("c")
     for host in (reader, other):
-        host.listed(_put("i1", 0), end=1)
+        host.apply_listing(_server_record("i1", 0), end=1)
     _receive(other, _heartbeat_from("a"), _heartbeat_from("b"))
-    reader.read(_put("i1", 1, state="draining"), _put("i2", 2), end=3)
-    missed_one = reader.read(_put("i3", 3), end=4)
+    reader.apply_read(
+        _server_record("i1", 1, state="draining"), _server_record("i2", 2), end=3
+    )
+    missed_one = reader.apply_read(_server_record("i3", 3), end=4)
     other.fleet._on_forwarded_updates(missed_one)
     assert other.directory.by_id.keys() == {"i1"}
-    [asked] = other.asked
-    other.fleet.fetch._on_answer(_answer_of(reader, asked))
+    [request] = other.sent_requests
+    other.fleet.fetch._on_answer(_answer_of(reader, request))
     assert other.directory.by_id.keys() == {"i1", "i2", "i3"}
     assert other.directory.by_id["i1"].draining
     assert other.fleet.servers.offset == 4
@@ -262,13 +268,13 @@
     """Guard against changes that stay unknown until the next listing."""
     reader, other = Host("a"), Host("c")
     for host in (reader, other):
-        host.listed(_put("i1", 0), end=1)
+        host.apply_listing(_server_record("i1", 0), end=1)
     _receive(other, _heartbeat_from("a"), _heartbeat_from("b"))
-    reader.read(_put("i2", 1), end=2)
+    reader.apply_read(_server_record("i2", 1), end=2)
     call = None
     for offset in range(2, 8):
         other.fleet._on_forwarded_updates(
-            reader.read(_put("i3", offset), end=offset + 1)
+            reader.apply_read(_server_record("i3", offset), end=offset + 1)
         )
         call = call or other.fleet.servers.next_call(now=clock.now)
         clock.now += MIN_SERVERS_READ_INTERVAL
@@ -279,19 +285,21 @@
     """Guard against a burst of datagrams that overloads a link and reaches no host."""
     reader, other = Host("a"), Host("c")
     for host in (reader, other):
-        host.listed(_put("i1", 0), end=1)
-    updates = reader.read(*(_put(f"i{n}", n) for n in range(1, 900)), end=900)
+        host.apply_listing(_server_record("i1", 0), end=1)
+    updates = reader.apply_read(
+        *(_server_record(f"i{n}", n) for n in range(1, 900)), end=900
+    )
     [datagram] = encode_updates(updates)
     received = decode_datagram(datagram, peer="10.0.0.9:7000")
     other.fleet._on_forwarded_updates(replace(received, provider="10.0.0.9:7000"))
-    [asked] = other.asked
-    assert asked.address == "10.0.0.9:7000"
-    answer = _answer_of(reader, asked)
+    [request] = other.sent_requests
+    assert request.address == "10.0.0.9:7000"
+    answer = _answer_of(reader, request)
     # A provider that doesn't have the changes itself yet is asked again.
     other.fleet.fetch._on_answer(replace(answer, status=404, body=b""))
     clock.now += CHANGES_RETRY
     other.fleet._on_tick()
-    other.fleet.fetch._on_answer(_answer_of(reader, other.asked[-1]))
+    other.fleet.fetch._on_answer(_answer_of(reader, other.sent_requests[-1]))
     assert len(other.directory.by_id) == 899
     assert len(answer.body) < 900 * 100
 
@@ -307,11 +315,15 @@
         lambda event, **fields: lines.append((event, fields)),
     )
     host = Host("a")
-    host.listed(*(_put(f"i{n}", n) for n in range(MAX_LOGGED_CHANGES)), end=900)
+    host.apply_listing(
+        *(_server_record(f"i{n}", n) for n in range(MAX_LOGGED_CHANGES)), end=900
+    )
     assert [event for event, _ in lines] == ["server_found"] * MAX_LOGGED_CHANGES
     lines.clear()
     group = {"name": "g", "epoch": 3, "rank": 0, "state": "ready"}
-    host.read(*(_put(f"i{n}", 900 + n, group=group) for n in range(800)), end=1700)
+    host.apply_read(
+        *(_server_record(f"i{n}", 900 + n, group=group) for n in range(800)), end=1700
+    )
     assert lines == [("servers_changed", {"n": 800, "n_by_state": {"ready": 800}})]
 
 
@@ -319,19 +331,21 @@
     """Guard against hosts that wait for each other while they miss server changes."""
     reader, provider, other = Host("a"), Host("b"), Host("c")
     for host in (reader, provider, other):
-        host.listed(_put("i1", 0), end=1)
+        host.apply_listing(_server_record("i1", 0), end=1)
     _receive(other, _heartbeat_from("b"))
     for host in (provider, other):
-        host.fleet._on_forwarded_updates(reader.read(_put("i1", 1), end=2))
-    reader.read(_put("i2", 2), end=3)
+        host.fleet._on_forwarded_updates(
+            reader.apply_read(_server_record("i1", 1), end=2)
+        )
+    reader.apply_read(_server_record("i2", 2), end=3)
     call = None
     for offset in range(3, 9):
         other.fleet._on_forwarded_updates(
-            reader.read(_put("i3", offset), end=offset + 1)
+            reader.apply_read(_server_record("i3", offset), end=offset + 1)
         )
-        for asked in other.asked:
-            other.fleet.fetch._on_answer(_answer_of(provider, asked))
-        other.asked.clear()
+        for request in other.sent_requests:
+            other.fleet.fetch._on_answer(_answer_of(provider, request))
+        other.sent_requests.clear()
         call = call or other.fleet.servers.next_call(now=clock.now)
         clock.now += MIN_SERVERS_READ_INTERVAL
     assert call is not None and "&from=2" in call.path
@@ -340,13 +354,13 @@
 def test_incomplete_history_is_not_served(clock: Clock) -> None:
     """Guard against a host that mistakes incomplete changes for all that it missed."""
     provider = Host("a")
-    provider.listed(_put("i1", 0), end=5)
-    provider.read(_put("i2", 5), end=6)
+    provider.apply_listing(_server_record("i1", 0), end=5)
+    provider.apply_read(_server_record("i2", 5), end=6)
     assert provider.fleet.changes_since(4, 0) is None
     assert provider.fleet.changes_since(5, 1) is None
     assert provider.fleet.changes_since(6, 0) is None
     assert provider.fleet.changes_since(7, 0) is None
-    provider.listed(_put("i1", 0), end=9)
+    provider.apply_listing(_server_record("i1", 0), end=9)
     changes = provider.fleet.changes_since(5, 0)
     assert changes is None or changes.end == 6
 
@@ -357,7 +371,7 @@
 ) -> None:
     """Guard against all hosts of a zone reading the store when its reader is lost."""
     host = Host("c")
-    host.listed(_put("i1", 0), end=1)
+    host.apply_listing(_server_record("i1", 0), end=1)
     host.fleet._store._failing_since = None if is_reachable else 0.0
     host.fleet._store.forwarded_at = clock.now
     began = clock.now
@@ -392,24 +406,26 @@
 def test_host_that_starts_among_many_does_not_list_the_store(clock: Clock) -> None:
     """Guard against hosts that start at once and saturate the store for seconds."""
     provider, other = Host("a"), Host("x")
-    provider.listed(_put("i1", 0), _put("i2", 1), end=2)
+    provider.apply_listing(_server_record("i1", 0), _server_record("i2", 1), end=2)
     provider.fleet.servers.answered_at = clock.now
     _start_among_hosts(other, [f"h{index}" for index in range(20)])
     assert other.fleet.servers.next_call(now=clock.now) is None
     _receive(other, _heartbeat_from("h3"))
     other.fleet._on_tick()
-    [asked] = [ask for ask in other.asked if ask.path == SERVERS_PATH]
+    [request] = [sent for sent in other.sent_requests if sent.path == SERVERS_PATH]
     # A host that is busy serving the list to others refuses; the next host is asked.
-    busy = replace(_answer_of(provider, asked), status=503, body=b"")
+    busy = replace(_answer_of(provider, request), status=503, body=b"")
     other.fleet.fetch._on_answer(busy)
     clock.now += 0.1
     other.fleet._on_tick()
-    asked = [ask for ask in other.asked if ask.path == SERVERS_PATH][-1]
-    other.fleet.fetch._on_answer(_answer_of(provider, asked))
+    request = [sent for sent in other.sent_requests if sent.path == SERVERS_PATH][-1]
+    other.fleet.fetch._on_answer(_answer_of(provider, request))
     assert other.directory.by_id.keys() == {"i1", "i2"}
     # Later changes of the servers are applied at once.
     group = {"name": "g", "epoch": 3, "rank": 0, "state": "open"}
-    other.fleet._on_forwarded_updates(provider.read(_put("i2", 2, group=group), end=3))
+    other.fleet._on_forwarded_updates(
+        provider.apply_read(_server_record("i2", 2, group=group), end=3)
+    )
     assert other.directory.by_id["i2"].group is not None
 
 
@@ -447,17 +463,17 @@
     from the store.
     """
     provider, other = Host("a"), Host("b")
-    provider.listed(_put("i1", 0), _put("i2", 1), end=2)
+    provider.apply_listing(_server_record("i1", 0), _server_record("i2", 1), end=2)
     heartbeat = _heartbeat_from("a", reads_store=False, knows_servers=False)
     other.fleet._heartbeats.take(heartbeat, address="10.0.0.7:7000", now=clock.now)
     other.fleet._on_tick()
-    assert [ask for ask in other.asked if ask.path == SERVERS_PATH] == []
+    assert [sent for sent in other.sent_requests if sent.path == SERVERS_PATH] == []
     clock.now += 0.5
     other.fleet.servers.next_call(now=clock.now)
     other.fleet._on_tick()
-    [asked] = [ask for ask in other.asked if ask.path == SERVERS_PATH]
-    assert asked.address == "10.0.0.7:7000"
-    other.fleet.fetch._on_answer(_answer_of(provider, asked))
+    [request] = [sent for sent in other.sent_requests if sent.path == SERVERS_PATH]
+    assert request.address == "10.0.0.7:7000"
+    other.fleet.fetch._on_answer(_answer_of(provider, request))
     assert other.directory.by_id.keys() == {"i1", "i2"}
     assert other.fleet.servers.is_current
     # The listing requested earlier is answered late, and doesn't contain i1.
@@ -479,19 +495,23 @@
     """
     host, other = Host("a"), Host("b")
     group = {"name": "g", "epoch": 3, "rank": 0, "state": "open"}
-    joined = _put("i2", 12, group=group)
+    joined = _server_record("i2", 12, group=group)
     for one in (host, other):
-        one.listed(_put("i1", 3), joined if one is host else _put("i2", 4), end=10)
-    before = host.read(_put("i1", 10), _put("i2", 11), end=12)
+        one.apply_listing(
+            _server_record("i1", 3),
+            joined if one is host else _server_record("i2", 4),
+            end=10,
+        )
+    before = host.apply_read(_server_record("i1", 10), _server_record("i2", 11), end=12)
     assert host.directory.by_id["i2"].group is not None
-    since = host.read(joined, end=13)
+    since = host.apply_read(joined, end=13)
     assert host.directory.by_id["i2"].group is not None
     # A host that listed earlier receives all changes since its listing.
     for updates in (before, since):
         other.fleet._on_forwarded_updates(updates)
     assert other.directory.by_id["i2"].group is not None
     # Later records are applied as usual.
-    host.read(_put("i2", 14), end=15)
+    host.apply_read(_server_record("i2", 14), end=15)
     assert host.directory.by_id["i2"].group is None
 
 
@@ -521,14 +541,14 @@
         follower.answered(200, page, now=clock.now)
         clock.now += 0.1
         host.fleet._on_tick()
-    assert [ask for ask in host.asked if ask.path == SERVERS_PATH] == []
+    assert [sent for sent in host.sent_requests if sent.path == SERVERS_PATH] == []
     # Once the store stops answering, the host asks its peers.
     clock.now += 1.1
     host.fleet._heartbeats.take(
         replace(heartbeat, sequence=99), address="10.0.0.7:7000", now=clock.now
     )
     host.fleet._on_tick()
-    assert [ask.path for ask in host.asked if ask.path == SERVERS_PATH]
+    assert [sent.path for sent in host.sent_requests if sent.path == SERVERS_PATH]
 
 
 REPORT = b"""{"stage": "whole", "models": [{"name": "m"}], "domain": "d",
@@ -545,7 +565,7 @@
     """
     planner, other = Host("a"), Host("b")
     for host in (planner, other):
-        host.listed(_put("i1", 0, slots=7), end=1)
+        host.apply_listing(_server_record("i1", 0, slots=7), end=1)
         host.fleet.servers.answered_at = clock.now
     planner.fleet._on_reported("i1", REPORT)
     assert planner.directory.by_id["i1"].group is None
@@ -567,7 +587,7 @@
 def test_forwarded_reports_are_ignored_while_the_list_is_current(clock: Clock) -> None:
     reader, other = Host("a"), Host("b")
     for host in (reader, other):
-        host.listed(_put("i1", 0), end=1)
+        host.apply_listing(_server_record("i1", 0), end=1)
     reader.fleet.servers.answered_at = clock.now
     clock.now += LIST_STALE_AFTER + 0.1
     reader.fleet._on_reported("i1", REPORT)
@@ -579,7 +599,7 @@
 @pytest.mark.parametrize("report", [b"", b"<html>", b"[]", b'{"group": 3}'])
 def test_unreadable_reports_change_nothing(clock: Clock, report: bytes) -> None:
     host = Host("a")
-    host.listed(_put("i1", 0), end=1)
+    host.apply_listing(_server_record("i1", 0), end=1)
     clock.now += LIST_STALE_AFTER + 0.1
     host.fleet._on_reported("i1", report)
     host.fleet._on_reported("unknown", REPORT)
@@ -599,12 +619,12 @@
     """
     planner, other = Host("a"), Host("b")
     for host in (planner, other):
-        host.listed(_put("i1", 0), end=1)
+        host.apply_listing(_server_record("i1", 0), end=1)
     clock.now += LIST_STALE_AFTER + 0.1
     planner.fleet._on_reported("i1", REPORT)
     other.fleet._on_forwarded_updates(planner.passed_on[-1])
     clock.now += 5.0
-    stale = planner.read(_put("i1", 1, state="draining"), end=2)
+    stale = planner.apply_read(_server_record("i1", 1, state="draining"), end=2)
     other.fleet._on_forwarded_updates(stale)
     for host in (planner, other):
         found = host.directory.by_id["i1"]
@@ -633,7 +653,7 @@
     """
     planner, other = Host("a"), Host("b")
     for host in (planner, other):
-        host.listed(_put("i1", 0, born=1000), end=1)
+        host.apply_listing(_server_record("i1", 0, born=1000), end=1)
     clock.now += LIST_STALE_AFTER + 0.1
     report = REPORT.replace(b'"busy"', b'"born": 2000, "busy"')
     planner.fleet._on_reported("i1", report)
@@ -641,10 +661,12 @@
     # The record written before the outage is of the earlier start, so the report takes
     # precedence.
     clock.now += 5.0
-    other.fleet._on_forwarded_updates(planner.read(_put("i1", 1, born=1000), end=2))
+    other.fleet._on_forwarded_updates(
+        planner.apply_read(_server_record("i1", 1, born=1000), end=2)
+    )
     for host in (planner, other):
         assert host.directory.by_id["i1"].started_at == 2000
-    later = planner.read(_put("i1", 2, born=1500, group=None), end=3)
+    later = planner.apply_read(_server_record("i1", 2, born=1500, group=None), end=3)
     other.fleet._on_forwarded_updates(later)
     for host in (planner, other):
         found = host.directory.by_id["i1"]
@@ -663,12 +685,19 @@
     """
     reader, other = Host("a"), Host("b")
     for host in (reader, other):
-        host.listed(_put("i1", 0), _put("i2", 1), end=2)
-    wrong = [_put(key, 2 + n, slots="x") for n, key in enumerate(("i1", "i2", "i9"))]
-    other.fleet._on_forwarded_updates(reader.read(*wrong, end=5))
-    other.fleet._on_forwarded_updates(reader.read(_put("i9", 5, state="odd"), end=6))
+        host.apply_listing(_server_record("i1", 0), _server_record("i2", 1), end=2)
+    wrong = [
+        _server_record(key, 2 + n, slots="x")
+        for n, key in enumerate(("i1", "i2", "i9"))
+    ]
+    other.fleet._on_forwarded_updates(reader.apply_read(*wrong, end=5))
+    other.fleet._on_forwarded_updates(
+        reader.apply_read(_server_record("i9", 5, state="odd"), end=6)
+    )
     assert caplog.messages.count("server_unreadable") == 2 * len(wrong)
-    other.fleet._on_forwarded_updates(reader.read(_put("i1", 6), _put("i3", 7), end=8))
+    other.fleet._on_forwarded_updates(
+        reader.apply_read(_server_record("i1", 6), _server_record("i3", 7), end=8)
+    )
     clock.now += 2.5
     for host in (reader, other):
         host.fleet._on_tick()
@@ -677,11 +706,11 @@
 
 def test_server_removed_after_an_outage_is_removed(clock: Clock) -> None:
     host = Host("a")
-    host.listed(_put("i1", 0), end=1)
+    host.apply_listing(_server_record("i1", 0), end=1)
     clock.now += LIST_STALE_AFTER + 0.1
     host.fleet._on_reported("i1", REPORT)
     clock.now += OUTAGE + ENTRIES_BACK
-    host.read(_put("i1", 1), _removed("i1", 2), end=3)
+    host.apply_read(_server_record("i1", 1), _removed("i1", 2), end=3)
     clock.now += ENTRIES_BACK + REPORTED_FOR + 0.1
     host.fleet._on_tick()
     clock.now += 0.1
@@ -717,7 +746,7 @@
 
 
 @pytest.mark.parametrize(
-    ("zone", "size", "asks_host", "asks_store"),
+    ("zone", "size", "fetches_from_host", "reads_from_store"),
     [
         ("z", 100, True, False),
         ("z", MAX_FETCHED_CONFIGURATION + 1, False, True),
@@ -726,13 +755,15 @@
     ids=["of its zone", "too long for one link", "of another zone"],
 )
 def test_host_with_suspended_reading_fetches_a_newer_configuration(
-    clock: Clock, zone: str, size: int, asks_host: bool, asks_store: bool
+    clock: Clock, zone: str, size: int, fetches_from_host: bool, reads_from_store: bool
 ) -> None:
     host = _host_with_suspended_reading("b")
     host.fleet.note_version(_newer_heartbeat(host, zone=zone, size=size), now=clock.now)
-    assert [request.path for request in host.asked] == [CONFIGURATION_PATH] * asks_host
+    assert [request.path for request in host.sent_requests] == [
+        CONFIGURATION_PATH
+    ] * fetches_from_host
     call = host.fleet.configuration.next_call(now=clock.now)
-    assert (call is not None) is asks_store
+    assert (call is not None) is reads_from_store
 
 
 def test_overdue_configuration_is_requested_from_all_sources(
@@ -795,7 +826,7 @@
     assert len(fired) == 1
     if is_notified_first:
         host.fleet._on_store_returned()
-    host.listed(*records, end=end)
+    host.apply_listing(*records, end=end)
     host.fleet.servers.era = 2
     if not is_notified_first:
         host.fleet._on_store_returned()
@@ -807,16 +838,16 @@
     An older record could likewise show a member of a group as free.
     """
     host = Host("a")
-    host.listed(_put("i1", 0), end=1)
-    host.read(_put("i1", 1, state="draining"), end=2)
-    _return_store(host, _put("i1", 0), _put("gone", 0), end=1)
+    host.apply_listing(_server_record("i1", 0), end=1)
+    host.apply_read(_server_record("i1", 1, state="draining"), end=2)
+    _return_store(host, _server_record("i1", 0), _server_record("gone", 0), end=1)
     assert host.directory.by_id["i1"].draining
     assert "gone" not in host.directory.by_id
     clock.now += ENTRIES_BACK + 0.1
     host.fleet._on_tick()
     assert host.directory.by_id["i1"].draining
     # The server's renewed record is newer than the copy.
-    host.read(_put("i1", 1, slots=7), end=2)
+    host.apply_read(_server_record("i1", 1, slots=7), end=2)
     assert not host.directory.by_id["i1"].draining
 
 
@@ -829,11 +860,11 @@
     The host may learn of the store's return only from the listing of the copy itself.
     """
     host = Host("a")
-    host.listed(_put("i1", 0), _put("i2", 1), end=2)
+    host.apply_listing(_server_record("i1", 0), _server_record("i2", 1), end=2)
     _return_store(host, is_notified_first=is_notified_first, end=0)
     host.fleet._on_tick()
     assert host.directory.by_id.keys() == {"i1", "i2"}
-    host.read(_put("i1", 0), end=1)
+    host.apply_read(_server_record("i1", 0), end=1)
     clock.now += ENTRIES_BACK + 0.1
     host.fleet._on_tick()
     assert host.directory.by_id.keys() == {"i1"}
@@ -842,7 +873,7 @@
 def test_host_that_knows_no_servers_trusts_an_older_copy(clock: Clock) -> None:
     """Guard against a host that starts during the store's return and can't serve."""
     host = Host("a")
-    _return_store(host, _put("i1", 0), end=1)
+    _return_store(host, _server_record("i1", 0), end=1)
     assert host.directory.by_id.keys() == {"i1"}
 
 
@@ -851,13 +882,13 @@
 ) -> None:
     """Guard against a host that started in the meantime and has listed the copy."""
     host = Host("a")
-    host.listed(_put("i1", 0), end=1)
+    host.apply_listing(_server_record("i1", 0), end=1)
     _return_store(host, end=0)
-    updates = host.read(_put("i1", 0), end=1)
+    updates = host.apply_read(_server_record("i1", 0), end=1)
     assert [record.key for record in updates.records] == ["i1"]
     assert updates.era == 2
     clock.now += RENEWAL_TIME_AFTER_RETURN + 0.1
-    assert host.read(_put("i1", 1), end=2).records == []
+    assert host.apply_read(_server_record("i1", 1), end=2).records == []
 
 
 def test_host_writes_its_address_again_after_the_store_returns(clock: Clock) -> None:
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -1,4 +1,4 @@
-"""Test that log lines hold nothing up, and that what is left out is told."""
+"""Test that logging never blocks, and that dropped lines are reported."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 import pytest
 
-from ryelever.log_stream import MAX_LINES, MAX_LINES_OF_KIND, MAX_WAITING, StreamWriter
+from ryelever.log_stream import MAX_BUFFERED, MAX_LINES, MAX_LINES_OF_KIND, StreamWriter
 from ryelever.logs import JsonFormatter
 
 
 class Pipe:
-    """Hold a writer and the end of its pipe that a test reads."""
+    """Represent a writer and the read end of its pipe."""
 
     def __init__(self) -> None:
         self.read_fd, self.write_fd = os.pipe()
@@ -39,8 +39,8 @@
             if not more:
                 break
             data += more
-        whole, _, self._rest = data.rpartition(b"\n")
-        return [json.loads(line) for line in whole.splitlines()]
+        complete, _, self._rest = data.rpartition(b"\n")
+        return [json.loads(line) for line in complete.splitlines()]
 
 
 @pytest.fixture
@@ -60,25 +60,24 @@
 
 
 def test_unread_pipe_does_not_block_the_process(pipe: Pipe) -> None:
-    """Show that a process goes on when its log isn't read.
+    """Guard against a host that stops answering because its log isn't read.
 
-    Symptom: a host answers nothing any more, and nothing says why.
-    Sequence: the reader of its log stalls, the pipe fills, a line is written.
-    Cause: the write waits for the reader.
+    The reader of the log stalls, the pipe fills up, and a blocking write of the next
+    line would wait for the reader, without any hint in the log.
     """
     n = 0
     while pipe.writer.n_lost == 0:
         pipe.log("answered", at=float(n // 100), padding="x" * 2000)
         n += 1
-    assert n * 2000 > MAX_WAITING
-    # The reader comes back: what waited is there, and how much was lost.
+    assert n * 2000 > MAX_BUFFERED
+    # The reader resumes and gets the buffered lines and the number of dropped lines.
     lines = pipe.lines()
     for _ in range(20):
         pipe.log("later", at=1000.0)
         lines += pipe.lines()
     left_out = [line for line in lines if line["event"] == "log_lines_left_out"]
     assert left_out[0]["n"] >= 1
-    assert left_out[-1]["n_in_all"] == pipe.writer.n_left_out
+    assert left_out[-1]["n_in_all"] == pipe.writer.n_dropped
     assert lines[-1]["event"] == "later"
 
 
@@ -94,7 +93,7 @@
         pipe.log("answered", at=5.5, request=f"r{number}", status=200)
     for number in range(50):
         pipe.log("answered", at=5.6, request=f"f{number}", status=503)
-    # A stream that was cut off midway has no status.
+    # A stream that was cut off midway is logged with status 0.
     for number in range(50):
         pipe.log("answered", at=5.7, request=f"c{number}", status=0)
     lines = pipe.lines()
@@ -102,8 +101,8 @@
     assert statuses.count(200) == MAX_LINES_OF_KIND
     assert statuses.count(503) == 50
     assert statuses.count(0) == 50
-    [told] = [line for line in lines if line["event"] == "log_lines_left_out"]
-    assert told["n_in_all"] == 1000 - MAX_LINES_OF_KIND
+    [report] = [line for line in lines if line["event"] == "log_lines_left_out"]
+    assert report["n_in_all"] == 1000 - MAX_LINES_OF_KIND
 
 
 def test_lines_of_all_kinds_are_limited(pipe: Pipe) -> None:
--- a/tests/test_relay_host.py
+++ b/tests/test_relay_host.py
@@ -1,4 +1,4 @@
-"""Test how an entry host on the platform is started."""
+"""Test the start of an entry host on the platform."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 from ryelever.exit_codes import ExitCode
 from ryelever.relay_host import METRICS_VARIABLE
 
-#: Modules that no relayed request needs.  After all hosts lost their power, callers
-#: wait for their imports: on half a core those of the command line, of the metrics'
-#: library and of the other interface took as long as all others together.
-NEEDLESS = (
+#: Modules that relaying requests doesn't need.  After a power failure of all hosts,
+#: callers wait for the hosts' imports.  On half a core, the modules of the command
+#: line, the metrics library and the OpenAI interface take as long as all others
+#: together.
+UNNEEDED = (
     "pkg_resources",
     "defopt",
     "docutils",
@@ -56,16 +57,15 @@
 
 
 def test_host_imports_only_what_it_needs() -> None:
-    """Show that callers don't wait for modules that nobody uses.
+    """Guard against callers that are refused for 1.3 s after all hosts lost power.
 
-    Symptom: after all hosts lost their power, callers are refused for 1.3 s.
-    Sequence: hosts start on half a core each, and listen once all is imported.
-    Cause: the command line's parser, the other interface and what libraries ask for
-    in vain were half of the modules, 613 where 410 do.
+    Hosts start on half a core each, and listen only when all imports are done.  Half
+    of the imported modules would be unneeded, 613 where 410 suffice: the command line
+    parser, the OpenAI interface and modules that libraries import without need.
     """
     imported = set(_started(IMPORT_ALL).stdout.split())
     assert "ryelever.relay_application" in imported
-    assert not imported & set(NEEDLESS)
+    assert not imported & set(UNNEEDED)
 
 
 @pytest.mark.parametrize("port", ["x", "-1", "65536"])
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""Test the moments at which timers fire."""
+"""Test the times at which timers fire."""
 
 from __future__ import annotations
 
@@ -37,21 +37,21 @@
 
 @pytest.fixture
 def fired(clock: Clock) -> list[tuple[float, str]]:
-    """Return what a run of two timers fires, each as its time and name."""
+    """Return the times and names of the events that two timers fire."""
     timers = Timers()
     found: list[tuple[float, str]] = []
     timers.fire = lambda event, channel: found.append((clock.now, event.name))
     timers.every(0.1, short_round, "any")
     clock.now += 0.03
     timers.every(0.2, long_round, "any")
-    # A round is noticed up to 4 ms late, and once the process is held up for 0.37 s.
+    # Rounds are noticed up to 4 ms late, and once the process is stopped for 0.37 s.
     for step in range(400):
         clock.now += 0.375 if step == 200 else 0.005
-        _look(timers)
+        _fire_due_timers(timers)
     return found
 
 
-def _look(timers: Timers) -> None:
+def _fire_due_timers(timers: Timers) -> None:
     event = Event()
     event.reduce_time_left = lambda seconds: None
     timers._on_generate_events(event)
@@ -60,12 +60,12 @@
 def test_timers_of_different_intervals_fire_together(
     fired: list[tuple[float, str]],
 ) -> None:
-    """See that rounds coincide, also after a pause.
+    """Guard against an idle host that wakes twice as often as needed.
 
-    Symptom: a host at rest woke forty times a second, of which twenty were needed.
-    Sequence: timers are set up one after the other, one of them late; then the
-    process is held up, and each counts on from the moment at which it noticed.
-    Cause: each timer's rounds began at a moment of its own.
+    Timers are created one after the other, one of them late, and the process is
+    stopped for a while.  If each timer's rounds counted from its own creation or from
+    the end of the pause, rounds of different timers wouldn't coincide, and an idle
+    host would wake forty times a second where twenty suffice.
     """
     short = {when for when, name in fired if name == "short_round"}
     long = [when for when, name in fired if name == "long_round"]
--- a/tests/zone.py
+++ b/tests/zone.py
@@ -1,7 +1,7 @@
-"""Fake one availability zone in memory: engines, log and hosts list, in steps.
+"""Simulate one availability zone in memory: engines, log and hosts list.
 
-For tables of fault cases and for the measurement over a day.  Time is a number
-that the caller advances; nothing sleeps and nothing is random here.
+Used by tests of fault cases and by the benchmark over a day.  Time is a number that
+the caller advances in steps; the simulation neither sleeps nor uses randomness.
 """
 
 from __future__ import annotations
@@ -23,23 +23,24 @@
 
 __all__ = ["Engine", "PlannerProcess", "Zone", "new_zone"]
 
-#: Seconds between two questions to one host.
+#: Seconds between two report requests to one host.
 REPORT_INTERVAL = 0.5
 
-#: Downtime alone counts, so that spare hosts stay idle and rows stay small.
+#: Only downtime has a weight, so that spare hosts stay idle and rows stay small.
 DOWNTIME_ONLY = Weights(group_downtime=1.0, stranded_accelerators=0.0)
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Engine:
-    """Obey orders as tests/standins/engine.py does.
+    """Simulate an engine that follows orders as tests/standins/engine.py does.
 
     Attributes
     ----------
     answers : bool
-        Whether the host is reachable and its process runs; it is silent otherwise.
+        Whether the host is reachable and its process runs; otherwise requests get no
+        answer.
     refuses : bool
-        Whether the host is there without its process.
+        Whether the host is up without its process, so that connections are refused.
     """
 
     host: str
@@ -60,11 +61,17 @@
 
     @property
     def alive(self) -> bool:
-        """Tell whether the process is there, though it may be cut off."""
+        """Return whether the process runs, even if the host is unreachable."""
         return not self.refuses
 
     def obey(self, order: SendOrder, *, now: float) -> bool:
-        """Obey an order, unless it is late or its number is old."""
+        """Execute an order unless it has expired or its fencing token is too old.
+
+        Returns
+        -------
+        bool
+            Whether the order was executed.
+        """
         if 0 < order.expires_ms < self._clock_ms(now):
             return False
         if self.checks_fencing and order.fencing < self.fencing:
@@ -77,14 +84,14 @@
         return True
 
     def restart(self) -> None:
-        """Come back as a new process that knows nothing."""
+        """Restart as a new process without any state."""
         self.n_boots += 1
         self._leave()
         self.fencing = -1
         self.answers, self.refuses, self.leaving = True, False, False
 
     def report(self, *, now: float) -> HostReport:
-        """Return the report of this moment."""
+        """Return a report of the current state."""
         state = "leaving" if self.leaving else self.state
         return HostReport(
             host=self.host,
@@ -116,12 +123,12 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class PlannerProcess:
-    """Hold one entry host's planner with what it has read and heard.
+    """Represent one entry host's planner with the records and reports it has read.
 
     Attributes
     ----------
-    paused, cut_from_log : bool
-        Whether the process stands still, or cannot reach the log.
+    paused, cut_from_log, cut_from_hosts : bool
+        Whether the process is stopped, can't reach the log, or can't reach the hosts.
     """
 
     name: str
@@ -132,19 +139,19 @@
     paused: bool = False
     cut_from_log: bool = False
     cut_from_hosts: bool = False
-    ask_at: float = 0.0
+    next_report_at: float = 0.0
     heard_at_by_host: dict[str, float] = field(default_factory=dict)
     sent: list[SendOrder] = field(default_factory=list)
 
     def fold_entries(self, entries: Sequence[Entry]) -> None:
-        """Read what is new in the log."""
+        """Apply the log entries that the planner hasn't read yet."""
         for entry in entries[self.fold.next_offset :]:
             self.fold.apply(entry)
             self.writer.read_back(entry.id)
 
 
 class Zone:
-    """Drive engines and planners against one log in steps of time.
+    """Run engines and planners against one log in steps of time.
 
     Parameters
     ----------
@@ -154,8 +161,8 @@
     Attributes
     ----------
     order_fate, append_fate : callable
-        Return the delays at which an order or append arrives; none loses it, and
-        several repeat it.
+        Return the delays in seconds after which an order or append arrives: an empty
+        sequence if it is lost, several delays if it is duplicated.
     """
 
     def __init__(
@@ -199,7 +206,7 @@
     def add_host(
         self, host: str, domain: str, checks_fencing: bool = True, **fields: float
     ) -> None:
-        """Put a host into the zone and on the list."""
+        """Add a host with an engine to the zone and to the hosts list."""
         self.engines_by_host[host] = Engine(
             host=host, checks_fencing=checks_fencing, **fields
         )
@@ -231,12 +238,12 @@
     # Time
 
     def run(self, seconds: float) -> None:
-        """Advance time."""
+        """Advance time by some seconds."""
         for _ in range(round(seconds / self.step)):
             self.advance()
 
     def run_until(self, condition: Callable[[], object], *, at_most: float) -> float:
-        """Advance until a condition holds; return the seconds that took."""
+        """Advance time until a condition holds; return the seconds elapsed."""
         start = self.now
         while not condition():
             assert self.now - start < at_most, f"not within {at_most:g} s"
@@ -244,7 +251,7 @@
         return self.now - start
 
     def seconds_down(self, seconds: float) -> float:
-        """Advance time; return the seconds in which no group served."""
+        """Advance time by some seconds; return the seconds without a serving group."""
         n_down = 0
         for _ in range(round(seconds / self.step)):
             self.advance()
@@ -252,7 +259,7 @@
         return n_down * self.step
 
     def advance(self) -> None:
-        """Do one step."""
+        """Advance time by one step, and run all engines and planners."""
         self.now += self.step
         while self._due and self._due[0][0] <= self.now:
             heapq.heappop(self._due)[2]()
@@ -275,10 +282,10 @@
         elif engine.state == "ready" and boots != engine.member_boots:
             engine.state = "broken"
 
-    # What a planner sees and does
+    # Planners
 
     def view(self, process: PlannerProcess) -> PlannerView:
-        """Return what a planner looks at."""
+        """Return the input of a planner's tick."""
         return PlannerView(
             configuration=self.configuration,
             configuration_version=0,
@@ -289,16 +296,16 @@
         )
 
     def tick(self, process: PlannerProcess) -> None:
-        """Let one planner read, look and act."""
-        if self.now >= process.ask_at:
-            process.ask_at = self.now + REPORT_INTERVAL
-            self._ask_hosts(process)
+        """Run one planner: read reports and log entries, plan, and act."""
+        if self.now >= process.next_report_at:
+            process.next_report_at = self.now + REPORT_INTERVAL
+            self._request_reports(process)
         if self.log_is_up and not process.cut_from_log:
             process.fold_entries(self.entries)
         self.do(process, process.planner.tick(self.view(process), now=self.now))
         self._append(process)
 
-    def _ask_hosts(self, process: PlannerProcess) -> None:
+    def _request_reports(self, process: PlannerProcess) -> None:
         for host in self.listed_by_host:
             engine = self.engines_by_host[host]
             if process.cut_from_hosts:
@@ -311,7 +318,7 @@
                 process.confirmations.reported(report, asked_at=self.now)
 
     def do(self, process: PlannerProcess, actions: list[Action]) -> None:
-        """Carry out what a planner decided."""
+        """Carry out a planner's actions."""
         for action in actions:
             if isinstance(action, SendOrder):
                 process.sent.append(action)
@@ -323,7 +330,7 @@
                 )
 
     def later(self, delay: float, call: Callable[[], None]) -> None:
-        """Do something after a delay."""
+        """Schedule a call after a delay in seconds."""
         heapq.heappush(self._due, (self.now + delay, next(self._sequence), call))
 
     def _deliver(self, order: SendOrder) -> None:
@@ -342,10 +349,10 @@
             if process.cut_from_log or not self.log_is_up:
                 continue
             for delay in self.append_fate(action):
-                self.later(delay, lambda append=action: self._take(append))
+                self.later(delay, lambda append=action: self._append_entry(append))
         process.writer.answered()
 
-    def _take(self, action: AppendRecord) -> None:
+    def _append_entry(self, action: AppendRecord) -> None:
         if not self.log_is_up:
             return
         self.n_appends += 1
@@ -358,10 +365,10 @@
         self.entries.append(entry)
         self.on_entry(entry, self.truth.apply(entry))
 
-    # What tests look at
+    # Observations for tests
 
     def groups(self, model: str = "m") -> list[tuple[str, ...]]:
-        """Return the members of a model's groups that all engines serve."""
+        """Return the members of each serving group of a model."""
         return [
             group.members
             for group in self.truth.groups_by_name.values()
@@ -369,7 +376,11 @@
         ]
 
     def serves(self, name: str) -> bool:
-        """Tell whether a group is there and takes work from every planner's host."""
+        """Return whether a group is placed, not draining, and complete.
+
+        The group must be complete according to every planner that runs and reaches
+        the hosts.
+        """
         group = self.truth.groups_by_name.get(name)
         return (
             group is not None
@@ -382,11 +393,11 @@
         )
 
     def group_of(self, host: str) -> str:
-        """Return the group that claims a host."""
+        """Return the name of the group that a host is placed in, or an empty string."""
         return self.truth.group_by_host.get(host, "")
 
     def kinds(self) -> list[str]:
-        """Return the kinds of the decisions that took effect."""
+        """Return the kinds of the placement changes that took effect, in order."""
         return [change.kind for change in self.truth.changes]
 
 
@@ -398,14 +409,15 @@
     serves_within: float = 0.0,
     **fields: object,
 ) -> Zone:
-    """Return a zone with the model "m" declared.
+    """Return a zone whose configuration has only the model "m".
 
     Parameters
     ----------
     serves_within : float
-        Seconds in which every group must serve; 0 does not wait for them.
+        Seconds within which every group must serve; 0 returns without waiting.
     **fields
-        Parameters of the zone, and the number of hosts of the fabric domains.
+        Parameters of ``Zone``, and the numbers of hosts of the fabric domains "a" to
+        "d".
     """
     domains = {name: fields.pop(name) for name in "abcd" if name in fields}
     model = Model(version="v1", n_groups=n_groups, hosts_per_group=hosts_per_group)
