--- a/ryelever/fleet_directory.py
+++ b/ryelever/fleet_directory.py
@@ -180,9 +180,9 @@
         self._update_listing_schedule(now=now)
         if not self.servers.is_current:
             if self.servers.defers_listing:
-                self.fetch.request_known_servers(now=now)
+                self.fetch.request_servers_from_knowing_host(now=now)
             if self.list_is_stale():
-                self.fetch.request_servers(now=now)
+                self.fetch.request_servers_from_any_host(now=now)
         unannounced = self._acknowledged_at is None
         if unannounced and now - self._announced_at > ANNOUNCE_RETRY_INTERVAL:
             self._announced_at = now
@@ -194,7 +194,7 @@
 
     @handler("store_returned")
     def _on_store_returned(self) -> None:
-        """List all topics again after the store returned from an older copy.
+        """List the followed topics again after the store returned from an older copy.
 
         The copy may show a member of a serving group as free, and a planner would
         assign that member to another group.  Listed records of servers that this host
@@ -670,8 +670,8 @@
     def _remove(self, server_id: str, *, now: float) -> None:
         self._newer_than_copy.discard(server_id)
         self._data_by_server.pop(server_id, None)
-        heard_at = now - LAPSED_RENEWALS * self._settings.heartbeat_interval
-        if self._directory.remove(server_id, heard_at=heard_at):
+        last_renewal_at = now - LAPSED_RENEWALS * self._settings.heartbeat_interval
+        if self._directory.remove(server_id, heard_at=last_renewal_at):
             log_event("server_gone", server=server_id)
             self.fire(directory_changed(), "relay")
 
--- a/ryelever/host_exchange.py
+++ b/ryelever/host_exchange.py
@@ -161,10 +161,10 @@
             },
         )
 
-    def _send_zone_heartbeat(self, own: HostHeartbeat, *, now: float) -> None:
+    def _send_zone_heartbeat(self, local: HostHeartbeat, *, now: float) -> None:
         """Send this zone's summary to the other zones if it is due or urgent."""
         summary = replace(
-            zone_summary(own, self._heartbeats.near(now=now)),
+            zone_summary(local, self._heartbeats.near(now=now)),
             for_zone=True,
             interval=TICKS_PER_ZONE_HEARTBEAT * HEARTBEAT_INTERVAL,
         )
@@ -187,29 +187,27 @@
     def _on_received(self, datagrams: list[Datagram]) -> None:
         now = time.monotonic()
         for datagram in datagrams:
-            heartbeat = decode_datagram(datagram.data, peer=datagram.address)
-            if isinstance(heartbeat, RelayedDatagram):
-                self._forward_relayed(heartbeat)
-                heartbeat = decode_datagram(heartbeat.data, peer=datagram.address)
-            if isinstance(heartbeat, RyeleverError):
-                log_event("word_unreadable", peer=datagram.address, why=str(heartbeat))
-            elif isinstance(heartbeat, ServerUpdates):
-                self._apply_updates(replace(heartbeat, provider=datagram.address))
-            elif isinstance(heartbeat, RelayedDatagram):
+            message = decode_datagram(datagram.data, peer=datagram.address)
+            if isinstance(message, RelayedDatagram):
+                self._forward_relayed(message)
+                message = decode_datagram(message.data, peer=datagram.address)
+            if isinstance(message, RyeleverError):
+                log_event("word_unreadable", peer=datagram.address, why=str(message))
+            elif isinstance(message, ServerUpdates):
+                self._apply_updates(replace(message, provider=datagram.address))
+            elif isinstance(message, RelayedDatagram):
                 log_event("word_unreadable", peer=datagram.address, why="relayed twice")
-            elif self._heartbeats.take(heartbeat, address=datagram.address, now=now):
-                if heartbeat.for_zone and not heartbeat.passed_on:
+            elif self._heartbeats.take(message, address=datagram.address, now=now):
+                if message.for_zone and not message.passed_on:
                     # The other hosts of this zone get this heartbeat only from here.
                     self._broadcast_in_zone(
-                        encode_heartbeat(replace(heartbeat, passed_on=True))
-                    )
-                self._mark_stalled(heartbeat, now=now)
-                self._on_peer_heartbeat(heartbeat)
-                self._balancer.limits.heard(heartbeat.rate_limits, now=now)
-                if heartbeat.suspicions:
-                    self._crashes.heard(
-                        heartbeat.suspicions, host=heartbeat.host, now=now
+                        encode_heartbeat(replace(message, passed_on=True))
                     )
+                self._mark_stalled(message, now=now)
+                self._on_peer_heartbeat(message)
+                self._balancer.limits.heard(message.rate_limits, now=now)
+                if message.suspicions:
+                    self._crashes.heard(message.suspicions, host=message.host, now=now)
         self._balancer.peers_in_flight_by_id = self._heartbeats.in_flight(now=now)
         self._update_limit_shares(now=now)
 
--- a/ryelever/host_fetch.py
+++ b/ryelever/host_fetch.py
@@ -106,14 +106,14 @@
         return now - self._behind_since > FALLBACK_DELAY
 
     def request_configuration(self, host: str, *, now: float) -> None:
-        """Request the configuration from a host, at most once in ``FETCH_RETRY``."""
+        """Request the configuration from a host, unless one was asked recently."""
         address = self._heartbeats.addresses_by_host.get(host)
         requested_recently = now - self._configuration_requested_at < FETCH_RETRY
         if address is not None and not requested_recently:
             self._configuration_requested_at = now
             self._send_request(CONFIGURATION_PATH, address.address)
 
-    def request_known_servers(self, *, now: float) -> None:
+    def request_servers_from_knowing_host(self, *, now: float) -> None:
         """Request all server records from a host that knows them, of this zone first.
 
         A host that is busy serving the records to others refuses at once, and the
@@ -126,7 +126,7 @@
             self._is_fetching_servers = True
             self._send_request(SERVERS_PATH, self._pick_provider(providers))
 
-    def request_servers(self, *, now: float) -> None:
+    def request_servers_from_any_host(self, *, now: float) -> None:
         """Request all server records from any host that has a configuration.
 
         Without this, a host that restarts while the store is unavailable would serve
--- a/tests/test_fleet_directory.py
+++ b/tests/test_fleet_directory.py
@@ -102,13 +102,13 @@
             evacuations=Evacuations(log=lambda event, **fields: None),
             own_address="127.0.0.1:2",
         )
-        self.passed_on: list[ServerUpdates] = []
+        self.forwarded_updates: list[ServerUpdates] = []
         self.sent_requests: list[OutboundRequest] = []
-        self.fleet.fire = self._keep
-        self.fleet.fetch.fire = self._keep
+        self.fleet.fire = self._record_event
+        self.fleet.fetch.fire = self._record_event
 
-    def _keep(self, event: object, *channels: str) -> None:
-        self.passed_on += [
+    def _record_event(self, event: object, *channels: str) -> None:
+        self.forwarded_updates += [
             item for item in event.args if isinstance(item, ServerUpdates)
         ]
         self.sent_requests += [
@@ -131,7 +131,7 @@
         self.fleet._apply_server_updates(
             TopicUpdates(records=list(records), start=start)
         )
-        return self.passed_on[-1]
+        return self.forwarded_updates[-1]
 
 
 def _server_record(server_id: str, offset: int, **changes: object) -> KeyedRecord:
@@ -571,7 +571,7 @@
     assert planner.directory.by_id["i1"].group is None
     clock.now += LIST_STALE_AFTER + 0.1
     planner.fleet._on_reported("i1", REPORT)
-    updates = planner.passed_on[-1]
+    updates = planner.forwarded_updates[-1]
     assert updates.reported
     other.fleet._on_forwarded_updates(updates)
     for host in (planner, other):
@@ -579,9 +579,9 @@
         assert (found.group.state, found.slots) == (GroupState.OPEN, 7)
         assert found.models == {"m"}
         assert found.staged == {"n"}
-    n_passed_on = len(planner.passed_on)
+    n_passed_on = len(planner.forwarded_updates)
     planner.fleet._on_reported("i1", REPORT)
-    assert len(planner.passed_on) == n_passed_on
+    assert len(planner.forwarded_updates) == n_passed_on
 
 
 def test_forwarded_reports_are_ignored_while_the_list_is_current(clock: Clock) -> None:
@@ -592,7 +592,7 @@
     clock.now += LIST_STALE_AFTER + 0.1
     reader.fleet._on_reported("i1", REPORT)
     other.fleet.servers.answered_at = clock.now
-    other.fleet._on_forwarded_updates(reader.passed_on[-1])
+    other.fleet._on_forwarded_updates(reader.forwarded_updates[-1])
     assert other.directory.by_id["i1"].group is None
 
 
@@ -622,7 +622,7 @@
         host.apply_listing(_server_record("i1", 0), end=1)
     clock.now += LIST_STALE_AFTER + 0.1
     planner.fleet._on_reported("i1", REPORT)
-    other.fleet._on_forwarded_updates(planner.passed_on[-1])
+    other.fleet._on_forwarded_updates(planner.forwarded_updates[-1])
     clock.now += 5.0
     stale = planner.apply_read(_server_record("i1", 1, state="draining"), end=2)
     other.fleet._on_forwarded_updates(stale)
@@ -657,7 +657,7 @@
     clock.now += LIST_STALE_AFTER + 0.1
     report = REPORT.replace(b'"busy"', b'"born": 2000, "busy"')
     planner.fleet._on_reported("i1", report)
-    other.fleet._on_forwarded_updates(planner.passed_on[-1])
+    other.fleet._on_forwarded_updates(planner.forwarded_updates[-1])
     # The record written before the outage is of the earlier start, so the report takes
     # precedence.
     clock.now += 5.0
@@ -896,7 +896,7 @@
     host = Host("a")
     host.fleet._on_announced(StoreAnswer(status=200))
     appended: list[LogCall] = []
-    host.fleet._store.call = lambda call, take: appended.append(call)
+    host.fleet._store.call = lambda call, on_answer: appended.append(call)
     host.fleet._on_tick()
     assert appended == []
     _return_store(host, end=0)
