--- a/ryelever/fleet_directory.py
+++ b/ryelever/fleet_directory.py
@@ -327,7 +327,7 @@
             self.fetch.request_configuration(heartbeat.host, now=now)
 
     def _apply_fetched_servers(self, fetched: ServerUpdates, peer: str) -> None:
-        """Apply another host's server records, unless a listing came first."""
+        """Apply another host's server records, unless a complete list is known."""
         if self.servers.is_current:
             return
         now = time.monotonic()
@@ -495,7 +495,10 @@
         )
 
     def list_is_stale(self) -> bool:
-        """Return whether no server records were read for ``LIST_STALE_AFTER``."""
+        """Return whether no read of the server records was answered for a while.
+
+        Records that another host has read and forwarded count as well.
+        """
         return time.monotonic() - self._read_at > LIST_STALE_AFTER
 
     @handler("server_reported")
--- a/ryelever/relay_shutdown.py
+++ b/ryelever/relay_shutdown.py
@@ -21,7 +21,7 @@
 __all__ = ["RelayShutdown"]
 
 #: Seconds within which all but one in a hundred streams end.  A request that arrives
-#: with less of the grace period left would be cut off.
+#: with less of the grace period left may be cut off.
 MAX_STREAM_TIME = 3.0
 
 #: Seconds until the platform's balancer stops sending callers to this host after the
--- a/ryelever/wiring.py
+++ b/ryelever/wiring.py
@@ -70,7 +70,7 @@
     return _run(
         lambda: Application(settings=settings),
         address=settings.callers_address,
-        remedy="mend callers_address",
+        remedy="correct callers_address",
     )
 
 
@@ -102,7 +102,7 @@
             reload=lambda: _reload(path, settings),
         ),
         address=settings.callers_address,
-        remedy="mend the settings",
+        remedy="correct the settings",
     )
 
 
