--- a/ryelever/transport/__init__.py
+++ b/ryelever/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Components that own sockets."""
+"""Network transport: the components that own sockets."""
--- a/ryelever/transport/caller_server.py
+++ b/ryelever/transport/caller_server.py
@@ -1,4 +1,4 @@
-"""Take callers' connections and send to them without ways round by the poller."""
+"""Accept callers' connections, and send to them without a detour by the poller."""
 
 from __future__ import annotations
 
@@ -11,14 +11,16 @@
 
 __all__ = ["CallerServer"]
 
-#: Connections accepted before other sockets get their turn.  What many callers send at
-#: once lies in memory together: of 300 with 100 KB each, 64 a turn held 20 to 40 MB
-#: more than one a turn, and four 2 MB.
-MAX_ACCEPTED = 4
+#: Connections accepted before other sockets are handled.  The uploads of all callers
+#: accepted together are in memory together: with 300 callers that sent 100 KB each,
+#: accepting 64 at a time took 20 to 40 MB more memory than one at a time; accepting
+#: four took 2 MB more.
+MAX_ACCEPTS_PER_EVENT = 4
 
-#: Errors after which the next attempt may succeed: the caller has gone, or there is no
-#: descriptor or memory left for its connection, which goes on waiting.
-NOT_ACCEPTED = frozenset(
+#: Errors of ``accept`` after which a later attempt may succeed: the caller has closed
+#: its connection, or the process has no descriptor or memory left for the connection,
+#: which then stays in the backlog.
+RETRYABLE_ACCEPT_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
         errno.EMFILE,
@@ -31,22 +33,25 @@
 
 
 class CallerServer(TCPServer):
-    """Own callers' sockets; what differs is what is read and composed."""
+    """Base class of the servers that own callers' sockets.
+
+    Subclasses parse the requests and compose the answers.
+    """
 
     def _accept(self) -> None:
-        """Accept all connections that wait.
+        """Accept pending connections, at most ``MAX_ACCEPTS_PER_EVENT``.
 
-        What circuits has here is a generator, for connections with TLS: each
-        connection became a task, which the main loop takes up in its next round, one
-        connection a round.
+        The method of circuits that this one overrides is a generator, as connections
+        with TLS need: each connection would become a task that waits for the next
+        round of the main loop, and only one connection would be accepted a round.
         """
-        for _ in range(MAX_ACCEPTED):
+        for _ in range(MAX_ACCEPTS_PER_EVENT):
             try:
                 sock, _address = self._sock.accept()
             except BlockingIOError:
                 return
             except OSError as error:
-                if error.errno not in NOT_ACCEPTED:
+                if error.errno not in RETRYABLE_ACCEPT_ERRORS:
                     raise
                 log_warning(
                     "callers_not_accepted",
@@ -57,15 +62,15 @@
             self._on_accept_done(sock)
 
     def send_now(self, sock: socket.socket, data: bytes) -> int:
-        """Send what the kernel takes at once and queue the rest.
+        """Send as many bytes as the kernel accepts at once, and queue the rest.
 
-        Going through the poller costs two more events a chunk, and a stream has
+        Sending through the poller costs two more events a chunk, and a stream has
         dozens or thousands of chunks.
 
         Returns
         -------
         int
-            Bytes that wait in the queue now.
+            Bytes in the queue after the call.
         """
         n_sent = 0
         if not self._buffers[sock]:
@@ -74,7 +79,8 @@
             except BlockingIOError:
                 n_sent = 0
             except OSError:
-                # The caller has gone; word of it may still be under way to us.
+                # The caller has closed its connection; the poller may not have
+                # reported that yet.
                 self._close(sock)
                 return 0
         if n_sent == len(data):
--- a/ryelever/transport/callers.py
+++ b/ryelever/transport/callers.py
@@ -1,9 +1,9 @@
-"""Serve callers over HTTP by ``circuits.web``, behind a guard.
+"""Serve callers over HTTP with ``circuits.web``, behind a strict parser.
 
-``circuits.web`` sets no limit on header, body or time, accepts requests whose
-length is ambiguous and never answers a second pipelined one.  The guard stands
-before its parser: h11 reads each request whole and strictly, and only requests
-that are complete and well formed are handed on, one at a time.
+``circuits.web`` has no limit on headers, body or time, accepts requests whose length is
+ambiguous and never answers a second pipelined request.  ``RequestReader`` therefore
+parses each request first, strictly and with h11, and only complete and well-formed
+requests are passed to ``circuits.web``, one at a time.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
     LAST_CHUNK,
     CallersWeb,
     complete_answer,
+    stream_chunk,
     stream_head,
-    stream_part,
 )
 from .request_reader import CompleteRequest, Limits, Refusal, RequestReader
 
@@ -47,7 +47,19 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class _Connection:
-    """Hold the state of one caller's connection."""
+    """State of one caller's connection.
+
+    Attributes
+    ----------
+    since : float
+        Monotonic time of the accept, or of the latest start or end of a request.
+    progress_at : float
+        Monotonic time of the accept, or of the latest progress in sending an answer.
+    stalled : bool
+        True while reading from the backend server is paused for this caller.
+    closing : bool
+        True once no further request is read; the connection closes at ``closes_at``.
+    """
 
     sock: socket.socket
     peer: str
@@ -63,21 +75,21 @@
 
 
 class Callers(CallerServer):
-    """Own the callers' connections.
+    """Listen for callers and own their connections.
 
     Parameters
     ----------
     bind : tuple of (str, int)
-        Address by IP number; port 0 picks a free one.
+        IP address and port; port 0 selects a free port.
     limits : Limits
-        What one connection may take up.
+        Limits of one connection.
 
     Attributes
     ----------
     n_refused_by_code : dict of str to int
-        Requests that never reached ``circuits.web``, by the code of the error.
+        Requests that were refused before ``circuits.web``, by error code.
     n_unread : int
-        Answers given up because the caller did not read them.
+        Answers that were abandoned because the caller did not read them.
     """
 
     channel = "callers"
@@ -90,7 +102,7 @@
         self.n_refused_by_code: dict[str, int] = {}
         self.n_unread = 0
         self._draining = False
-        self._idle_until = float("inf")
+        self._keep_idle_until = float("inf")
         self._web = CallersWeb(callers=self).register(self)
 
     # Connections
@@ -125,37 +137,39 @@
     def _on_read_callers(self, sock: socket.socket, data: bytes) -> None:
         connection = self._connections_by_sock.get(sock)
         if connection is not None and not connection.closing:
-            self._take(connection, connection.reader.feed(data, now=time.monotonic()))
+            self._handle_reader_results(
+                connection, connection.reader.feed(data, now=time.monotonic())
+            )
 
     @handler("sweep", channel="callers")
     def _on_sweep(self) -> None:
         now = time.monotonic()
         for connection in list(self._connections_by_sock.values()):
-            refusal = connection.reader.overdue(now=now)
+            refusal = connection.reader.refuse_if_overdue(now=now)
             if refusal is not None:
                 self._refuse(connection, refusal)
             elif self._is_abandoned(connection, now=now):
                 self._close(connection.sock)
-            elif now > self._idle_until and self._is_unused(connection):
-                self._close_gently(connection)
+            elif now > self._keep_idle_until and self._is_idle(connection):
+                self._close_gracefully(connection)
 
-    def _is_unused(self, connection: _Connection) -> bool:
+    def _is_idle(self, connection: _Connection) -> bool:
         return connection.reader.is_idle and not connection.closing
 
     # Closing
 
     @handler("drain", channel="*")
     def _on_drain(self) -> None:
-        """Say ``Connection: close`` from now on, so that callers turn away."""
+        """Send ``Connection: close`` from now on, so that callers use other hosts."""
         self._draining = True
 
     @handler("drained", channel="callers")
     def _on_drained(self) -> None:
-        """Listen no more, and read on for a while on what is open.
+        """Stop listening, and go on reading open connections for ``linger`` seconds.
 
-        A request may be on its way on a connection that idles, or on one that is
-        not accepted yet.  Were the process to end now, its caller would be reset
-        and never hear whether it was run.
+        A request may be in flight on an idle connection, or on one that is not
+        accepted yet.  If the process ended now, that connection would be reset and the
+        caller would not learn whether its request was run.
         """
         n_before = -1
         while len(self._clients) > n_before:
@@ -163,13 +177,13 @@
             for _ in self._accept():
                 pass
         self._close(self._sock)
-        self._idle_until = time.monotonic() + self._limits.linger
+        self._keep_idle_until = time.monotonic() + self._limits.linger
 
-    def _close_gently(self, connection: _Connection) -> None:
-        """Close once the caller has read what was sent.
+    def _close_gracefully(self, connection: _Connection) -> None:
+        """Close after the answer is sent and the caller had time to read it.
 
-        Closing with input unread resets the connection, and the caller may lose the
-        answer: what it still sends is dropped for a while.
+        Closing a socket with unread input resets the connection, and the caller may
+        lose the answer.  Input is therefore read and discarded for ``linger`` seconds.
         """
         connection.closing = True
         self._half_close(connection)
@@ -182,19 +196,19 @@
             connection.sock.shutdown(socket.SHUT_WR)
 
     def _is_abandoned(self, connection: _Connection, *, now: float) -> bool:
-        if now > connection.closes_at or connection.reader.idled_out(now=now):
+        if now > connection.closes_at or connection.reader.has_idled_too_long(now=now):
             return True
-        # A caller that stops reading without closing would hold its answer in
-        # memory for as long as it likes.
+        # Without this timeout, a caller that stops reading but does not close its
+        # connection would keep its answer in memory indefinitely.
         silent_for = now - connection.progress_at
         unsent = bool(self._buffers.get(connection.sock))
         unread = unsent and silent_for > self._limits.unread_timeout
         self.n_unread += unread
         return unread
 
-    # The guard
+    # Parsing and refusal
 
-    def _take(
+    def _handle_reader_results(
         self,
         connection: _Connection,
         outcomes: Iterable[CompleteRequest | Refusal | bytes],
@@ -202,24 +216,23 @@
         for outcome in outcomes:
             match outcome:
                 case CompleteRequest():
-                    self._hand_on(connection, outcome)
+                    self._pass_to_web(connection, outcome)
                 case Refusal():
                     self._refuse(connection, outcome)
                 case _:
                     self._write_now(connection, outcome)
 
-    def _hand_on(self, connection: _Connection, request: CompleteRequest) -> None:
+    def _pass_to_web(self, connection: _Connection, request: CompleteRequest) -> None:
         connection.request = request
         connection.since = time.monotonic()
         self._web.parse(connection.sock, request)
 
     def _refuse(self, connection: _Connection, refusal: Refusal) -> None:
-        """Answer a request that never reaches ``circuits.web``, then close."""
+        """Answer an unacceptable request without ``circuits.web``, then close."""
         code = refusal.error.code
         self.n_refused_by_code[code] = self.n_refused_by_code.get(code, 0) + 1
         if connection.request_id:
-            # An answer is under way, and an error in its midst would be taken for a
-            # part of it.
+            # An answer is being sent; the caller would parse an error as part of it.
             self._close(connection.sock)
             return
         body = error_body(refusal.error)
@@ -233,12 +246,12 @@
         )
         http = h11.Connection(h11.SERVER)
         self._write_now(connection, http.send(head) + body)
-        self._close_gently(connection)
+        self._close_gracefully(connection)
 
     # Requests and answers
 
-    def handed_on(self, req: Request, res: Response) -> None:
-        """Announce a request that ``circuits.web`` has parsed."""
+    def request_parsed(self, req: Request, res: Response) -> None:
+        """Fire ``caller_request`` for a request that ``circuits.web`` has parsed."""
         connection = self._connections_by_sock.get(req.sock)
         if connection is None:
             return
@@ -265,7 +278,7 @@
         response = connection.response
         response.close = response.close or self._draining
         self._write_now(connection, complete_answer(response, answer))
-        self._answered(connection)
+        self._finish_answer(connection)
 
     @handler("caller_stream_start", channel="callers")
     def _on_caller_stream_start(self, request_id: str, headers: dict[str, str]) -> None:
@@ -281,7 +294,7 @@
         connection = self._connections_by_request.get(request_id)
         if connection is None:
             return
-        self._write_now(connection, stream_part(connection.response, data))
+        self._write_now(connection, stream_chunk(connection.response, data))
 
     @handler("caller_stream_end", channel="callers")
     def _on_caller_stream_end(self, request_id: str) -> None:
@@ -290,12 +303,13 @@
             return
         if connection.response.chunked:
             self._write_now(connection, LAST_CHUNK)
-        self._answered(connection)
+        self._finish_answer(connection)
 
-    def _answered(self, connection: _Connection) -> None:
-        # circuits.web would write the answer some events later, and forgets the
-        # request of a HEAD only when its connection ends: what comes next could
-        # overtake the one or be taken for the other.
+    def _finish_answer(self, connection: _Connection) -> None:
+        # Make circuits.web discard the request now.  It would write the answer some
+        # events later, so that the next answer could be sent first, and it discards a
+        # HEAD request only when the connection ends, so that the next request could be
+        # taken for the HEAD request.
         closes = connection.response.close
         self.fire(disconnect(connection.sock), "web")
         self._connections_by_request.pop(connection.request_id, None)
@@ -303,17 +317,19 @@
         connection.request = None
         connection.response = None
         if closes:
-            self._close_gently(connection)
+            self._close_gracefully(connection)
         else:
             self.fire(_next_request(connection.sock), "callers")
 
     @handler("_next_request", channel="callers")
     def _on_next_request(self, sock: socket.socket) -> None:
-        """Read on: a pipelined request may be waiting already."""
+        """Parse the next request, which the caller may already have sent."""
         connection = self._connections_by_sock.get(sock)
         if connection is not None:
             connection.since = now = time.monotonic()
-            self._take(connection, connection.reader.answered(now=now))
+            self._handle_reader_results(
+                connection, connection.reader.next_request(now=now)
+            )
 
     # Writing
 
@@ -325,16 +341,16 @@
                 connection.progress_at = time.monotonic()
             self._check_stalled(connection)
 
-    def write_of_web(self, sock: socket.socket, data: bytes) -> None:
-        """Write what ``circuits.web`` has composed."""
+    def write_from_web(self, sock: socket.socket, data: bytes) -> None:
+        """Send bytes that ``circuits.web`` itself has composed."""
         connection = self._connections_by_sock.get(sock)
         if connection is not None:
             self._write_now(connection, data)
 
     def _check_stalled(self, connection: _Connection) -> None:
-        # Write buffers have no bound of their own: a caller that reads slowly
-        # would make memory grow by its whole answer.  Reading from the backend
-        # server stops until the caller has caught up.
+        # Write buffers are unbounded: the complete answer to a caller that reads slowly
+        # would be kept in memory.  Reading from the backend server is therefore paused
+        # until the caller has caught up.
         unsent = sum(len(data) for data in self._buffers[connection.sock])
         stalled = unsent > self._limits.max_unsent
         caught_up = unsent < self._limits.max_unsent // 2
@@ -357,10 +373,10 @@
             self._half_close(connection)
 
     def n_unsent(self) -> int:
-        """Return how many callers wait for an answer or a part of it.
+        """Return the number of callers that wait for an answer or part of one.
 
-        That includes those whose request is still arriving or whose connection is
-        being closed; and all, once nobody can connect any more.
+        Callers whose request is still arriving or whose connection is being closed
+        are included.  After the listening socket is closed, all callers count.
         """
         if self._sock is None:
             return len(self._clients)
@@ -388,4 +404,4 @@
 
 
 class _next_request(Event):
-    """Go on with the next request of a connection."""
+    """Parse the next request of a connection."""
--- a/ryelever/transport/callers_web.py
+++ b/ryelever/transport/callers_web.py
@@ -1,6 +1,7 @@
-"""Have ``circuits.web`` parse callers' requests and compose their answers.
+"""Adapt ``circuits.web``, which composes the answers to callers' requests.
 
-The sockets stay with ``callers``; here is what is particular to ``circuits.web``.
+The sockets belong to the ``callers`` module; this module contains only the parts that
+depend on ``circuits.web``.
 """
 
 from __future__ import annotations
@@ -19,40 +20,40 @@
     from ..events import CallerAnswer
     from .request_reader import CompleteRequest
 
-__all__ = ["LAST_CHUNK", "CallersWeb", "stream_head", "stream_part", "complete_answer"]
+__all__ = ["LAST_CHUNK", "CallersWeb", "stream_head", "stream_chunk", "complete_answer"]
 
-#: Ends a body in chunks.
+#: Last chunk, which ends a body with chunked encoding.
 LAST_CHUNK = b"0\r\n\r\n"
 
 
 class CallerSockets(Protocol):
-    """Own the callers' sockets, as ``circuits.web`` needs them.
+    """Interface of the owner of the callers' sockets that ``CallersWeb`` needs.
 
     Attributes
     ----------
     host : str
-        Address by which the parser names the server.
+        Address by which the parser refers to the server.
     """
 
     host: str
 
-    def handed_on(self, request: Request, response: Response) -> None:
-        """Take a request that was parsed, and the answer that is to be filled."""
+    def request_parsed(self, request: Request, response: Response) -> None:
+        """Process a parsed request, with the response object to fill in."""
 
-    def write_of_web(self, sock: socket.socket, data: bytes) -> None:
-        """Send what the parser itself answers."""
+    def write_from_web(self, sock: socket.socket, data: bytes) -> None:
+        """Send bytes that ``circuits.web`` itself has composed."""
 
     def close(self, sock: socket.socket | None = None) -> None:
         """Close one connection."""
 
 
 class CallersWeb(BaseComponent):
-    """Join the channel of ``circuits.web`` with the callers' sockets.
+    """Connect the channel of ``circuits.web`` with the callers' sockets.
 
     Parameters
     ----------
     callers : CallerSockets
-        Owner of the sockets; it is told of each parsed request.
+        Owner of the sockets, which receives each parsed request.
     """
 
     channel = "web"
@@ -63,37 +64,39 @@
         self._parser = HTTP(callers, channel=self.channel).register(self)
 
     def parse(self, sock: socket.socket, request: CompleteRequest) -> None:
-        """Give ``circuits.web`` the request without what a caller could word.
+        """Pass ``circuits.web`` a minimal head without text chosen by the caller.
 
-        It would fail with a traceback on a Host, a Cookie or a path that it cannot
-        read.  It needs only what decides how the answer is framed.
+        ``circuits.web`` would fail with a traceback on a Host, a Cookie or a path that
+        it cannot parse.  The minimal head holds only the fields that decide how the
+        answer is framed.
         """
-        kept = "keep-alive" if request.keep_alive else "close"
+        connection = "keep-alive" if request.keep_alive else "close"
         head = (
             f"{request.method} / HTTP/{request.http_version}\r\n"
             f"Host: {self._callers.host}\r\n"
-            f"Connection: {kept}\r\nContent-Length: 0\r\n\r\n"
+            f"Connection: {connection}\r\nContent-Length: 0\r\n\r\n"
         )
         self.fire(read(sock, head.encode("ascii")))
 
     def forget(self, sock: socket.socket) -> None:
-        """Drop what is known of a connection that has closed.
+        """Discard the state that ``circuits.web`` has of a closed connection.
 
-        One that closes between being read and being parsed makes ``circuits.web``
-        fail and keep its parser, and memory grows with each.  It has no call that
-        drops a parser, so the parser is taken out of its table.
+        If a connection closes after its bytes were read and before they are parsed,
+        ``circuits.web`` fails and keeps the connection's parser, so that memory grows
+        with each such connection.  It has no method that discards a parser, so this
+        method removes the parser from the table of ``circuits.web``.
         """
         self.fire(disconnect(sock))
         self._parser._buffers.pop(sock, None)
 
     @handler("request")
     def _on_request(self, req: Request, res: Response, *args: object) -> bool:
-        self._callers.handed_on(req, res)
+        self._callers.request_parsed(req, res)
         return True
 
     @handler("write")
     def _on_write(self, sock: socket.socket, data: bytes) -> None:
-        self._callers.write_of_web(sock, data)
+        self._callers.write_from_web(sock, data)
 
     @handler("close")
     def _on_close(self, sock: socket.socket | None = None) -> None:
@@ -102,7 +105,7 @@
 
 
 def complete_answer(response: Response, answer: CallerAnswer) -> bytes:
-    """Return an answer's head and body as they go over the wire."""
+    """Return an answer's head and body as bytes to send."""
     response.status = answer.status
     response.headers["Content-Type"] = answer.content_type
     for name, value in answer.headers.items():
@@ -114,9 +117,9 @@
 
 
 def stream_head(response: Response, headers: dict[str, str]) -> bytes:
-    """Return the head of an answer whose body follows in parts."""
+    """Return the head of an answer whose body is streamed."""
     response.stream = True
-    response.body = _Pushed()
+    response.body = _UnknownLengthBody()
     for name, value in headers.items():
         response.headers[name] = value
     response.prepare()
@@ -124,13 +127,13 @@
     return bytes(response) + bytes(response.headers)
 
 
-def stream_part(response: Response, data: bytes) -> bytes:
-    """Return a part of a streamed body, as a chunk where the answer has chunks."""
+def stream_chunk(response: Response, data: bytes) -> bytes:
+    """Return part of a streamed body, framed if the answer has chunked encoding."""
     return b"%x\r\n%s\r\n" % (len(data), data) if response.chunked else data
 
 
-class _Pushed:
-    """Stand for a body whose parts are pushed later, so of unknown length."""
+class _UnknownLengthBody:
+    """Placeholder for a body that is sent later, in parts and of unknown length."""
 
     def __bool__(self) -> bool:
         return True
--- a/ryelever/transport/http_client.py
+++ b/ryelever/transport/http_client.py
@@ -1,8 +1,8 @@
 """Send HTTP requests to outside systems over pooled connections.
 
-``circuits.web.client`` yields an answer only when it is whole, and one circuits
-component a connection would empty the handler cache at each connect.  This
-component therefore owns all outgoing sockets itself and parses with h11.
+``circuits.web.client`` returns an answer only when the answer is complete, and one
+circuits component for each connection would empty the handler cache at each connect.
+The component of this module therefore owns all outgoing sockets and parses with h11.
 """
 
 from __future__ import annotations
@@ -44,20 +44,24 @@
 
 __all__ = ["REFUSED", "HttpClient"]
 
-#: Bytes read from a socket at once.
+#: Maximum bytes of one read from a socket.
 READ_SIZE = 64 * 1024
 
-#: Code of the error where nobody listens at an address: that process is gone.
+#: Error code if no process listens at an address: the one that did has ended.
 REFUSED = "connection_refused"
 
 
 class HttpClient(BaseComponent):
-    """Own every outgoing connection.
+    """Send requests and own all outgoing connections.
 
     Attributes
     ----------
+    n_opened : int
+        Connections opened.
+    n_silent : int
+        Requests that timed out because their connection made no progress.
     n_bytes_received_by_step, n_bytes_sent_by_step : Counter of str
-        Bytes on the connections, heads included, by the step that asked.
+        Bytes on the connections, including heads, by the ``step`` of the request.
     """
 
     channel = "http_client"
@@ -192,7 +196,8 @@
         now = time.monotonic()
         unsent = request is not None and not connection.bytes_sent
         if unsent and now >= request.send_before:
-            # Paused since it was to be sent: nobody waits for it any more.
+            # The deadline passed before the first byte was sent, for example while
+            # this process was paused; the requester no longer waits for an answer.
             message = "was reached only after the deadline"
             self._fail(connection, message, category=Category.TIMEOUT)
             return
@@ -228,14 +233,14 @@
             self._fail(connection, f"connection broke: {error.strerror}")
             return
         if connection.request is None:
-            # An idle connection speaks only to say that it is closed.
+            # Input on an idle connection means that the peer has closed it.
             self._close(connection)
             return
         self.n_bytes_received_by_step[connection.request.step] += len(data)
         connection.progress_at = time.monotonic()
         try:
             connection.http.receive_data(data)
-            self._next_events(connection)
+            self._process_events(connection)
         except h11.RemoteProtocolError as error:
             self._fail(connection, f"answer is broken: {error}")
 
@@ -247,27 +252,27 @@
             verb = "cannot connect" if connection.connecting else "connection broke"
             self._fail(connection, f"{verb}: {errno.errorcode.get(code, 'closed')}")
 
-    def _next_events(self, connection: Connection) -> None:
+    def _process_events(self, connection: Connection) -> None:
         while connection.request is not None:
             event = connection.http.next_event()
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return
             if isinstance(event, h11.Response):
-                self._take_head(connection, event)
+                self._handle_head(connection, event)
             elif isinstance(event, h11.Data):
-                if not self._take_data(connection, bytes(event.data)):
+                if not self._handle_data(connection, bytes(event.data)):
                     return
             elif isinstance(event, h11.EndOfMessage):
-                self._take_end(connection)
+                self._handle_end(connection)
             elif isinstance(event, h11.ConnectionClosed):
                 self._fail(connection, "connection was closed before an answer")
 
-    def _take_head(self, connection: Connection, event: h11.Response) -> None:
+    def _handle_head(self, connection: Connection, event: h11.Response) -> None:
         headers = {
             name.decode("latin-1"): value.decode("latin-1")
             for name, value in event.headers
         }
-        connection.take_head(event.status_code, headers)
+        connection.record_head(event.status_code, headers)
         request = connection.request
         if request.streamed:
             head = AnswerHead(
@@ -278,9 +283,9 @@
             )
             self.fire(outbound_head(head), request.reply_channel)
 
-    def _take_data(self, connection: Connection, data: bytes) -> bool:
+    def _handle_data(self, connection: Connection, data: bytes) -> bool:
         request = connection.request
-        connection.body_begun = True
+        connection.body_started = True
         if request.streamed:
             message = AttemptData(id=request.id, data=data)
             self.fire(outbound_data(message), request.reply_channel)
@@ -291,7 +296,7 @@
         self._fail(connection, f"answer is longer than {request.max_body} bytes")
         return False
 
-    def _take_end(self, connection: Connection) -> None:
+    def _handle_end(self, connection: Connection) -> None:
         request = connection.request
         if request.streamed:
             self.fire(outbound_end(request.id), request.reply_channel)
@@ -310,7 +315,7 @@
     def _release(self, connection: Connection) -> None:
         del self._connections_by_request[connection.request.id]
         connection.request = None
-        self._idle.keep(connection)
+        self._idle.put(connection)
 
     # Failures
 
@@ -322,14 +327,15 @@
                 self._close(connection)
             return
         if connection.paused and not connection.connecting:
-            # The caller does not read; its own connection has a deadline.
+            # Reading is paused because the caller does not read its answer; the
+            # caller's own connection has a timeout for that.
             return
         limit = connection.silence_limit()
         if silent_for <= limit:
             return
-        # Something between the two ends may have lost track of this connection
-        # while new ones work.  The idle ones to the same peer were opened through
-        # the same path, so they are not trusted any more either.
+        # A network device between the two ends may have dropped the state of this
+        # connection while new connections work.  Idle connections to the same peer
+        # use the same network path and may be affected too, so they are closed.
         self.n_silent += 1
         self._idle.purge(connection.address)
         verb = "connect" if connection.connecting else "answer"
@@ -355,8 +361,8 @@
             return
         stale = connection.reused and unanswered and category is Category.BROKEN
         if stale and request.resend_stale and not request.fresh:
-            # The peer closed the connection while it idled, which is no failure
-            # of the peer: once more, over a new connection.
+            # The peer closed the connection while it was idle, which is not a failure
+            # of the peer: send the request once more, over a new connection.
             replacement = self._open(request, bytes_sent=bytes_sent)
             if replacement is not None:
                 self._start(replacement, request, bytes_sent=bytes_sent)
@@ -394,8 +400,8 @@
         self.fire(outbound_failed(failure), request.reply_channel)
 
     def _close(self, connection: Connection) -> None:
-        # A connection that was given up on is never used again, so an answer that
-        # is still on its way can reach nobody.
+        # A closed connection is never used again, so an answer that is still in flight
+        # can't be delivered to another request.
         if self._connections_by_sock.pop(connection.sock, None) is None:
             return
         if connection.request is not None:
--- a/ryelever/transport/http_connection.py
+++ b/ryelever/transport/http_connection.py
@@ -1,4 +1,4 @@
-"""Hold one outgoing connection: its socket, its parser and its deadlines."""
+"""Define an outgoing HTTP connection: its socket, parser and timeouts."""
 
 from __future__ import annotations
 
@@ -19,27 +19,28 @@
     "reset_at_close",
 ]
 
-#: Seconds of idleness before the kernel probes the other end, between two probes,
-#: and the probes that may stay unanswered.
+#: TCP keepalive: seconds without traffic before the kernel probes the peer, seconds
+#: between two probes, and probes without an answer after which it drops the connection.
 KEEPALIVE_IDLE = 5
 KEEPALIVE_INTERVAL = 2
 KEEPALIVE_COUNT = 3
 
-#: Milliseconds after which the kernel gives up on bytes nobody acknowledges.
+#: Milliseconds for which sent bytes may stay unacknowledged before the kernel drops the
+#: connection.
 TCP_USER_TIMEOUT_MS = 5000
 
-#: Methods whose requests say nothing of a body when they have none.
-BODILESS = frozenset({"GET", "HEAD", "DELETE", "OPTIONS"})
+#: Methods whose requests carry no ``Content-Length`` when they have no body.
+BODILESS_METHODS = frozenset({"GET", "HEAD", "DELETE", "OPTIONS"})
 
-#: Seconds for which a connection may idle where the peer doesn't say.
+#: Seconds for which a connection may idle if the peer sends no ``Keep-Alive`` timeout.
 IDLE_TIMEOUT = 30.0
 
-#: Seconds before the peer closes an idle connection at which it is closed here: a
-#: request sent into the peer's close is lost.
+#: Seconds by which an idle connection is closed here before the peer closes it: a
+#: request that is sent while the peer closes the connection is lost.
 IDLE_MARGIN = 0.5
 
-#: Lingering is on, and lasts for no time at all.
-_NO_LINGER = struct.pack("ii", 1, 0)
+#: Value of ``SO_LINGER``: enabled, with a timeout of 0 s, which resets at close.
+_ZERO_LINGER = struct.pack("ii", 1, 0)
 
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
@@ -53,21 +54,21 @@
 
 
 class Connection(msgspec.Struct, kw_only=True, eq=False):
-    """Own one socket and at most one request at a time.
+    """A connection to one address, with at most one request in flight.
 
     Attributes
     ----------
     bytes_sent : bool
-        True once a byte of the request may have left, over this connection or
-        over one that it replaces.
+        True once a byte of the request may have been sent, over this connection or
+        over the one that it replaces.
     progress_at : float
-        Monotonic time of the newest byte in either direction.
+        Monotonic time of the most recent byte in either direction.
     reused : bool
         True when the connection has carried a request before.
-    body_begun : bool
-        True once a byte of the answer's body has arrived.
+    body_started : bool
+        True once a byte of the answer's body has been received.
     idle_timeout : float
-        Seconds for which the connection may idle and still be used.
+        Seconds after which an idle connection is not used any more.
     """
 
     address: str
@@ -80,7 +81,7 @@
     progress_at: float = 0.0
     paused: bool = False
     reused: bool = False
-    body_begun: bool = False
+    body_started: bool = False
     idle_timeout: float = IDLE_TIMEOUT
     out: bytearray = msgspec.field(default_factory=bytearray)
     status: int = 0
@@ -88,39 +89,40 @@
     body: bytearray = msgspec.field(default_factory=bytearray)
 
     def begin(self, request: OutboundRequest, data: bytes, *, now: float) -> None:
-        """Take a request that is to be sent."""
+        """Assign a request to this connection and queue its bytes for sending."""
         self.request = request
         self.started_at = self.progress_at = now
         self.bytes_sent = False
-        self.body_begun = False
+        self.body_started = False
         self.status = 0
         self.headers = {}
         self.body.clear()
         self.out += data
 
-    def take_head(self, status: int, headers: dict[str, str]) -> None:
-        """Take the head of an answer, and what it says of the connection."""
+    def record_head(self, status: int, headers: dict[str, str]) -> None:
+        """Record the head of an answer and apply its ``Keep-Alive`` timeout."""
         self.status = status
         self.headers = headers
-        said = _KEEP_ALIVE_TIMEOUT.search(headers.get("keep-alive", ""))
-        if said is not None:
-            self.idle_timeout = max(0.0, int(said[1]) - IDLE_MARGIN)
+        match = _KEEP_ALIVE_TIMEOUT.search(headers.get("keep-alive", ""))
+        if match is not None:
+            self.idle_timeout = max(0.0, int(match[1]) - IDLE_MARGIN)
 
     def silence_limit(self) -> float:
-        """Return the seconds without a byte after which the peer is given up."""
+        """Return the seconds without a byte after which the request has timed out."""
         request = self.request
         if self.connecting:
             return request.connect_timeout
-        if not self.body_begun and request.first_byte_timeout:
+        if not self.body_started and request.first_byte_timeout:
             return request.first_byte_timeout
         return request.progress_timeout
 
-    def is_clean(self) -> bool:
-        """Tell whether another request may follow the one that was answered.
+    def is_reusable(self) -> bool:
+        """Return whether the connection can carry another request.
 
-        Bytes beyond the answer would be taken for the next one's answer.  A peer
-        that answers early still takes the rest of the body, and would take the
-        next request for it.
+        It can't while received bytes follow the answer, which would be parsed as the
+        answer to the next request, nor while bytes of the request are unsent: a peer
+        that answered early still expects the rest of the body and would read the next
+        request as part of it.
         """
         return (
             not self.out
@@ -129,11 +131,11 @@
             and not self.http.trailing_data[0]
         )
 
-    def is_quiet(self) -> bool:
-        """Tell whether nothing has arrived while the connection was idle.
+    def has_no_pending_input(self) -> bool:
+        """Return whether the socket has nothing to read and is not closed.
 
-        What arrives between two requests is the peer's goodbye, or bytes that
-        would be taken for the next request's answer.
+        Input on an idle connection is either the peer's close, or bytes that would be
+        parsed as the answer to the next request.
         """
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -145,12 +147,12 @@
 
 
 def open_socket(address: str) -> tuple[socket.socket, int]:
-    """Begin to connect to an address; return the socket and the error number.
+    """Start a non-blocking connect; return the socket and the error number.
 
     Raises
     ------
     OSError, ValueError
-        If there is no socket left, or the address is none.
+        If no socket can be opened, or the address is invalid.
     """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -166,26 +168,27 @@
 
 
 def reset_at_close(sock: socket.socket) -> None:
-    """Let the kernel drop what has not left when a socket is closed.
+    """Make the kernel discard unsent bytes when the socket is closed.
 
-    Else it goes on sending for seconds: a server that was silent meanwhile would run a
-    request whose caller has long been answered, or has left.
+    Otherwise the kernel goes on sending for seconds after the close: a server that was
+    unresponsive meanwhile would run a request whose caller has already been answered
+    or has disconnected.
     """
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _ZERO_LINGER)
 
 
 def request_bytes(http: h11.Connection, request: OutboundRequest) -> bytes:
-    """Return a request as it goes over the wire.
+    """Return a request serialized as HTTP/1.1.
 
     Raises
     ------
     h11.LocalProtocolError
-        If the request cannot be written as HTTP.
+        If the request cannot be serialized as HTTP.
     """
     headers = list(request.headers)
     if not request.verbatim:
         headers.insert(0, ("Host", request.address))
-    if request.body or not (request.verbatim and request.method in BODILESS):
+    if request.body or not (request.verbatim and request.method in BODILESS_METHODS):
         headers.append(("Content-Length", str(len(request.body))))
     head = h11.Request(method=request.method, target=request.path, headers=headers)
     data = http.send(head)
--- a/ryelever/transport/http_pool.py
+++ b/ryelever/transport/http_pool.py
@@ -1,4 +1,4 @@
-"""Keep idle outgoing connections for the next request to the same address."""
+"""Pool idle outgoing connections for further requests to the same address."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 __all__ = ["IdleConnections"]
 
-#: Idle connections kept for one address.
+#: Maximum idle connections to one address.
 MAX_IDLE = 32
 
 
 class IdleConnections:
-    """Hold the connections that carry no request.
+    """The pool of outgoing connections that carry no request.
 
     Parameters
     ----------
     close : callable
-        Close a connection; it calls ``remove`` in turn.
+        Close a connection; the callable must call ``remove`` for that connection.
     """
 
     def __init__(self, *, close: Callable[[Connection], None]) -> None:
@@ -30,23 +30,33 @@
         self._connections_by_address: dict[str, list[Connection]] = {}
 
     def take(self, address: str) -> Connection | None:
-        """Return a connection that can carry a request, or None."""
+        """Remove and return a usable connection to an address, or return None.
+
+        Idle connections that can't be used any more are closed.
+        """
         now = time.monotonic()
         idle = self._connections_by_address.get(address, [])
         while idle:
             connection = idle.pop()
-            # A process that was paused finds connections that idled for longer
-            # than anything between the two ends remembers them.
+            # After a pause of this process a connection may have been idle for so
+            # long that network devices between the two ends have dropped its state.
             idle_for = now - connection.progress_at
-            if idle_for <= connection.idle_timeout and connection.is_quiet():
+            if (
+                idle_for <= connection.idle_timeout
+                and connection.has_no_pending_input()
+            ):
                 return connection
             self._close(connection)
         return None
 
-    def keep(self, connection: Connection) -> None:
-        """Keep a connection whose request was answered, if another may follow."""
+    def put(self, connection: Connection) -> None:
+        """Add a connection whose request was answered, or close it.
+
+        The connection is closed if it can't carry another request, or if the pool
+        already has ``MAX_IDLE`` connections to that address.
+        """
         idle = self._connections_by_address.setdefault(connection.address, [])
-        if not connection.is_clean() or len(idle) >= MAX_IDLE:
+        if not connection.is_reusable() or len(idle) >= MAX_IDLE:
             self._close(connection)
             return
         connection.http.start_next_cycle()
@@ -55,7 +65,7 @@
         idle.append(connection)
 
     def remove(self, connection: Connection) -> None:
-        """Let go of a connection that is being closed."""
+        """Remove a connection that is being closed, if the pool has it."""
         idle = self._connections_by_address.get(connection.address, [])
         if connection in idle:
             idle.remove(connection)
--- a/ryelever/transport/peers.py
+++ b/ryelever/transport/peers.py
@@ -1,4 +1,4 @@
-"""Own the UDP socket between entry hosts."""
+"""Exchange UDP datagrams between entry hosts."""
 
 from __future__ import annotations
 
@@ -16,32 +16,34 @@
 
 __all__ = ["Peers"]
 
-#: One byte more than the longest datagram, so that a longer one shows.
+#: Bytes read of a datagram: one more than the longest valid one, to detect longer ones.
 READ_SIZE = 8193
 
-#: Datagrams read before other events get their turn.
+#: Datagrams read in one batch before other events are handled.
 MAX_BATCH = 64
 
-#: Bytes that the kernel may keep: a paused process wakes to no more than this.
+#: Size in bytes of the kernel's receive buffer.  It bounds the backlog that a process
+#: has to read after a pause.
 RECEIVE_BUFFER = 256 * 1024
 
 
 class Peers(BaseComponent):
-    """Send and receive datagrams.
+    """Send and receive datagrams over one UDP socket.
 
-    Several datagrams travel in one event: at tens a second, an event for each would
-    cost more than the datagrams do.
+    One event carries several datagrams: at tens of datagrams a second, dispatching an
+    event for each would cost more than processing the datagrams.
 
     Parameters
     ----------
     bind : tuple of (str, int)
-        Where peers reach this host.
+        Local address, at which peers reach this host.
     reply_channel : str
         Channel on which ``peers_received`` is fired.
     wakes : bool
-        Whether a datagram wakes the process.  Else they are read at each
-        ``peers_poll``: where dozens of hosts send several a second each, waking for
-        each of them costs more than what it says, and nobody waits for one.
+        Whether an arriving datagram wakes the process.  If not, datagrams are read
+        only at each ``peers_poll``: with dozens of hosts that send several datagrams
+        a second each, waking up for each datagram costs more than processing it, and
+        no datagram is urgent.
     """
 
     channel = "peers"
@@ -76,8 +78,8 @@
             try:
                 self._sock.sendto(datagram.data, (host, int(port)))
             except OSError:
-                # The buffer is full, or there is no route; the peer's next word
-                # shows what it lacks, so nothing is kept for later.
+                # The send buffer is full, or there is no route.  The datagram is
+                # dropped: the peer's next heartbeat shows which data it lacks.
                 self.n_unsent += 1
                 continue
             self.n_sent += 1
@@ -88,13 +90,14 @@
         self._read()
 
     @handler("peers_poll")
-    def _on_look(self) -> None:
-        # What came since the last look is read whole, or a backlog would only grow.
+    def _on_peers_poll(self) -> None:
+        # Read all datagrams that arrived since the last poll; reading one batch a
+        # poll would let a backlog grow.
         while self._read() == MAX_BATCH:
             pass
 
     def _read(self) -> int:
-        """Hand on one batch of datagrams; return how many there were."""
+        """Read one batch, fire it as ``peers_received`` and return its size."""
         datagrams = []
         for _ in range(MAX_BATCH):
             try:
@@ -102,7 +105,8 @@
             except BlockingIOError:
                 break
             except OSError:
-                # An earlier datagram met a closed port; that peer is gone for now.
+                # Reports that a datagram sent earlier reached a closed port: that
+                # peer is not running at present.
                 continue
             self.n_received += 1
             self.n_bytes_received += len(data)
--- a/ryelever/transport/relay_callers.py
+++ b/ryelever/transport/relay_callers.py
@@ -1,8 +1,8 @@
-"""Serve callers whose requests are passed on unchanged.
+"""Serve callers whose requests are relayed unchanged.
 
-``circuits.web`` rewrites paths, joins headers and composes answers of its own, none
-of which may happen to a request that is passed on; so h11 reads and writes on the
-sockets of circuits' own server.
+``circuits.web`` rewrites paths, joins headers and composes answers of its own, which
+must not happen to a relayed request.  This module therefore parses and serializes with
+h11, on the sockets of the TCP server of circuits.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     relayed_request,
 )
 from .caller_server import CallerServer
-from .request_heads import head_fault
+from .request_heads import find_head_fault
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -33,34 +33,40 @@
 
 __all__ = ["RelayCallers"]
 
-#: Bytes read from a socket at once.
+#: Maximum bytes of one read from a socket.
 READ_SIZE = 64 * 1024
 
-#: Connections that wait to be accepted: a whole zone's callers may come at once.
+#: Maximum connections that wait to be accepted: all callers of an availability zone may
+#: connect at the same time.
 BACKLOG = 1024
 
-#: Most bytes of an answer that a caller may leave unread before its connection is
-#: closed; the longest stream is some kilobytes.
+#: Maximum bytes of an answer that a caller may leave unread before its connection is
+#: closed.  The longest stream has some kilobytes.
 MAX_UNREAD = 1 << 20
 
-#: Seconds for which a caller that was refused may still read why.
+#: Seconds for which the connection of a refused caller stays open, so that the caller
+#: can read the refusal.
 LINGER = 1.0
 
-#: Seconds without a byte from the other end after which the kernel asks for a sign
-#: of life, between two such questions, and how many may stay unanswered.
+#: TCP keepalive: seconds without traffic before the kernel probes the caller, seconds
+#: between two probes, and probes without an answer after which it drops the connection.
 KEEPALIVE = ((socket.TCP_KEEPIDLE, 3), (socket.TCP_KEEPINTVL, 1))
 KEEPALIVE_COUNT = 3
 
 
 class _Connection(msgspec.Struct, kw_only=True, eq=False):
-    """Hold the state of one caller's connection.
+    """State of one caller's connection.
 
     Attributes
     ----------
-    began_at : float or None
+    request_started_at : float or None
         Monotonic time of the first byte of a request that is still arriving.
-    n_ahead : int
-        Bytes that were sent while an answer is under way.
+    n_pipelined_bytes : int
+        Bytes received since the request that is being answered was complete.
+    number : int
+        Number of the request that is being answered; 0 if there is none.
+    closes_at : float
+        Monotonic time at which the connection is closed; infinite while it is in use.
     """
 
     sock: socket.socket
@@ -68,28 +74,29 @@
     progress_at: float
     head: h11.Request | None = None
     body: bytearray = msgspec.field(default_factory=bytearray)
-    began_at: float | None = None
-    n_ahead: int = 0
+    request_started_at: float | None = None
+    n_pipelined_bytes: int = 0
     number: int = 0
     closes_at: float = float("inf")
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no request is being read or answered."""
-        return not self.number and self.began_at is None
+        """Return whether no request is being received or answered."""
+        return not self.number and self.request_started_at is None
 
 
 class RelayCallers(CallerServer):
-    """Own the callers' connections of one address.
+    """Listen on one address and own the connections of its callers.
 
     Parameters
     ----------
     bind : tuple of (str, int)
-        Address by IP number; port 0 picks a free one.
+        IP address and port; port 0 selects a free port.
     channel : str
         Channel of this component.
     reply_channel : str
-        Channel on which requests are announced.
+        Channel on which ``relayed_request`` and ``relayed_caller_disconnected`` are
+        fired.
     limits : callable
         Return the limits in force.
     """
@@ -112,12 +119,12 @@
 
     @property
     def n_open(self) -> int:
-        """Return how many connections are open."""
+        """Return the number of open connections."""
         return len(self._connections_by_sock)
 
     @property
     def n_busy(self) -> int:
-        """Return how many connections read or wait for an answer."""
+        """Return the number of connections with a request or with unsent bytes."""
         return sum(
             not connection.is_idle or bool(self._buffers.get(connection.sock))
             for connection in self._connections_by_sock.values()
@@ -157,17 +164,17 @@
             return
         connection.progress_at = now = time.monotonic()
         if connection.number:
-            connection.n_ahead += len(data)
+            connection.n_pipelined_bytes += len(data)
             limits = self._limits()
-            if connection.n_ahead > limits.max_head + limits.max_body:
-                # What is sent ahead of an answer waits in memory.
+            if connection.n_pipelined_bytes > limits.max_head + limits.max_body:
+                # Pipelined bytes stay in memory until the answer is sent.
                 self._close(sock)
                 return
-        elif connection.began_at is None:
-            connection.began_at = now
+        elif connection.request_started_at is None:
+            connection.request_started_at = now
         try:
             connection.http.receive_data(data)
-            self._next_events(connection)
+            self._process_events(connection)
         except h11.RemoteProtocolError as error:
             self._refuse(connection, error.error_status_hint)
 
@@ -183,37 +190,37 @@
                 if idle_for > limits.idle_timeout:
                     self._close(connection.sock)
             elif not connection.number and now > (
-                connection.began_at + limits.head_timeout
+                connection.request_started_at + limits.head_timeout
             ):
                 self._refuse(connection, 408)
 
     def close_idle(self) -> int:
-        """Close the connections that carry no request; return how many."""
+        """Close the connections that carry no request and return their number."""
         idle = [
             connection
             for connection in self._connections_by_sock.values()
             if connection.is_idle and connection.closes_at == float("inf")
         ]
         for connection in idle:
-            self._close_gently(connection)
+            self._close_gracefully(connection)
         return len(idle)
 
     # Requests
 
-    def _next_events(self, connection: _Connection) -> None:
+    def _process_events(self, connection: _Connection) -> None:
         while not connection.number:
             event = connection.http.next_event()
             if event is h11.NEED_DATA:
                 if connection.http.they_are_waiting_for_100_continue:
-                    go_on = h11.InformationalResponse(status_code=100, headers=[])
-                    self._send(connection, connection.http.send(go_on))
+                    proceed = h11.InformationalResponse(status_code=100, headers=[])
+                    self._send(connection, connection.http.send(proceed))
                 return
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 return
             if isinstance(event, h11.Request):
                 connection.head = event
                 limits = self._limits()
-                fault = head_fault(
+                fault = find_head_fault(
                     event, max_head=limits.max_head, max_body=limits.max_body
                 )
                 if fault is not None:
@@ -225,12 +232,12 @@
                     self._refuse(connection, 413)
                     return
             elif isinstance(event, h11.EndOfMessage):
-                self._announce(connection)
+                self._fire_request(connection)
 
-    def _announce(self, connection: _Connection) -> None:
+    def _fire_request(self, connection: _Connection) -> None:
         connection.number = next(self._numbers)
-        connection.began_at = None
-        connection.n_ahead = 0
+        connection.request_started_at = None
+        connection.n_pipelined_bytes = 0
         self._connections_by_number[connection.number] = connection
         head = connection.head
         request = RelayedRequest(
@@ -244,23 +251,23 @@
         self.fire(relayed_request(request), self._reply_channel)
 
     def _refuse(self, connection: _Connection, status: int) -> None:
-        """Answer bytes that are no acceptable request, then close."""
+        """Answer an unacceptable request with a status, then close the connection."""
         http = connection.http
         if connection.number or http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
-            # An answer is under way, and a refusal in it would be taken for a part.
+            # An answer is being sent; the caller would parse a refusal as part of it.
             self._close(connection.sock)
             return
         with contextlib.suppress(h11.LocalProtocolError):
             headers = [("Content-Length", "0"), ("Connection", "close")]
             data = http.send(h11.Response(status_code=status, headers=headers))
             self._send(connection, data + http.send(h11.EndOfMessage()))
-        self._close_gently(connection)
+        self._close_gracefully(connection)
 
-    def _close_gently(self, connection: _Connection) -> None:
-        """Close once the caller has had time to read.
+    def _close_gracefully(self, connection: _Connection) -> None:
+        """Close after the caller has had ``LINGER`` seconds to read the answer.
 
-        Closing with input unread resets the connection, and the caller may lose the
-        answer: what it still sends is dropped for a while.
+        Closing a socket with unread input resets the connection, and the caller may
+        lose the answer.  Input is therefore read and discarded for that time.
         """
         connection.closes_at = time.monotonic() + LINGER
         if not self._buffers.get(connection.sock):
@@ -272,7 +279,7 @@
     def answer(
         self, number: int, *, status: int, headers: Headers, body: bytes
     ) -> None:
-        """Give a caller its whole answer."""
+        """Send a complete answer to the caller of a request."""
         connection = self._connections_by_number.get(number)
         if connection is None:
             return
@@ -280,10 +287,10 @@
         data = self._head(connection, status=status, headers=headers)
         if body and not _has_no_body(connection, status):
             data += connection.http.send(h11.Data(data=body))
-        self._answered(connection, data + connection.http.send(h11.EndOfMessage()))
+        self._finish_answer(connection, data + connection.http.send(h11.EndOfMessage()))
 
     def start(self, number: int, *, status: int, headers: Headers) -> None:
-        """Begin a streamed answer."""
+        """Send the head of a streamed answer."""
         connection = self._connections_by_number.get(number)
         if connection is None:
             return
@@ -292,7 +299,7 @@
         self._send(connection, data)
 
     def data(self, number: int, data: bytes) -> None:
-        """Go on with a streamed answer."""
+        """Send the next part of a streamed answer's body."""
         connection = self._connections_by_number.get(number)
         if connection is not None:
             self._send(connection, connection.http.send(h11.Data(data=data)))
@@ -301,10 +308,10 @@
         """End a streamed answer."""
         connection = self._connections_by_number.get(number)
         if connection is not None:
-            self._answered(connection, connection.http.send(h11.EndOfMessage()))
+            self._finish_answer(connection, connection.http.send(h11.EndOfMessage()))
 
     def abort(self, number: int) -> None:
-        """Break an answer off, so that it does not look complete."""
+        """Close the connection without ending its answer, which is then incomplete."""
         connection = self._connections_by_number.pop(number, None)
         if connection is not None:
             connection.number = 0
@@ -316,7 +323,7 @@
         response = h11.Response(status_code=status, headers=headers)
         return connection.http.send(response)
 
-    def _answered(self, connection: _Connection, data: bytes) -> None:
+    def _finish_answer(self, connection: _Connection, data: bytes) -> None:
         self._send(connection, data)
         self._connections_by_number.pop(connection.number, None)
         connection.number = 0
@@ -326,11 +333,11 @@
         if http.our_state is h11.DONE and http.their_state is h11.DONE:
             http.start_next_cycle()
             try:
-                self._next_events(connection)
+                self._process_events(connection)
             except h11.RemoteProtocolError as error:
                 self._refuse(connection, error.error_status_hint)
         else:
-            self._close_gently(connection)
+            self._close_gracefully(connection)
 
     # Writing
 
@@ -350,7 +357,7 @@
     # State for the dump
 
     def describe(self) -> dict[str, int]:
-        """Count connections for the state dump."""
+        """Return the connection counts for the state dump."""
         return {"open": self.n_open, "busy": self.n_busy}
 
 
--- a/ryelever/transport/request_heads.py
+++ b/ryelever/transport/request_heads.py
@@ -1,4 +1,4 @@
-"""Tell what is wrong with a request's head, the same for all callers' interfaces."""
+"""Validate the heads of callers' requests, for both callers' interfaces alike."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 if TYPE_CHECKING:
     import h11
 
-__all__ = ["MAX_HEADERS", "HeadFault", "head_fault", "large_body"]
+__all__ = ["MAX_HEADERS", "HeadFault", "find_head_fault", "body_too_large_fault"]
 
-#: Headers of one request.  Callers send a dozen; each costs time in every list of
-#: headers that is gone through.
+#: Maximum number of headers of one request.  Callers send about a dozen, and each
+#: header adds time to every pass over the list of headers.
 MAX_HEADERS = 100
 
 _METHODS = frozenset(
@@ -22,20 +22,22 @@
 
 
 class HeadFault(msgspec.Struct, kw_only=True, frozen=True):
-    """Say why a request is refused by its head."""
+    """The status, code and message with which a request is refused."""
 
     status: int
     code: str
     message: str
 
 
-def head_fault(head: h11.Request, *, max_head: int, max_body: int) -> HeadFault | None:
-    """Return what is wrong with a head, if anything is.
+def find_head_fault(
+    head: h11.Request, *, max_head: int, max_body: int
+) -> HeadFault | None:
+    """Return the first fault of a request head, or None if it is acceptable.
 
     Parameters
     ----------
     max_head, max_body : int
-        Bytes of the request line and headers, and of the body.
+        Maximum bytes of the request line and headers, and of the body.
     """
     if _is_too_large(head, max_head=max_head):
         return HeadFault(
@@ -61,12 +63,12 @@
             status=501, code="method", message=f"method {method} is not known"
         )
     if lengths and int(lengths[0]) > max_body:
-        return large_body(max_body)
+        return body_too_large_fault(max_body)
     return None
 
 
-def large_body(max_body: int) -> HeadFault:
-    """Return the fault of a body that is too long, as declared or as it comes."""
+def body_too_large_fault(max_body: int) -> HeadFault:
+    """Return the fault of a body whose declared or received length exceeds a limit."""
     return HeadFault(
         status=413,
         code="body_too_large",
@@ -75,7 +77,7 @@
 
 
 def _is_too_large(head: h11.Request, *, max_head: int) -> bool:
-    # h11 applies its limit to heads that are not complete yet; one that comes in a
-    # single read is not measured.
+    # h11 applies its limit only to incomplete heads; a head that arrives in a single
+    # read is not checked by h11.
     size = sum(len(name) + len(value) + 4 for name, value in head.headers)
     return len(head.headers) > MAX_HEADERS or size + len(head.target) > max_head
--- a/ryelever/transport/request_reader.py
+++ b/ryelever/transport/request_reader.py
@@ -1,4 +1,4 @@
-"""Read callers' requests strictly by h11, within limits, before ``circuits.web``."""
+"""Parse callers' requests strictly with h11, and within limits."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import h11
 
 from ..errors import Category, RunState, RyeleverError
-from .request_heads import HeadFault, head_fault, large_body
+from .request_heads import HeadFault, body_too_large_fault, find_head_fault
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -21,10 +21,10 @@
 #: Header that marks a request which must run at most once.
 KEY_HEADER = b"idempotency-key"
 
-#: Tells the caller to go on and send its body.
+#: Tells a caller that sent ``Expect: 100-continue`` to send its body.
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
-#: Status of a request that did not arrive in time.
+#: Status for a request that did not arrive completely in time.
 REQUEST_TIMEOUT = 408
 
 _CATEGORY_BY_STATUS = {
@@ -36,18 +36,19 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Limits:
-    """Bound what one caller's connection may cost.
+    """Limits on the memory and time that one caller's connection may use.
 
     Attributes
     ----------
     max_head, max_body, max_unsent : int
-        Bytes of the request line and headers, of the body, and of answer that
-        the caller has not taken yet.
+        Maximum bytes of the request line and headers, of the body, and of the part of
+        the answer that the caller has not read yet.
     request_timeout, idle_timeout, unread_timeout : float
-        Seconds for a whole request to arrive, between two requests, and for which a
-        caller may take no byte of its answer.
+        Maximum seconds for a complete request to arrive, between two requests, and
+        for which a caller may read no byte of its answer.
     linger : float
-        Seconds for a refused caller to read why, before the connection closes.
+        Seconds for which a connection stays open after its last answer, such as a
+        refusal, so that the caller can read that answer.
     """
 
     max_head: int = 16 * 1024
@@ -61,7 +62,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class CompleteRequest:
-    """Hold one request that is complete and of unambiguous length."""
+    """A complete request whose length is unambiguous."""
 
     method: str
     path: str
@@ -74,7 +75,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Refusal:
-    """Hold the answer to bytes that are no acceptable request."""
+    """The answer to an unacceptable request."""
 
     status: int
     error: RyeleverError
@@ -82,10 +83,10 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class RequestReader:
-    """Read the requests of one connection, one at a time.
+    """Parse the requests of one connection, one at a time.
 
-    While a request is being answered the bytes of later ones are kept, up to the
-    limits of one request.
+    While a request is being answered, the bytes of pipelined requests are kept, up to
+    the size limits of one request.
     """
 
     limits: Limits
@@ -94,7 +95,7 @@
     _http: h11.Connection = field(init=False)
     _head: h11.Request | None = None
     _body: bytearray = field(default_factory=bytearray)
-    _ahead: bytearray = field(default_factory=bytearray)
+    _pipelined: bytearray = field(default_factory=bytearray)
     _answering: bool = False
     _refused: bool = False
 
@@ -104,12 +105,18 @@
     def feed(
         self, data: bytes, *, now: float
     ) -> Iterator[CompleteRequest | Refusal | bytes]:
-        """Take bytes; yield a whole request, a refusal or bytes to send at once."""
+        """Parse received bytes.
+
+        Yields
+        ------
+        CompleteRequest, Refusal or bytes
+            A request, a refusal, or bytes to send to the caller at once.
+        """
         if self._refused:
             return
         if self._answering:
-            self._ahead += data
-            if len(self._ahead) > self.limits.max_head + self.limits.max_body:
+            self._pipelined += data
+            if len(self._pipelined) > self.limits.max_head + self.limits.max_body:
                 yield self._refuse(
                     "too much was sent ahead of the answer", status=413, code="ahead"
                 )
@@ -118,31 +125,33 @@
             self.started_at = now
         try:
             self._http.receive_data(data)
-            yield from self._next_events()
+            yield from self._process_events()
         except h11.RemoteProtocolError as error:
             status = error.error_status_hint
             code = "head_too_large" if status == 431 else "bad_request"
             yield self._refuse(str(error), status=status, code=code)
 
-    def answered(self, *, now: float) -> Iterator[CompleteRequest | Refusal | bytes]:
-        """Go on with what the caller has sent ahead."""
-        ahead = self._http.trailing_data[0] + bytes(self._ahead)
+    def next_request(
+        self, *, now: float
+    ) -> Iterator[CompleteRequest | Refusal | bytes]:
+        """Parse the bytes that the caller sent before the last answer was complete."""
+        pipelined = self._http.trailing_data[0] + bytes(self._pipelined)
         self._http = self._new_http()
         self._head = None
         self._body = bytearray()
-        self._ahead = bytearray()
+        self._pipelined = bytearray()
         self._answering = False
         self.started_at = now
-        if ahead:
-            yield from self.feed(ahead, now=now)
+        if pipelined:
+            yield from self.feed(pipelined, now=now)
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no byte of a request has arrived."""
+        """Return whether no byte of a request has arrived."""
         return self._head is None and not self._http.trailing_data[0]
 
-    def overdue(self, *, now: float) -> Refusal | None:
-        """Return the refusal of a request that takes too long to arrive."""
+    def refuse_if_overdue(self, *, now: float) -> Refusal | None:
+        """Return the refusal of a request that takes too long to arrive, or None."""
         if self._answering or self._refused or self.is_idle:
             return None
         if now - self.started_at <= self.limits.request_timeout:
@@ -153,8 +162,8 @@
             code="request_timeout",
         )
 
-    def idled_out(self, *, now: float) -> bool:
-        """Tell whether the connection has been without a request for too long."""
+    def has_idled_too_long(self, *, now: float) -> bool:
+        """Return whether the connection has been idle for too long."""
         if self._answering or self._refused or not self.is_idle:
             return False
         return now - self.started_at > self.limits.idle_timeout
@@ -164,7 +173,7 @@
             h11.SERVER, max_incomplete_event_size=self.limits.max_head
         )
 
-    def _next_events(self) -> Iterator[CompleteRequest | Refusal | bytes]:
+    def _process_events(self) -> Iterator[CompleteRequest | Refusal | bytes]:
         while not (self._answering or self._refused):
             event = self._http.next_event()
             if event is h11.NEED_DATA:
@@ -178,13 +187,13 @@
                 return
             if isinstance(event, h11.Request):
                 self._head = event
-                refusal = self._head_fault(event)
+                refusal = self._refuse_bad_head(event)
                 if refusal is not None:
                     yield refusal
             elif isinstance(event, h11.Data):
                 self._body += event.data
                 if len(self._body) > self.limits.max_body:
-                    yield self._refuse_for(large_body(self.limits.max_body))
+                    yield self._refuse_for(body_too_large_fault(self.limits.max_body))
             elif isinstance(event, h11.EndOfMessage):
                 path, query = _split(self._head.target.decode("ascii"))
                 if _is_ambiguous(path):
@@ -195,11 +204,13 @@
                         code="bad_path",
                     )
                     return
-                yield self._whole(path=path, query=query)
+                yield self._complete_request(path=path, query=query)
 
-    def _head_fault(self, head: h11.Request) -> Refusal | None:
+    def _refuse_bad_head(self, head: h11.Request) -> Refusal | None:
         limits = self.limits
-        fault = head_fault(head, max_head=limits.max_head, max_body=limits.max_body)
+        fault = find_head_fault(
+            head, max_head=limits.max_head, max_body=limits.max_body
+        )
         return None if fault is None else self._refuse_for(fault)
 
     def _refuse_for(self, fault: HeadFault) -> Refusal:
@@ -209,7 +220,7 @@
         self._refused = True
         run_state = self._run_state(status)
         self._body = bytearray()
-        self._ahead = bytearray()
+        self._pipelined = bytearray()
         self._http = self._new_http()
         error = RyeleverError(
             message,
@@ -222,14 +233,15 @@
         return Refusal(status=status, error=error)
 
     def _run_state(self, status: int) -> RunState:
-        # What is malformed or too long was never run.  What did not arrive whole
-        # may be a resend of a request that was, unless its head shows no key.
+        # A malformed or too long request was never run.  A request that did not arrive
+        # completely may be a resend of one that was run, unless its head is known and
+        # has no idempotency key.
         head = self._head
         keyed = head is None or KEY_HEADER in {name for name, _ in head.headers}
         in_doubt = status == REQUEST_TIMEOUT and keyed
         return RunState.OUTCOME_UNKNOWN if in_doubt else RunState.NOT_RUN
 
-    def _whole(self, *, path: str, query: str) -> CompleteRequest:
+    def _complete_request(self, *, path: str, query: str) -> CompleteRequest:
         self._answering = True
         head = self._head
         headers: dict[str, str] = {}
@@ -238,9 +250,11 @@
             value = raw_value.decode("latin-1")
             headers[name] = f"{headers[name]}, {value}" if name in headers else value
         connection = headers.get("connection", "").lower()
-        asked = [token.strip() for token in connection.split(",")]
+        connection_tokens = [token.strip() for token in connection.split(",")]
         http_version = head.http_version.decode("ascii")
-        keep_alive = "keep-alive" in asked if http_version == "1.0" else True
+        keep_alive = (
+            "keep-alive" in connection_tokens if http_version == "1.0" else True
+        )
         body = bytes(self._body)
         self._body = bytearray()
         return CompleteRequest(
@@ -249,15 +263,15 @@
             query=query,
             headers=headers,
             body=body,
-            keep_alive=keep_alive and "close" not in asked,
+            keep_alive=keep_alive and "close" not in connection_tokens,
             http_version=http_version,
         )
 
 
 def _split(target: str) -> tuple[str, str]:
-    """Return the path, in one spelling, and the query of a request target.
+    """Return the normalized path and the query of a request target.
 
-    A rule for some paths must hold for all their spellings: ``/%62ook`` is
+    A rule for a path must apply to all spellings of that path: ``/%62ook`` is
     ``/book``.
     """
     if target.startswith(("http://", "https://")):
--- a/tests/test_transport/__init__.py
+++ b/tests/test_transport/__init__.py
@@ -1,1 +1,1 @@
-"""Test transport."""
+"""Tests of the network transport."""
--- a/tests/test_transport/conftest.py
+++ b/tests/test_transport/conftest.py
@@ -1,4 +1,4 @@
-"""Share one small running system among the tests of a module."""
+"""Fixtures that share one small running system among the tests of a module."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
             callers_request_timeout=1.0,
             max_body=1 << 20,
         )
-        wait_until(lambda: entry.n_complete_groups() == 1, what="the group is whole")
+        wait_until(lambda: entry.n_complete_groups() == 1, what="the group is complete")
         yield fleet
 
 
 @pytest.fixture(scope="module")
 def entry(served: Fleet) -> EntryHost:
-    """Return the one entry host."""
+    """Return the only entry host."""
     return served.entries_by_name["e1"]
--- a/tests/test_transport/test_callers.py
+++ b/tests/test_transport/test_callers.py
@@ -1,4 +1,4 @@
-"""Test the callers' interface against bad input, with raw sockets."""
+"""Test the callers' interface with bad input, over raw sockets."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from ..builders import named
 from ..processes import EntryHost, Fleet, wait_until
 
-N_CUT_OFF = 300
-CUT_OFF_BODY = 100_000
+N_ABORTED_UPLOADS = 300
+ABORTED_BODY_SIZE = 100_000
 
-#: Growth that passes for noise of the allocator, in bytes.
+#: Bytes of memory growth that are attributed to the allocator.
 MEMORY_NOISE = 8 << 20
 
 QUESTION = {"model": "notes", "messages": [{"role": "user", "content": "Is Rex home?"}]}
@@ -35,14 +35,14 @@
 def read_answer(
     sock: socket.socket, method: str = "GET"
 ) -> tuple[http.client.HTTPResponse, bytes]:
-    """Read one answer; the socket must carry no second one yet."""
+    """Read one answer; the socket must not have received a second one yet."""
     answer = http.client.HTTPResponse(sock, method=method)
     answer.begin()
     return answer, answer.read()
 
 
 def chat(fleet: Fleet, *, body: bytes | None = None, head: str = "", **fields) -> bytes:
-    """Return the bytes of a chat request; ``head`` holds additional lines."""
+    """Return the bytes of a chat request; ``head`` contains additional header lines."""
     if body is None:
         body = question(**{"max_tokens": 3} | fields)
     return (
@@ -53,20 +53,20 @@
 
 
 def exchange(entry: EntryHost, data: bytes) -> tuple[http.client.HTTPResponse, bytes]:
-    """Send bytes on a connection of their own and read one answer."""
+    """Send bytes on a new connection and read one answer."""
     with connected(entry) as sock:
         sock.sendall(data)
         return read_answer(sock)
 
 
 def assert_serves(fleet: Fleet, entry: EntryHost) -> None:
-    """Check that a good request is still answered."""
+    """Check that a valid request is still answered."""
     answer, body = exchange(entry, chat(fleet))
     assert answer.status == 200, body
 
 
 def assert_refused(answer: tuple, status: int, code: str | None) -> dict[str, str]:
-    """Check an error that says what is wrong and that nothing was run."""
+    """Check the status and code of an error, and that nothing was run."""
     response, body = answer
     assert response.status == status, body
     error = json.loads(body)["error"]
@@ -80,11 +80,11 @@
 def test_refuse_malformed_request(
     served: Fleet, entry: EntryHost, data: bytes, status: int, code: str | None
 ) -> None:
-    """Answer each malformed request with one clear error and close.
+    """Answer each malformed request with one error, and close the connection.
 
-    Symptom: two parties disagree on where a request ends, and one caller gets the
-    answer of another.  Sequence: a request with an ambiguous length is passed on;
-    its rest is read as the next request.  Cause: circuits.web accepts such heads.
+    Guards against request smuggling: circuits.web accepts heads with an ambiguous
+    length.  If such a request is passed on, two parties disagree on where it ends, its
+    rest is read as the next request, and one caller gets the answer of another.
     """
     with connected(entry) as sock:
         sender = threading.Thread(target=_send_all, args=(sock, data))
@@ -104,11 +104,11 @@
 
 
 def question(**fields: object) -> bytes:
-    """Return the body of a question with other fields."""
+    """Return the body of a chat request with additional or different fields."""
     return json.dumps(QUESTION | fields).encode()
 
 
-#: Well-formed HTTP with a request that makes no sense: body, status, code.
+#: Invalid bodies in well-formed HTTP requests: name, body, status, code.
 BAD_BODIES = [
     ("empty", b"", 400, "invalid_request"),
     ("not JSON", b"{", 400, "invalid_request"),
@@ -129,7 +129,7 @@
 def test_refuse_bad_body(
     served: Fleet, entry: EntryHost, body: bytes, status: int, code: str
 ) -> None:
-    """Name the fault of a body and keep the connection."""
+    """Report the fault of a body and keep the connection open."""
     with connected(entry) as sock:
         sock.sendall(chat(served, body=body))
         assert_refused(read_answer(sock), status, code)
@@ -138,10 +138,10 @@
 
 
 KEY_MISSING = "idempotency_key_missing"
-SPELLED = "POST /services/bookings/%62ookings"
+ESCAPED = "POST /services/bookings/%62ookings"
 DETOUR = "POST /services/bookings/x/..//bookings"
 
-#: Start line, authorization, status and code.
+#: Name, start line, authorization, status and code.
 BAD_TARGETS = [
     ("wrong key", "GET /v1/models", "Bearer nobody.x", 401, "invalid_api_key"),
     ("no scheme", "GET /v1/models", "nobody", 401, "invalid_api_key"),
@@ -158,7 +158,7 @@
     ("wrong method", "DELETE /v1/chat/completions", "", 405, "use_post"),
     ("wrong method of models", "POST /v1/models", "", 405, "use_get"),
     ("unknown service", "GET /services/none/x", "", 404, "unknown_service"),
-    ("other spelling of a call that needs a key", SPELLED, "", 400, KEY_MISSING),
+    ("other spelling of a call that needs a key", ESCAPED, "", 400, KEY_MISSING),
     ("detour to a call that needs a key", DETOUR, "", 400, "bad_path"),
     ("no idempotency key", "POST /services/bookings/bookings", "", 400, KEY_MISSING),
 ]
@@ -175,7 +175,7 @@
     status: int,
     code: str,
 ) -> None:
-    """Name what is wrong with a path, a method or a key."""
+    """Report the fault of a path, a method or a key."""
     authorization = authorization or f"Bearer {served.keys_by_account['pawroute']}"
     head = f"{start} HTTP/1.1\r\nHost: e\r\nAuthorization: {authorization}\r\n\r\n"
     answer = exchange(entry, head.encode("latin-1"))
@@ -194,13 +194,14 @@
         "Accept: " + "a," * 1000,
     ],
 )
-def test_headers_that_nobody_reads_do_no_harm(
+def test_odd_headers_that_are_not_used_are_accepted(
     served: Fleet, entry: EntryHost, line: str
 ) -> None:
-    """Answer a request whose odd headers only a library would look at.
+    """Answer a request with odd headers that only ``circuits.web`` would parse.
 
-    Symptom: a caller gets a page with a traceback.  Sequence: its Host names a port
-    that is no number.  Cause: circuits.web reads each header, with no guard.
+    Guards against answering with a page that shows a traceback: circuits.web parses
+    each header without handling exceptions, for example a Host with a port that is not
+    a number.
     """
     host = "" if line.startswith("Host") else "Host: e\r\n"
     head = f"GET /healthz HTTP/1.1\r\n{host}{line}\r\n\r\n"
@@ -214,8 +215,8 @@
 ) -> None:
     """Answer each of several requests that were sent at once.
 
-    Symptom: a caller waits for ever.  Sequence: it sends a second request before
-    the first is answered.  Cause: circuits.web drops what follows the first.
+    Guards against a caller that waits forever: it sends a second request before the
+    first one is answered, and circuits.web discards all bytes after the first request.
     """
     with connected(entry) as sock:
         sock.sendall(
@@ -240,26 +241,26 @@
     return b"".join(parts)
 
 
-def test_endless_pipelining_is_cut_off(served: Fleet, entry: EntryHost) -> None:
-    """Bound what a caller may send ahead.
+def test_endless_pipelining_is_refused(served: Fleet, entry: EntryHost) -> None:
+    """Bound the bytes that a caller may send before its answer is complete.
 
-    Symptom: memory grows.  Sequence: a caller sends on and on while its first
-    answer streams.  Cause: what it sent ahead was kept without a bound.
+    Guards against unbounded memory: a caller goes on sending while its first answer is
+    streamed, and all pipelined bytes are kept.
     """
-    ahead = chat(served, body=b" " * 500_000)
+    pipelined = chat(served, body=b" " * 500_000)
     with connected(entry) as sock:
         sock.sendall(chat(served, stream=True, max_tokens=10_000))
         sock.recv(1)
         with pytest.raises(OSError):  # noqa: PT011
             for _ in range(1000):
-                sock.sendall(ahead)
+                sock.sendall(pipelined)
     assert_serves(served, entry)
 
 
 def test_caller_that_expects_continue_gets_it(served: Fleet, entry: EntryHost) -> None:
-    """Say 100 Continue to a caller that waits for it before it sends its body.
+    """Send 100 Continue to a caller that waits for it before it sends its body.
 
-    Symptom: an upload starts a second late, or never.  Cause: circuits.web never
+    Guards against uploads that start a second late, or never: circuits.web never
     answers ``Expect: 100-continue``.
     """
     request = chat(served, head="Expect: 100-continue\r\n")
@@ -274,14 +275,14 @@
 def test_large_body_is_refused_before_it_is_sent(
     served: Fleet, entry: EntryHost
 ) -> None:
-    """Refuse by the declared length, in place of 100 Continue."""
+    """Refuse a body by its declared length, instead of sending 100 Continue."""
     head = head_of("Content-Length: 9000000", "Expect: 100-continue")
     answer, _ = exchange(entry, head)
     assert answer.status == 413
 
 
 def test_body_in_chunks_is_read(served: Fleet, entry: EntryHost) -> None:
-    """Read a chunked body, however its chunks are cut."""
+    """Read a chunked body whose chunks have one byte each."""
     body = question(max_tokens=2)
     key = f"Authorization: Bearer {served.keys_by_account['pawroute']}"
     chunks = b"".join(b"1\r\n%c\r\n" % byte for byte in body)
@@ -293,11 +294,11 @@
 
 
 @pytest.mark.parametrize("start", [b"GET /healthz HTTP/1.1\r\nHost: e\r\nX: ", b""])
-def test_slow_request_is_given_up(entry: EntryHost, start: bytes) -> None:
-    """Give up on a request that arrives a byte at a time.
+def test_slow_request_times_out(entry: EntryHost, start: bytes) -> None:
+    """Refuse a request that arrives one byte at a time and takes too long.
 
-    Symptom: connections pile up until none is left.  Sequence: callers send one
-    byte now and then and never finish.  Cause: only silence was given up on.
+    Guards against running out of connections: callers send a byte now and then and
+    never finish, and only connections without any input time out.
     """
     pause = threading.Event()
     with connected(entry) as sock:
@@ -326,10 +327,10 @@
     ],
 )
 @pytest.mark.parametrize("method", ["GET", "HEAD"])
-def test_connection_is_kept_as_the_caller_asks(
+def test_connection_is_kept_or_closed_as_requested(
     entry: EntryHost, version: str, head: str, closes: bool, method: str
 ) -> None:
-    """Keep or close the connection; a HEAD carries no body."""
+    """Keep or close the connection as requested; send no body for a HEAD request."""
     request = f"{method} /healthz HTTP/{version}\r\nHost: e\r\n{head}\r\n".encode()
     with connected(entry) as sock:
         for _ in range(1 if closes else 3):
@@ -345,7 +346,7 @@
 def test_stream_to_http_1_0_ends_with_the_connection(
     served: Fleet, entry: EntryHost
 ) -> None:
-    """Stream without chunks to a caller that does not know them."""
+    """Stream without chunked encoding to a caller with HTTP/1.0."""
     request = chat(served, stream=True).replace(b"HTTP/1.1", b"HTTP/1.0", 1)
     with connected(entry) as sock:
         sock.sendall(request)
@@ -354,19 +355,19 @@
     assert received.endswith(b"data: [DONE]\n\n")
 
 
-def test_engine_stops_for_a_caller_that_vanished(
+def test_engine_work_is_cancelled_after_a_disconnect(
     served: Fleet, entry: EntryHost
 ) -> None:
-    """Cancel the engine's work when its caller is gone.
+    """Cancel the engine's work when the caller has disconnected.
 
-    Symptom: accelerators work for nobody.  Sequence: a caller closes its connection
-    in mid-stream.  Cause: the attempt went on to its end.
+    Guards against wasted accelerator time: a caller closes its connection in the middle
+    of a stream, and the attempt goes on to its end.
     """
     n_before = served.counts("h0")["n_cancelled"]
     with connected(entry) as sock:
         sock.sendall(chat(served, stream=True, max_tokens=30_000))
         wait_until(lambda: b"content" in sock.recv(4096), what="the stream runs")
-    # An order to cancel and the closed connection may both be counted.
+    # The engine may count both the order to cancel and the closed connection.
     wait_until(
         lambda: served.counts("h0")["n_cancelled"] > n_before,
         what="the engine's work is cancelled",
@@ -375,40 +376,39 @@
     wait_until(lambda: not entry.dump()["requests"], what="nothing is in flight")
 
 
-def test_cut_off_uploads_leave_no_memory_behind(
-    served: Fleet, entry: EntryHost
-) -> None:
-    """Return to the memory from before after many uploads that broke off.
+def test_aborted_uploads_leak_no_memory(served: Fleet, entry: EntryHost) -> None:
+    """Free the memory of many aborted uploads.
 
-    Symptom: an entry host grows by 30 MB.  Sequence: 300 callers declare 200 KB,
-    send 100 KB and vanish.  Cause: circuits.web keeps the parser of a connection
-    that closed before its request was whole.
+    Guards against an entry host that grows by 30 MB: 300 callers declare 200 KB, send
+    100 KB and disconnect, and circuits.web keeps the parser of a connection that closed
+    before its request was complete.
     """
 
-    def cut_off() -> None:
-        for _ in range(N_CUT_OFF):
+    def abort_uploads() -> None:
+        for _ in range(N_ABORTED_UPLOADS):
             with connected(entry) as sock:
                 sock.sendall(
-                    head_of(f"Content-Length: {2 * CUT_OFF_BODY}") + b"a" * CUT_OFF_BODY
+                    head_of(f"Content-Length: {2 * ABORTED_BODY_SIZE}")
+                    + b"a" * ABORTED_BODY_SIZE
                 )
         wait_until(
             lambda: len(entry.dump()["connections"]["callers"]) == 1,
-            what="the connections are gone",
+            what="the connections are closed",
         )
 
-    cut_off()
-    before = _resident(entry)
-    cut_off()
-    assert _resident(entry) - before < MEMORY_NOISE
+    abort_uploads()
+    before = _resident_bytes(entry)
+    abort_uploads()
+    assert _resident_bytes(entry) - before < MEMORY_NOISE
     assert_serves(served, entry)
 
 
-def _resident(entry: EntryHost) -> int:
+def _resident_bytes(entry: EntryHost) -> int:
     with open(f"/proc/{entry.process.pid}/status") as status:
         line = next(line for line in status if line.startswith("VmRSS"))
     return int(line.split()[1]) * 1024
 
 
 def test_no_fault_was_logged(entry: EntryHost) -> None:
-    """Find no unexpected exception after all that this module has sent."""
+    """Find no unexpected exception in the log after the other tests of this module."""
     assert entry.process.events("fault") == []
--- a/tests/test_transport/test_closing.py
+++ b/tests/test_transport/test_closing.py
@@ -1,4 +1,4 @@
-"""Test how callers' connections are closed, with raw sockets."""
+"""Test the closing of callers' connections, with raw sockets."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def read_to_end(sock: socket.socket) -> bytes:
-    """Return what arrives until the other end closes."""
+    """Return all bytes received until the peer closes the connection."""
     parts = []
     while data := sock.recv(65536):
         parts.append(data)
@@ -24,19 +24,19 @@
 
 @pytest.fixture
 def draining(fleet: Fleet) -> EntryHost:
-    """Return an entry host that will drain without any grace."""
+    """Return an entry host that drains with a ``drain_grace`` of only 0.01 s."""
     fleet.start_world(entries=("e1",), drain_grace=0.01)
     return fleet.entries_by_name["e1"]
 
 
-def test_kept_connection_hears_that_the_host_drains(
+def test_kept_connection_is_closed_by_a_drain(
     fleet: Fleet, draining: EntryHost
 ) -> None:
-    """Use a kept connection while a drain waits for a stream to end.
+    """Answer ``Connection: close`` while a drain waits for a stream to end.
 
-    Symptom: a balancer's request is reset, and nobody knows whether it was run.
-    Sequence: the balancer keeps its connection and the host ends between two of its
-    requests.  Cause: nothing told the balancer to turn away from the connection.
+    Guards against resetting a balancer's request, for which it is then unknown whether
+    the request was run: the balancer keeps a connection, the host ends between two of
+    its requests, and nothing made the balancer stop using the connection.
     """
     with connected(draining) as stream, connected(draining) as kept:
         kept.sendall(HEALTH + b"\r\n")
@@ -57,16 +57,16 @@
 def test_request_that_is_arriving_is_answered(
     fleet: Fleet, draining: EntryHost
 ) -> None:
-    """Send the second half of a request after the drain has begun.
+    """Answer a request whose second half is sent after the drain has begun.
 
-    Symptom: a caller's request is reset while it is being sent.  Sequence: half of
-    it has arrived, nothing else is in flight, and the host ends.  Cause: only
-    requests that had arrived whole were waited for.
+    Guards against resetting a request while it is being sent: half of the request has
+    arrived, nothing else is in flight, and a host that waits only for complete requests
+    ends.
     """
     request = chat(fleet)
     with connected(draining) as sock:
         sock.sendall(request[:-5])
-        # An answer on a later connection shows that the half was read.
+        # An answer on a later connection shows that the first half was read.
         with connected(draining) as later:
             later.sendall(HEALTH + b"\r\n")
             read_answer(later)
@@ -79,12 +79,11 @@
     assert draining.process.wait() == 0
 
 
-def test_idle_connection_is_closed_and_holds_nothing_up(draining: EntryHost) -> None:
-    """Keep a connection open through the end of a host.
+def test_idle_connection_is_closed_and_delays_no_drain(draining: EntryHost) -> None:
+    """Close an idle connection that a balancer keeps open while the host ends.
 
-    Symptom: a host that never ends, or an idle connection that is reset.  Sequence:
-    a balancer keeps a connection that it does not use.  Cause: the host waits for
-    connections as for requests, or for neither.
+    Guards against a host that waits for idle connections as for requests and never
+    ends, and against one that waits for neither and resets idle connections.
     """
     with connected(draining) as sock:
         sock.sendall(HEALTH + b"\r\n")
--- a/tests/test_transport/test_http_client.py
+++ b/tests/test_transport/test_http_client.py
@@ -1,4 +1,4 @@
-"""Test outgoing connections against a server that follows a script."""
+"""Test outgoing HTTP connections against a scripted server."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from ryelever.transport.http_connection import IDLE_TIMEOUT
 from ryelever.transport.poller import Poller
 
-SILENT = "silent"
+NO_ANSWER = "silent"
 CLOSE = "close"
 
 
 def answer(body: str) -> bytes:
-    """Return a whole answer."""
+    """Return a complete answer."""
     return f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode()
 
 
 class ScriptedServer:
-    """Answer the requests of each connection as its script says.
+    """A server that answers the requests of each connection according to a script.
 
-    A script is a list with one entry a request: bytes to send, ``SILENT`` or
+    A script is a list with one entry for each request: bytes to send, ``NO_ANSWER`` or
     ``CLOSE``.
     """
 
@@ -50,13 +50,13 @@
             except OSError:
                 return
             self.socks.append(sock)
-            script = self.scripts[index] if index < len(self.scripts) else [SILENT]
+            script = self.scripts[index] if index < len(self.scripts) else [NO_ANSWER]
             threading.Thread(
                 target=self._serve, args=(sock, script), daemon=True
             ).start()
 
     def _serve(self, sock: socket.socket, script: list[bytes | str]) -> None:
-        # A client that gives its request up resets the connection.
+        # A client that cancels its request resets the connection.
         with contextlib.suppress(ConnectionError):
             self._answer(sock, script)
 
@@ -72,7 +72,7 @@
             if reply == CLOSE:
                 sock.close()
                 return
-            if reply != SILENT:
+            if reply != NO_ANSWER:
                 sock.sendall(reply)
 
     def stop_listening(self) -> None:
@@ -81,16 +81,16 @@
         self._listener.close()
 
     def close(self) -> None:
-        """Close everything."""
+        """Close the listening socket and all connections."""
         self._listener.close()
         for sock in self.socks:
             sock.close()
 
 
-class Asking(BaseComponent):
-    """Run a client and keep what it reports."""
+class ClientHarness(BaseComponent):
+    """Run an ``HttpClient`` and record its answers and failures."""
 
-    channel = "asking"
+    channel = "harness"
 
     def __init__(self) -> None:
         super().__init__()
@@ -99,7 +99,7 @@
         self.answers: list = []
         self.failures: list = []
         self._ids = itertools.count()
-        # ``tick`` lets the poller look only while the loop counts as running.
+        # ``tick`` calls the poller only if the main loop is marked as running.
         self._running = True
 
     @handler("outbound_answer")
@@ -115,19 +115,22 @@
         event.reduce_time_left(0.01)
 
     def send(self, address: str, **fields: object) -> None:
-        """Send a request and don't wait."""
+        """Send a request without waiting for its answer."""
         request = OutboundRequest(
             id=f"q{next(self._ids)}",
             address=address,
             path="/",
-            reply_channel="asking",
-            step="ask",
+            reply_channel="harness",
+            step="fetch",
             **({"method": "GET", "progress_timeout": 0.2} | fields),
         )
         self.fire(outbound_send(request), "http_client")
 
-    def ask(self, address: str, **fields: object) -> str:
-        """Send a request; return the answer's body, or the failure's marks."""
+    def fetch(self, address: str, **fields: object) -> str:
+        """Send a request; return the answer's body, or the category of the failure.
+
+        A failure's category is followed by "sent" or "unsent", for the request's bytes.
+        """
         n_before = len(self.answers) + len(self.failures)
         self.send(address, **fields)
         self.run_until(lambda: len(self.answers) + len(self.failures) > n_before)
@@ -138,10 +141,10 @@
         return self.answers[-1].body.decode()
 
     def run_until(self, condition: object) -> None:
-        """Run the loop, with its sweeps, until a condition holds."""
-        give_up_at = time.monotonic() + 10
+        """Run the main loop and fire sweeps until a condition is true."""
+        deadline = time.monotonic() + 10
         while not condition():
-            assert time.monotonic() < give_up_at, "nothing came"
+            assert time.monotonic() < deadline, "the condition was not met within 10 s"
             self.fire(sweep(), "http_client")
             self.tick(0.01)
 
@@ -154,17 +157,17 @@
 
 
 @pytest.fixture
-def asking() -> Asking:
-    return Asking()
+def harness() -> ClientHarness:
+    return ClientHarness()
 
 
 OK = answer("ok")
 
-# Each row: what the first connections do, extra fields, what the asker learns.
+# Scripts of the first connections, extra request fields, expected result.
 FAILURES = {
     "truncated": ([[OK[:-1], CLOSE]], {}, "timeout sent"),
     "truncated and closed": ([[CLOSE]], {}, "broken sent"),
-    "silent": ([[SILENT]], {}, "timeout sent"),
+    "silent": ([[NO_ANSWER]], {}, "timeout sent"),
     "not HTTP": ([[b"220 mail ready\r\n\r\n"]], {}, "broken sent"),
     "too long": ([[answer("x" * 100)]], {"max_body": 10}, "broken sent"),
     "late": ([[OK]], {"send_before": 0.0}, "timeout unsent"),
@@ -177,200 +180,200 @@
 
 
 @pytest.mark.parametrize("name", FAILURES)
-def test_failure(server: ScriptedServer, asking: Asking, name: str) -> None:
-    """Report each failure once, and whether a byte may have left.
+def test_failure(server: ScriptedServer, harness: ClientHarness, name: str) -> None:
+    """Report each failure once, and whether a byte may have been sent.
 
-    Symptom: a request without any answer, or a false not_run.  Sequence: the
-    row's.  Cause: a fault that ends in an exception in place of a report.
+    Guards against a fault that raises an exception instead of being reported: the
+    request would get no answer, or a wrong not_run.
     """
     server.scripts, fields, expected = FAILURES[name]
-    assert asking.ask(server.address, **fields) == expected
-    assert len(asking.failures) == 1
-    assert not asking.client.describe()
+    assert harness.fetch(server.address, **fields) == expected
+    assert len(harness.failures) == 1
+    assert not harness.client.describe()
 
 
 @pytest.mark.parametrize("address", ["127.0.0.1:1", "nonsense", "127.0.0.1:99999"])
-def test_address_that_cannot_be_reached(asking: Asking, address: str) -> None:
-    """Report an address out of the hosts list that leads nowhere.
+def test_unreachable_address(harness: ClientHarness, address: str) -> None:
+    """Report a failure if the hosts list contains a wrong address.
 
-    Symptom: a stream that is read no more, a request that waits for its deadline.
-    Sequence: the list names a wrong address.  Cause: an exception while connecting
-    that nobody turns into a report.
+    Guards against an exception while connecting that is not reported as a failure: a
+    stream would not be read any more, and a request would wait for its deadline.
     """
-    assert asking.ask(address) == "unavailable unsent"
+    assert harness.fetch(address) == "unavailable unsent"
 
 
-def test_no_socket_is_left(asking: Asking, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Report that the process may open no more sockets.
+def test_no_descriptor_left_for_a_socket(
+    harness: ClientHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Report a failure if the process has no file descriptors left.
 
-    Symptom, sequence: as above, when file descriptors run out.  Cause: as above.
+    Guards against an exception while connecting that is not reported as a failure: a
+    stream would not be read any more, and a request would wait for its deadline.
     """
     monkeypatch.setattr(socket, "socket", _refuse)
-    assert asking.ask("127.0.0.1:1") == "unavailable unsent"
+    assert harness.fetch("127.0.0.1:1") == "unavailable unsent"
 
 
-def test_bytes_beyond_an_answer_answer_nothing(
-    server: ScriptedServer, asking: Asking
+def test_bytes_after_an_answer_are_discarded(
+    server: ScriptedServer, harness: ClientHarness
 ) -> None:
-    """Send two answers to one request.
+    """Discard a second answer to one request.
 
-    Symptom: a caller gets another's answer.  Sequence: the peer sends more than the
-    answer, the connection goes back to the pool, the next request reads the rest.
-    Cause: bytes of an earlier exchange on a connection that is used again.
+    Guards against returning one caller's answer to another: if the peer sends more
+    than the answer and the connection goes back to the pool, the next request on the
+    connection would read the remaining bytes as its answer.
     """
     server.scripts = [[OK + answer("stolen")], [answer("own")]]
-    assert asking.ask(server.address) == "ok"
-    assert asking.ask(server.address) == "own"
+    assert harness.fetch(server.address) == "ok"
+    assert harness.fetch(server.address) == "own"
 
 
-def test_bytes_that_arrive_while_idle_answer_nothing(
-    server: ScriptedServer, asking: Asking
+def test_bytes_received_while_idle_are_discarded(
+    server: ScriptedServer, harness: ClientHarness
 ) -> None:
-    """Send a second answer later, just before the next request.
+    """Discard a second answer that arrives just before the next request.
 
-    Symptom, cause: as above.  Sequence: the bytes arrive after the pool has taken
-    the connection back and before the process has looked at it again.
+    Guards against returning one caller's answer to another: the bytes arrive after the
+    connection went back to the pool and before the process polls its socket again.
     """
     server.scripts = [[OK], [answer("own")]]
-    assert asking.ask(server.address) == "ok"
+    assert harness.fetch(server.address) == "ok"
     server.socks[0].sendall(answer("stolen"))
-    assert asking.ask(server.address) == "own"
+    assert harness.fetch(server.address) == "own"
 
 
-def test_idle_connection_that_was_closed(
-    server: ScriptedServer, asking: Asking
+def test_idle_connection_closed_by_the_peer(
+    server: ScriptedServer, harness: ClientHarness
 ) -> None:
-    """Ask over a pooled connection that the peer closes at that moment.
+    """Resend a repeatable request if the peer closes a pooled connection.
 
-    Symptom: errors now and then on a quiet host.  Sequence: the peer's idle timeout
-    ends just when the next request is sent.  Cause: a pooled connection may be gone
-    at any time; a repeatable question goes over a new one.
+    Guards against occasional errors on a host with little traffic: the peer's idle
+    timeout can expire just when the next request is sent over a pooled connection.
     """
     server.scripts = [[OK, CLOSE], [answer("again")]]
-    assert asking.ask(server.address) == "ok"
-    assert asking.ask(server.address) == "again"
+    assert harness.fetch(server.address) == "ok"
+    assert harness.fetch(server.address) == "again"
 
 
 @pytest.mark.parametrize("at_once", [False, True], ids=["refused", "no socket"])
-def test_not_run_is_not_claimed_after_a_lost_connection(
+def test_not_run_is_not_reported_after_a_lost_connection(
     server: ScriptedServer,
-    asking: Asking,
+    harness: ClientHarness,
     monkeypatch: pytest.MonkeyPatch,
     at_once: bool,
 ) -> None:
-    """Lose a pooled connection, then be refused.
+    """Report sent bytes after a pooled connection broke and a new one was refused.
 
-    Symptom: not_run for what may have run.  Sequence: the bytes left over the old
-    connection, it breaks, the new one is refused.  Cause: only the newest
-    connection is asked whether bytes left.
+    Guards against not_run for a request that may have been run: its bytes were sent
+    over the old connection, which then broke, and only the new connection was checked
+    for sent bytes.
     """
     server.scripts = [[OK, CLOSE]]
-    assert asking.ask(server.address) == "ok"
+    assert harness.fetch(server.address) == "ok"
     server.stop_listening()
     if at_once:
         monkeypatch.setattr(http_client, "open_socket", _refuse)
-    assert asking.ask(server.address) == "unavailable sent"
+    assert harness.fetch(server.address) == "unavailable sent"
 
 
 def _refuse(*args: object) -> None:
     raise OSError(24, "Too many open files")
 
 
-def test_fresh_request_takes_no_pooled_connection(
-    server: ScriptedServer, asking: Asking
+def test_fresh_request_uses_no_pooled_connection(
+    server: ScriptedServer, harness: ClientHarness
 ) -> None:
-    """Send a non-repeatable request.
+    """Send a non-repeatable request over a new connection.
 
-    Symptom: outcome_unknown for no need.  Sequence: the pooled connection is gone
-    without a word.  Cause: nobody can tell that before the bytes are sent.
+    Guards against a needless outcome_unknown: a pooled connection may have been closed
+    without notice, which can't be detected before bytes are sent.
     """
     server.scripts = [[OK, CLOSE], [answer("fresh")]]
-    assert asking.ask(server.address) == "ok"
-    assert asking.ask(server.address, fresh=True) == "fresh"
+    assert harness.fetch(server.address) == "ok"
+    assert harness.fetch(server.address, fresh=True) == "fresh"
     assert server.n_requests == 2
 
 
-def test_first_silence_distrusts_the_pool(
-    server: ScriptedServer, asking: Asking
+def test_timeout_closes_idle_connections_to_the_peer(
+    server: ScriptedServer, harness: ClientHarness
 ) -> None:
-    """Fall silent on one of two connections.
+    """Close all idle connections to a peer after a timeout on one of them.
 
-    Symptom: one request after the other waits for its timeout.  Sequence: a device
-    in between forgets all connections to a peer.  Cause: the pool still offers the
+    Guards against one request after another running into its timeout: a network device
+    drops the state of all connections to a peer, and the pool still provides the
     others.
     """
-    server.scripts = [[OK, SILENT], [OK, SILENT], [answer("new")]]
-    asking.send(server.address)
-    asking.send(server.address)
-    asking.run_until(lambda: len(asking.answers) == 2)
-    assert asking.ask(server.address) == "timeout sent"
-    assert not asking.client.describe()
-    asking.failures.clear()
-    assert asking.ask(server.address) == "new"
+    server.scripts = [[OK, NO_ANSWER], [OK, NO_ANSWER], [answer("new")]]
+    harness.send(server.address)
+    harness.send(server.address)
+    harness.run_until(lambda: len(harness.answers) == 2)
+    assert harness.fetch(server.address) == "timeout sent"
+    assert not harness.client.describe()
+    harness.failures.clear()
+    assert harness.fetch(server.address) == "new"
 
 
 def test_pooled_connection_grows_too_old_in_a_pause(
-    server: ScriptedServer, asking: Asking, monkeypatch: pytest.MonkeyPatch
+    server: ScriptedServer, harness: ClientHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Wake up after a long pause.
+    """Use no pooled connection that was idle for too long during a pause.
 
-    Symptom: the first requests after the pause hang.  Sequence: the process stops
-    for minutes, in which its connections are forgotten in between, and goes on
-    before anything has looked at their age.  Cause: age is checked only by a sweep.
+    Guards against requests that hang after the process was paused for minutes: network
+    devices have dropped the state of its connections meanwhile, and a check of their
+    age by the sweep alone comes after the first requests.
     """
-    server.scripts = [[OK, SILENT], [answer("new")]]
-    assert asking.ask(server.address) == "ok"
+    server.scripts = [[OK, NO_ANSWER], [answer("new")]]
+    assert harness.fetch(server.address) == "ok"
     clock = time.monotonic
     monkeypatch.setattr(time, "monotonic", lambda: clock() + IDLE_TIMEOUT + 1)
-    assert asking.ask(server.address) == "new"
+    assert harness.fetch(server.address) == "new"
 
 
-def test_first_byte_has_a_deadline_of_its_own(
-    server: ScriptedServer, asking: Asking
+def test_first_byte_has_a_separate_timeout(
+    server: ScriptedServer, harness: ClientHarness
 ) -> None:
-    """Wait longer for the first byte than for the next ones.
+    """Wait longer for the first byte than for later bytes.
 
-    Symptom: long prompts are given up, or dead streams are held for long.
-    Sequence: an engine thinks for longer than it may pause between tokens.  Cause:
-    one deadline for two things.
+    Guards against a single timeout for both: an engine takes longer for the prompt than
+    it may pause between tokens, so either long prompts would time out, or dead streams
+    would be kept for long.
     """
-    server.scripts = [[SILENT]]
-    asking.send(server.address, progress_timeout=0.05, first_byte_timeout=30.0)
-    asking.run_until(lambda: server.n_requests)
+    server.scripts = [[NO_ANSWER]]
+    harness.send(server.address, progress_timeout=0.05, first_byte_timeout=30.0)
+    harness.run_until(lambda: server.n_requests)
     waits_until = time.monotonic() + 0.3
-    asking.run_until(lambda: time.monotonic() > waits_until)
-    assert not asking.failures
+    harness.run_until(lambda: time.monotonic() > waits_until)
+    assert not harness.failures
     server.socks[0].sendall(OK[:-1])
-    asking.run_until(lambda: asking.failures)
-    assert asking.failures[0].error.category is Category.TIMEOUT
+    harness.run_until(lambda: harness.failures)
+    assert harness.failures[0].error.category is Category.TIMEOUT
 
 
-def test_what_has_not_left_of_a_request_given_up_on_never_arrives(
-    asking: Asking,
+def test_unsent_bytes_of_a_cancelled_request_never_arrive(
+    harness: ClientHarness,
 ) -> None:
-    """See that a request doesn't arrive after it was given up on.
-
-    Symptom: four requests reached a backend server six seconds after their callers had
-    left and their connections here were closed.
-    Sequence: a server falls silent; a request to it waits in the kernel; its caller
-    leaves, and the connection is closed; the server is back, and the kernel sends on.
-    Cause: the kernel delivers what was written before a connection is closed, unless
-    it is reset.
+    """Make the kernel discard the unsent bytes of a cancelled request.
+
+    Guards against requests that arrive after their cancellation: four requests reached
+    a backend server six seconds after their callers had disconnected and their
+    connections here were closed.  The server was unresponsive, and the requests' bytes
+    waited in the kernel, which delivers them after a close unless the connection is
+    reset.
     """
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
         listener.listen()
         host, port = listener.getsockname()
-        asking.send(f"{host}:{port}", method="POST", body=bytes(8 << 20))
-        connections = asking.client._connections_by_sock
-        asking.run_until(
+        harness.send(f"{host}:{port}", method="POST", body=bytes(8 << 20))
+        connections = harness.client._connections_by_sock
+        harness.run_until(
             lambda: any(connection.bytes_sent for connection in connections.values())
         )
         sock, _ = listener.accept()
         sock.settimeout(10)
-        asking.fire(outbound_cancel("q0"), "http_client")
-        asking.run_until(lambda: not connections)
+        harness.fire(outbound_cancel("q0"), "http_client")
+        harness.run_until(lambda: not connections)
         with sock, pytest.raises(ConnectionResetError):
             while sock.recv(1 << 20):
                 pass
--- a/tests/test_transport/test_keyed_refusals.py
+++ b/tests/test_transport/test_keyed_refusals.py
@@ -1,4 +1,4 @@
-"""Test what a refusal says of a request that must run at most once."""
+"""Test the run state in refusals of requests that must run at most once."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 BOOKING = "POST /services/bookings/bookings"
 
-#: Start line, more lines of the head, the key, status, code and run state.
+#: Name, start line, another header line, idempotency key, status and error code.
 REFUSALS = [
     ("service withdrawn", "POST /services/none/x", "", "", 404, "unknown_service"),
     ("account withdrawn", BOOKING, "Authorization: Bearer x.y", "", 401, None),
@@ -31,11 +31,12 @@
 def test_refusal_of_a_request_with_a_key(
     served: Fleet, entry: EntryHost, row: tuple
 ) -> None:
-    """Refuse a request before its claim can be looked up.
+    """Report an unknown outcome if a request is refused before its claim is read.
 
-    Symptom: a booking runs twice.  Sequence: it runs, its answer is lost, and the
-    resend is refused as "not run" for a change of configuration, or because it did
-    not arrive whole.  Cause: the refusal looked at the one sending alone.
+    Guards against running a booking twice: the booking runs, its answer is lost, and
+    the resend is refused as "not run" because the configuration has changed or because
+    the resend did not arrive completely.  Such a refusal knows only of this sending,
+    not of earlier ones.
     """
     name, start, line, key, status, code = row
     lines = [f"{start or BOOKING} HTTP/1.1", "Host: e"]
@@ -51,5 +52,5 @@
     error = json.loads(body)["error"]
     assert answer.status == status, body
     assert code in (None, error["code"])
-    told = "not_run" if name in NOT_RUN else "outcome_unknown"
-    assert error["run_state"] == told
+    run_state = "not_run" if name in NOT_RUN else "outcome_unknown"
+    assert error["run_state"] == run_state
--- a/tests/test_transport/test_openai_client.py
+++ b/tests/test_transport/test_openai_client.py
@@ -1,4 +1,4 @@
-"""Test the callers' interface with the official ``openai`` client."""
+"""Test the callers' interface with the official ``openai`` client library."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 
 @pytest.fixture
 def client(served: Fleet, entry: EntryHost) -> OpenAI:
-    """Return a client that does not retry, with the key of an account."""
+    """Return a client without retries, with the key of the account "pawroute"."""
     return new_client(entry, served.keys_by_account["pawroute"])
 
 
 def new_client(entry: EntryHost, key: str) -> OpenAI:
-    """Return a client with a key."""
+    """Return a client without retries, with an API key."""
     return OpenAI(base_url=f"{entry.url}/v1", api_key=key, max_retries=0)
 
 
 def complete(client: OpenAI, **parameters: object) -> object:
-    """Ask the model "notes" the question, unless the parameters say otherwise."""
-    asked = {"model": "notes", "messages": QUESTION} | parameters
-    return client.chat.completions.create(**asked)
+    """Send a chat request, by default to the model "notes" with ``QUESTION``."""
+    arguments = {"model": "notes", "messages": QUESTION} | parameters
+    return client.chat.completions.create(**arguments)
 
 
 def positions(text: str) -> list[int]:
-    """Return the positions that the stand-in engine writes into its tokens."""
+    """Return the positions that the stand-in engine encodes in its tokens."""
     return [int(token.rpartition("-")[2]) for token in text.split()]
 
 
-def test_whole_answer(client: OpenAI) -> None:
+def test_complete_answer(client: OpenAI) -> None:
     answer = complete(client, max_tokens=N_TOKENS)
     assert positions(answer.choices[0].message.content) == list(range(N_TOKENS))
     assert answer.choices[0].finish_reason == "stop"
@@ -48,10 +48,10 @@
 
 @pytest.mark.parametrize("include_usage", [False, True])
 def test_streamed_answer(client: OpenAI, include_usage: bool) -> None:
-    """Stream in order, one role first, and the usage only when asked for."""
+    """Stream the role first, tokens in order, and the usage only if requested."""
     options = {"stream_options": {"include_usage": True}} if include_usage else {}
-    asked = {"max_completion_tokens": N_TOKENS, "stream": True} | options
-    chunks = list(complete(client, **asked))
+    parameters = {"max_completion_tokens": N_TOKENS, "stream": True} | options
+    chunks = list(complete(client, **parameters))
     choices = [chunk.choices[0] for chunk in chunks if chunk.choices]
     text = "".join(choice.delta.content or "" for choice in choices)
     assert positions(text) == list(range(N_TOKENS))
@@ -64,7 +64,7 @@
 
 
 def test_stream_helper_of_the_client(client: OpenAI) -> None:
-    """Satisfy the client's own accumulation of a stream."""
+    """Stream an answer that the client's stream helper can accumulate."""
     with client.chat.completions.stream(
         model="notes", messages=QUESTION, max_tokens=N_TOKENS
     ) as stream:
@@ -75,7 +75,7 @@
 def test_models_are_those_of_the_account(
     served: Fleet, entry: EntryHost, client: OpenAI
 ) -> None:
-    """Show an account what it may use, and nothing else."""
+    """List and retrieve only the models that an account may use."""
     names = [model.id for model in client.models.list()]
     assert names == ["hidden", "notes", "notes:queensland"]
     walker = new_client(entry, served.keys_by_account["walker"])
@@ -88,7 +88,7 @@
         complete(walker, model="hidden")
 
 
-def test_adapter_is_named_after_its_model(client: OpenAI) -> None:
+def test_answer_names_the_adapter(client: OpenAI) -> None:
     answer = complete(client, model="notes:queensland", max_tokens=2)
     assert answer.model == "notes:queensland"
 
@@ -96,20 +96,20 @@
 def test_idempotency_key_runs_a_chat_once(served: Fleet, client: OpenAI) -> None:
     """Answer a resend with the first answer.
 
-    A resend that comes before the outcome was read back from the log is told that
-    the first is in progress, and the client asks again by itself.
+    A resend that arrives before the outcome was read back from the log is refused
+    because the first request is in progress, and the client retries automatically.
     """
     client = client.with_options(max_retries=20)
     key = f"{time.time_ns() // 1_000_000}-summary"
     n_before = served.counts("h0")["n_generated"]
-    asked = {"max_tokens": N_TOKENS, "extra_headers": {"Idempotency-Key": key}}
-    answers = [complete(client, **asked) for _ in range(2)]
+    parameters = {"max_tokens": N_TOKENS, "extra_headers": {"Idempotency-Key": key}}
+    answers = [complete(client, **parameters) for _ in range(2)]
     contents = [answer.choices[0].message.content for answer in answers]
     assert contents[0] == contents[1]
     assert served.counts("h0")["n_generated"] - n_before == N_TOKENS
 
 
-#: Parameters, the client's exception and the parameter that the error names.
+#: Parameters, the client's exception and a text that the error message contains.
 REFUSED = [
     ({"max_tokens": 0}, openai.BadRequestError, "max_tokens"),
     ({"max_tokens": "many"}, openai.BadRequestError, "max_tokens"),
@@ -134,7 +134,7 @@
 def test_bad_parameters_are_named(
     client: OpenAI, parameters: dict, exception: type[Exception], named: str
 ) -> None:
-    """Raise the exception of the client, with a message that names the fault."""
+    """Raise the client's exception, with a message that names the wrong parameter."""
     with pytest.raises(exception) as raised:
         complete(client, **parameters)
     assert named in raised.value.body["message"]
@@ -152,7 +152,7 @@
         {"messages": [{"role": "system", "content": "x", "name": "ana"}]},
     ],
 )
-def test_known_parameters_are_taken(client: OpenAI, parameters: dict) -> None:
+def test_known_parameters_are_accepted(client: OpenAI, parameters: dict) -> None:
     answer = complete(client, **{"max_tokens": 2} | parameters)
     assert answer.usage.completion_tokens == 2
 
@@ -164,7 +164,7 @@
 
 
 def test_model_without_a_group_is_unavailable(client: OpenAI) -> None:
-    """Say at once when to come back, as no group serves the model."""
+    """Answer 503 with ``Retry-After`` at once if no group serves the model."""
     with pytest.raises(openai.InternalServerError) as raised:
         complete(client, model="hidden", timeout=10)
     assert raised.value.status_code == 503
--- a/tests/test_transport/test_operators.py
+++ b/tests/test_transport/test_operators.py
@@ -1,4 +1,4 @@
-"""Test what operators and the balancer ask of an entry host."""
+"""Test the paths of an entry host for operators and the balancer."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 CHAT = {"model": "notes", "messages": [{"role": "user", "content": "Is Rex home?"}]}
 
 
-def ask(
+def chat(
     served: Fleet, entry: EntryHost, account: str = "pawroute", **fields: object
 ) -> httpx.Response:
     """Send one chat request."""
@@ -29,7 +29,7 @@
 
 
 def test_alive_but_not_ready_without_a_configuration(fleet: Fleet) -> None:
-    """Turn the balancer away, and callers with a time to come back."""
+    """Refuse readiness to the balancer, and callers' requests with ``Retry-After``."""
     fleet.start_platform()
     entry = fleet.start_entry("e1", zone="z")
     assert httpx.get(f"{entry.url}/healthz").status_code == 200
@@ -41,7 +41,7 @@
 
 
 def test_metrics_are_valid_and_count(served: Fleet, entry: EntryHost) -> None:
-    """Parse the text with the library's own parser."""
+    """Parse the metrics page with the parser of ``prometheus_client``."""
 
     def samples() -> dict[str, float]:
         answer = httpx.get(f"{entry.url}/metrics")
@@ -53,10 +53,10 @@
                 found[f"{sample.name}{label and ':' + label}"] = sample.value
         return found
 
-    ask(served, entry, stream=True)
+    chat(served, entry, stream=True)
     before = samples()
-    ask(served, entry, stream=True)
-    ask(served, entry, max_tokens=0)
+    chat(served, entry, stream=True)
+    chat(served, entry, max_tokens=0)
     httpx.request("BREW", entry.url)
     after = samples()
     grown = {
@@ -73,10 +73,10 @@
     assert after["ryelever_configuration_version"] >= 0
 
 
-def test_dump_names_what_is_believed_and_since_when(
+def test_dump_shows_the_current_state_with_ages(
     served: Fleet, entry: EntryHost
 ) -> None:
-    """Find the one group, its lease, hosts, a request and its two connections."""
+    """Find the group, its lease, hosts, a request and its two connections."""
     headers = {"Authorization": f"Bearer {served.keys_by_account['pawroute']}"}
     body = CHAT | {"max_tokens": 20_000, "stream": True}
     url = f"{entry.url}/v1/chat/completions"
@@ -133,11 +133,10 @@
 def test_no_secret_is_shown(
     served: Fleet, entry: EntryHost, read: Callable[[EntryHost], str]
 ) -> None:
-    """Find no key, and no hash of one, wherever the process writes.
+    """Show no key, and no hash of one, in the dump, the metrics and the log.
 
-    Symptom: a key of an account stands in a log that many can read.  Sequence: a
-    caller sends it where it does not belong, and the request is refused.  Cause:
-    what is refused was logged as it came.
+    Guards against a key in a log that many people can read: a caller sends its key in
+    the wrong place, and the refused request is logged as received.
     """
     secrets = [OPERATOR_KEY, PEER_KEY, *served.keys_by_account.values()]
     key = served.keys_by_account["pawroute"]
@@ -145,8 +144,8 @@
     httpx.get(f"{entry.url}/v1/models", headers=headers)
     httpx.get(f"{entry.url}/v1/models", headers={"Authorization": key})
     httpx.get(f"{entry.url}/nothing?key={key}", headers=headers)
-    ask(served, entry)
-    ask(served, entry, messages="wrong")
+    chat(served, entry)
+    chat(served, entry, messages="wrong")
     entry.process.send(signal.SIGUSR1)
     wait_until(lambda: entry.process.events("dump"), what="the dump is logged")
     shown = read(entry)
@@ -155,5 +154,5 @@
 
 
 def test_no_fault_was_logged(entry: EntryHost) -> None:
-    """Find no unexpected exception after all that this module has sent."""
+    """Find no unexpected exception in the log after the other tests of this module."""
     assert entry.process.events("fault") == []
--- a/tests/test_transport/test_peers.py
+++ b/tests/test_transport/test_peers.py
@@ -1,4 +1,4 @@
-"""Test the UDP socket between entry hosts and what becomes of bad datagrams."""
+"""Test the UDP socket between entry hosts and the handling of bad datagrams."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 KEY = "key-of-the-tests"
 
 
-class Taker(Component):
-    channel = "taker"
+class DatagramReceiver(Component):
+    channel = "receiver"
 
     def __init__(self) -> None:
         super().__init__()
-        self.taken: list[Datagram] = []
+        self.received: list[Datagram] = []
 
     @handler("peers_received")
     def _on_peers_received(self, datagrams: list[Datagram]) -> None:
-        self.taken += datagrams
+        self.received += datagrams
 
 
 @pytest.fixture
-def taker() -> Iterator[Taker]:
-    root = Taker()
+def receiver() -> Iterator[DatagramReceiver]:
+    root = DatagramReceiver()
     Poller().register(root)
-    root.peers = Peers(bind=("127.0.0.1", 0), reply_channel="taker").register(root)
+    root.peers = Peers(bind=("127.0.0.1", 0), reply_channel="receiver").register(root)
     root.start()
     yield root
     root.stop()
@@ -46,12 +46,12 @@
 
 
 @pytest.fixture
-def looking_taker() -> Iterator[Taker]:
-    """Yield a taker that is told when to look, and is not woken."""
-    root = Taker()
+def polled_receiver() -> Iterator[DatagramReceiver]:
+    """Yield a receiver that reads only at ``peers_poll``."""
+    root = DatagramReceiver()
     Poller().register(root)
     root.peers = Peers(
-        bind=("127.0.0.1", 0), reply_channel="taker", wakes=False
+        bind=("127.0.0.1", 0), reply_channel="receiver", wakes=False
     ).register(root)
     root.start()
     yield root
@@ -73,47 +73,48 @@
     return host, int(port)
 
 
-def test_all_that_has_come_is_read_at_one_look(
-    looking_taker: Taker, outside: socket.socket
+def test_one_poll_reads_the_whole_backlog(
+    polled_receiver: DatagramReceiver, outside: socket.socket
 ) -> None:
-    """See that a backlog of several batches is taken in one look.
+    """Read a backlog of several batches in one poll.
 
-    Symptom: hosts of a large zone woke ninety times a second for each other's words.
-    Sequence: dozens of hosts send a few datagrams a second each, at moments of their
-    own.
-    Cause: each datagram woke the process.
+    Guards against waking up for each datagram: hosts of a large availability zone woke
+    ninety times a second for each other's heartbeats, as dozens of hosts send a few
+    datagrams a second each, at independent times.
     """
-    peers = looking_taker.peers
+    peers = polled_receiver.peers
     n_sent = 3 * MAX_BATCH + 1
     for number in range(n_sent):
         outside.sendto(b"%d" % number, _to(peers))
-    looking_taker.fire(peers_poll(), "peers")
-    wait_until(lambda: len(looking_taker.taken) == n_sent, what="datagrams")
-    assert [datagram.data for datagram in looking_taker.taken] == [
+    polled_receiver.fire(peers_poll(), "peers")
+    wait_until(lambda: len(polled_receiver.received) == n_sent, what="datagrams")
+    assert [datagram.data for datagram in polled_receiver.received] == [
         b"%d" % number for number in range(n_sent)
     ]
 
 
-def test_datagrams_go_both_ways(taker: Taker, outside: socket.socket) -> None:
-    outside.sendto(b"one", _to(taker.peers))
-    outside.sendto(b"two", _to(taker.peers))
-    wait_until(lambda: len(taker.taken) == 2, what="datagrams")
+def test_datagrams_are_sent_and_received(
+    receiver: DatagramReceiver, outside: socket.socket
+) -> None:
+    outside.sendto(b"one", _to(receiver.peers))
+    outside.sendto(b"two", _to(receiver.peers))
+    wait_until(lambda: len(receiver.received) == 2, what="datagrams")
     host, port = outside.getsockname()
-    assert [datagram.data for datagram in taker.taken] == [b"one", b"two"]
+    assert [datagram.data for datagram in receiver.received] == [b"one", b"two"]
     answer = Datagram(address=f"{host}:{port}", data=b"answer")
-    taker.fire(peers_send([answer]), "peers")
-    wait_until(lambda: taker.peers.n_sent == 1, what="datagrams")
+    receiver.fire(peers_send([answer]), "peers")
+    wait_until(lambda: receiver.peers.n_sent == 1, what="datagrams")
     assert outside.recv(100) == b"answer"
 
 
-def test_a_closed_port_and_a_bad_route_stop_nothing(
-    taker: Taker, outside: socket.socket
+def test_receives_after_sending_to_closed_port_and_bad_route(
+    receiver: DatagramReceiver, outside: socket.socket
 ) -> None:
-    """Go on receiving after datagrams to peers that are gone.
+    """Go on receiving after datagrams were sent to peers that have ended.
 
-    Symptom: an entry host hears no peer any more once one of them is gone.
-    Sequence: a datagram goes to a closed port, whose refusal comes back as an error.
-    Cause: the error surfaces at the next use of the socket, whoever that is for.
+    Guards against receiving from no peer after one of them has ended: a datagram to a
+    closed port is refused, and the socket reports that error at its next use, for
+    whichever peer.
     """
     gone = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     gone.bind(("127.0.0.1", 0))
@@ -121,20 +122,22 @@
     gone.close()
     refused = Datagram(address=f"127.0.0.1:{port}", data=b"x")
     unroutable = Datagram(address="255.255.255.255:9", data=b"x")
-    taker.fire(peers_send([refused, unroutable, refused]), "peers")
-    wait_until(lambda: taker.peers.n_sent + taker.peers.n_unsent == 3, what="datagrams")
-    assert taker.peers.n_unsent >= 1
-    outside.sendto(b"still here", _to(taker.peers))
-    wait_until(lambda: taker.taken, what="datagrams")
-    assert taker.taken[0].data == b"still here"
+    receiver.fire(peers_send([refused, unroutable, refused]), "peers")
+    wait_until(
+        lambda: receiver.peers.n_sent + receiver.peers.n_unsent == 3, what="datagrams"
+    )
+    assert receiver.peers.n_unsent >= 1
+    outside.sendto(b"still here", _to(receiver.peers))
+    wait_until(lambda: receiver.received, what="datagrams")
+    assert receiver.received[0].data == b"still here"
 
 
-def test_a_long_datagram_shows_as_too_long(
-    taker: Taker, outside: socket.socket
+def test_a_too_long_datagram_is_recognizable(
+    receiver: DatagramReceiver, outside: socket.socket
 ) -> None:
-    outside.sendto(b"x" * 20_000, _to(taker.peers))
-    wait_until(lambda: taker.taken, what="datagrams")
-    assert len(taker.taken[0].data) == READ_SIZE
+    outside.sendto(b"x" * 20_000, _to(receiver.peers))
+    wait_until(lambda: receiver.received, what="datagrams")
+    assert len(receiver.received[0].data) == READ_SIZE
 
 
 def _peering(*, key: str, metrics: Metrics) -> Peering:
--- a/tests/test_transport/test_poller.py
+++ b/tests/test_transport/test_poller.py
@@ -1,4 +1,4 @@
-"""Test that what comes of a socket is handled before the next wait."""
+"""Test that all events of a socket are handled before the next poll."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class first_step(Event):  # noqa: N801
-    """Go on with what was read."""
+    """Process the bytes that were read."""
 
 
 class second_step(Event):  # noqa: N801
-    """Go on once more."""
+    """Finish processing."""
 
 
 class Reader(BaseComponent):
-    """Take bytes in three steps, each of which fires the next.
+    """Process received bytes in three steps, each of which fires the next one.
 
     Attributes
     ----------
     n_rounds : int
         Rounds of the main loop so far.
-    taken_in : int or None
-        The round in which the last step was taken.
+    completed_in_round : int or None
+        The round in which the last step was done.
     """
 
     channel = "reader"
@@ -34,7 +34,7 @@
         super().__init__()
         self._sock = sock
         self.n_rounds = 0
-        self.taken_in: int | None = None
+        self.completed_in_round: int | None = None
         self.poller = Poller().register(self)
 
     @handler("generate_events", channel="*")
@@ -53,47 +53,46 @@
 
     @handler("second_step")
     def _on_second(self) -> None:
-        self.taken_in = self.n_rounds
+        self.completed_in_round = self.n_rounds
         self.stop()
 
 
-def test_all_that_comes_of_a_socket_is_one_round() -> None:
-    """See that an event of a stream costs one wait for sockets.
+def test_events_of_a_socket_take_one_main_loop_round() -> None:
+    """Handle an event of a stream, from its socket on, in one round of the main loop.
 
-    Symptom: a host spent more processor time on waking up than on its requests.
-    Sequence: a socket is readable, its handler fires an event, whose handler fires
-    another one.
-    Cause: each of them waited for a round of the main loop, which asks all timers and
-    polls all sockets.
+    Guards against spending more processor time on waking up than on requests: the
+    handler of a readable socket fires an event, whose handler fires another one, and
+    each of these events waits for one more round of the main loop, which checks all
+    timers and polls all sockets.
     """
-    near, far = socket.socketpair()
-    with near, far:
-        reader = Reader(near)
-        reader.poller.addReader(reader, near)
-        far.send(b"bytes")
+    local_end, remote_end = socket.socketpair()
+    with local_end, remote_end:
+        reader = Reader(local_end)
+        reader.poller.addReader(reader, local_end)
+        remote_end.send(b"bytes")
         reader.run()
-        assert reader.taken_in == 1
+        assert reader.completed_in_round == 1
 
 
-class Named(BaseComponent):
-    """Stand for the owner of sockets."""
+class SocketOwner(BaseComponent):
+    """The owner of the sockets of a test."""
 
-    channel = "named"
+    channel = "socket_owner"
 
 
-class Fired:
-    """Keep what a poller fires at one look."""
+class RecordingPoller:
+    """Run a poller and record the events that it fires in one poll."""
 
     def __init__(self) -> None:
         self.poller = Poller()
-        self.owner = Named()
+        self.owner = SocketOwner()
         self.names: list[tuple[str, socket.socket]] = []
         self.poller.fire = lambda event, channel: self.names.append(
             (event.name, event.args[0])
         )
 
-    def look(self) -> list[tuple[str, socket.socket]]:
-        """Return the names of the events of one look, with their sockets."""
+    def poll(self) -> list[tuple[str, socket.socket]]:
+        """Poll once; return the names of the fired events with their sockets."""
         event = Event()
         event.time_left = 0.0
         self.names.clear()
@@ -101,45 +100,44 @@
         return list(self.names)
 
 
-def test_a_socket_is_watched_for_what_was_asked_last() -> None:
-    fired = Fired()
-    near, far = socket.socketpair()
-    with near, far:
-        fired.poller.addReader(fired.owner, near)
-        assert fired.look() == []
-        fired.poller.addWriter(fired.owner, near)
-        assert fired.look() == [("_write", near)]
-        fired.poller.removeWriter(near)
-        far.send(b"bytes")
-        assert fired.look() == [("_read", near)]
-        fired.poller.removeReader(near)
-        assert fired.look() == []
-        fired.poller.addReader(fired.owner, near)
-        fired.poller.discard(near)
-        assert fired.look() == []
-
-
-def test_the_number_of_a_closed_socket_serves_the_next_one() -> None:
-    """See that a socket is watched though one with its number was never given up.
-
-    Symptom: a connection on which nothing is ever read.
-    Sequence: a socket is closed by its owner before the poller is told; the next one
-    gets its number.
-    Cause: the number counts as watched, and the kernel has dropped it.
+def test_a_socket_is_polled_for_its_current_registration() -> None:
+    fired = RecordingPoller()
+    local_end, remote_end = socket.socketpair()
+    with local_end, remote_end:
+        fired.poller.addReader(fired.owner, local_end)
+        assert fired.poll() == []
+        fired.poller.addWriter(fired.owner, local_end)
+        assert fired.poll() == [("_write", local_end)]
+        fired.poller.removeWriter(local_end)
+        remote_end.send(b"bytes")
+        assert fired.poll() == [("_read", local_end)]
+        fired.poller.removeReader(local_end)
+        assert fired.poll() == []
+        fired.poller.addReader(fired.owner, local_end)
+        fired.poller.discard(local_end)
+        assert fired.poll() == []
+
+
+def test_the_number_of_a_closed_socket_can_be_registered_again() -> None:
+    """Poll a socket whose number belonged to a socket that was never discarded.
+
+    Guards against a connection on which nothing is ever read: the owner closes a socket
+    before discarding it from the poller, and the next socket gets the same number.  The
+    poller treats that number as registered, while the kernel has dropped it.
     """
-    fired = Fired()
+    fired = RecordingPoller()
     first, other = socket.socketpair()
     number = first.fileno()
     fired.poller.addReader(fired.owner, first)
     first.close()
-    near, far = socket.socketpair()
-    with other, near, far:
-        assert number in (near.fileno(), far.fileno())
-        reused = near if near.fileno() == number else far
-        sender = far if reused is near else near
+    local_end, remote_end = socket.socketpair()
+    with other, local_end, remote_end:
+        assert number in (local_end.fileno(), remote_end.fileno())
+        reused = local_end if local_end.fileno() == number else remote_end
+        sender = remote_end if reused is local_end else local_end
         fired.poller.addReader(fired.owner, reused)
         sender.send(b"bytes")
-        assert fired.look() == [("_read", reused)]
-        # The former owner gives its socket up late, which is no word about this one.
+        assert fired.poll() == [("_read", reused)]
+        # Discarding the closed socket later must not affect the new one.
         fired.poller.discard(first)
-        assert fired.look() == [("_read", reused)]
+        assert fired.poll() == [("_read", reused)]
--- a/tests/test_transport/test_relay_callers.py
+++ b/tests/test_transport/test_relay_callers.py
@@ -1,4 +1,4 @@
-"""Test what callers of the relay may send, over real sockets."""
+"""Test the handling of callers' input by the relay, over real sockets."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Listener(BaseComponent):
-    """Answer every request with its target, and ``/wait`` never."""
+    """Answer every request with its target and body, but never ``/wait``."""
 
     channel = "listener"
 
@@ -42,8 +42,8 @@
             limits=lambda: LIMITS,
         ).register(self)
         self.gone: list[int] = []
-        self.seen: list[RelayedRequest] = []
-        self.is_gone = threading.Event()
+        self.requests: list[RelayedRequest] = []
+        self.caller_has_disconnected = threading.Event()
 
     @handler("started", channel="*")
     def _on_started(self, *args: object) -> None:
@@ -51,7 +51,7 @@
 
     @handler("relayed_request")
     def _on_request(self, request: RelayedRequest) -> None:
-        self.seen.append(request)
+        self.requests.append(request)
         if request.target == b"/wait":
             return
         if request.target == b"/cut":
@@ -65,9 +65,9 @@
         )
 
     @handler("relayed_caller_disconnected")
-    def _on_gone(self, number: int) -> None:
+    def _on_disconnected(self, number: int) -> None:
         self.gone.append(number)
-        self.is_gone.set()
+        self.caller_has_disconnected.set()
 
 
 @pytest.fixture
@@ -90,7 +90,7 @@
     return data
 
 
-def _ask(listener: Listener, data: bytes) -> bytes:
+def _exchange(listener: Listener, data: bytes) -> bytes:
     with _connect(listener) as sock:
         sock.sendall(data)
         return _read_all(sock)
@@ -118,24 +118,25 @@
         pytest.param(b"GET / HTTP/1.1\r\nHo", 408, id="never-ends"),
     ],
 )
-def test_bad_input_is_refused_and_closed(
+def test_bad_input_is_refused_and_the_connection_closed(
     listener: Listener, data: bytes, status: int
 ) -> None:
-    answer = _ask(listener, data)
+    answer = _exchange(listener, data)
     assert answer.startswith(b"HTTP/1.1 %d " % status)
     assert b"connection: close" in answer.lower()
-    assert listener.seen == []
+    assert listener.requests == []
 
 
 @pytest.mark.parametrize(("data", "status", "code"), named(REFUSED))
-def test_what_the_other_interface_refuses_is_refused(
+def test_refuses_the_same_requests_as_the_other_interface(
     listener: Listener, data: bytes, status: int, code: str | None
 ) -> None:
-    """Refuse with the same status, and close, so that nothing is read twice.
+    """Refuse with the same status as the other interface, and close the connection.
 
-    Symptom: a backend server gets a request whose end it sees elsewhere, or a head
-    beyond the operator's limit.  Sequence: the head comes in a single read.  Cause:
-    h11 measures only heads that come in parts, and knows no versions or methods.
+    Guards against relaying a request of which the backend server sees the end
+    elsewhere, or a head beyond the operator's limit.  h11 applies its limit only to
+    heads that arrive in parts, not in a single read, and checks neither HTTP versions
+    nor methods.  The connection is closed so that no bytes are parsed twice.
     """
     with _connect(listener) as sock:
         sender = threading.Thread(target=_send_all, args=(sock, data))
@@ -144,9 +145,9 @@
         sender.join()
     assert answer.startswith(b"HTTP/1.1 %d " % status)
     assert b"connection: close" in answer.lower()
-    assert listener.seen == []
+    assert listener.requests == []
     good = b"GET /again HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-    assert b" 200 " in _ask(listener, good)
+    assert b" 200 " in _exchange(listener, good)
 
 
 def _send_all(sock: socket.socket, data: bytes) -> None:
@@ -154,12 +155,11 @@
         sock.sendall(data)
 
 
-def test_a_head_that_trickles_in_is_given_up(listener: Listener) -> None:
-    """Show that a caller can't hold a connection by a byte now and then.
+def test_a_head_that_arrives_slowly_times_out(listener: Listener) -> None:
+    """Measure the timeout from the first byte of a head, not from the last one.
 
-    Symptom: descriptors run out while hardly anything arrives.
-    Sequence: callers send a byte of a head each tenth of a second.
-    Cause: the time counted from the last byte, not from the first.
+    Guards against running out of descriptors because of callers that send one byte of
+    a head each tenth of a second and so never time out.
     """
     with _connect(listener) as sock:
         answer = b""
@@ -180,43 +180,43 @@
         b"3\r\nabc\r\n0\r\n\r\n"
     )
     second = b"GET /two HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-    answer = _ask(listener, first + second)
+    answer = _exchange(listener, first + second)
     assert answer.index(b"/a%20b?q=%2F abc") < answer.index(b"/two")
     assert answer.count(b"HTTP/1.1 200") == 2
 
 
-def test_an_answer_that_is_broken_off_does_not_look_complete(
+def test_an_aborted_answer_does_not_look_complete(
     listener: Listener,
 ) -> None:
-    answer = _ask(listener, b"GET /cut HTTP/1.1\r\nHost: a\r\n\r\n")
+    answer = _exchange(listener, b"GET /cut HTTP/1.1\r\nHost: a\r\n\r\n")
     assert b"part" in answer
     assert not answer.endswith(b"0\r\n\r\n")
 
 
-def test_a_caller_that_closes_while_it_waits_is_noticed(listener: Listener) -> None:
+def test_disconnect_of_a_waiting_caller_is_reported(listener: Listener) -> None:
     with _connect(listener) as sock:
         sock.sendall(b"GET /wait HTTP/1.1\r\nHost: a\r\n\r\n")
-    assert listener.is_gone.wait(10)
+    assert listener.caller_has_disconnected.wait(10)
     assert listener.gone == [1]
 
 
-def test_what_is_sent_ahead_of_an_answer_is_bounded(listener: Listener) -> None:
+def test_pipelined_bytes_are_bounded(listener: Listener) -> None:
     with _connect(listener) as sock:
         sock.sendall(b"GET /wait HTTP/1.1\r\nHost: a\r\n\r\n")
         with pytest.raises(OSError):  # noqa: PT011
             while True:
                 sock.sendall(b"x" * 4096)
-    assert listener.is_gone.wait(10)
+    assert listener.caller_has_disconnected.wait(10)
 
 
-def test_a_draining_listener_says_close(listener: Listener) -> None:
+def test_a_draining_listener_sends_connection_close(listener: Listener) -> None:
     listener.callers.draining = True
-    answer = _ask(listener, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
+    answer = _exchange(listener, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
     assert b"connection: close" in answer.lower()
 
 
-class FullListener:
-    """Stand for a listening socket of a process without descriptors left."""
+class SocketOutOfDescriptors:
+    """A listening socket of a process that has no descriptors left."""
 
     def accept(self) -> None:
         raise OSError(errno.EMFILE, "Too many open files")
@@ -225,14 +225,14 @@
         return ("10.1.0.40", 8227)
 
 
-def test_connections_that_cannot_be_accepted_are_told(
+def test_connections_that_cannot_be_accepted_are_logged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    told: list[tuple[str, dict[str, object]]] = []
+    logged: list[tuple[str, dict[str, object]]] = []
     monkeypatch.setattr(
         caller_server,
         "log_warning",
-        lambda event, **fields: told.append((event, fields)),
+        lambda event, **fields: logged.append((event, fields)),
     )
     callers = RelayCallers(
         bind=("127.0.0.1", 0),
@@ -241,7 +241,7 @@
         limits=lambda: LIMITS,
     )
     callers._sock.close()
-    callers._sock = FullListener()
+    callers._sock = SocketOutOfDescriptors()
     callers._accept()
     fields = {"peer": "10.1.0.40:8227", "message": "Too many open files"}
-    assert told == [("callers_not_accepted", fields)]
+    assert logged == [("callers_not_accepted", fields)]
