--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,10 +1,11 @@
-"""Show the whole path on one machine: ``make demo``.
-
-Starts stand-ins and three entry hosts in two availability zones, streams a chat
-answer, books once and asks for the same booking at another entry host, kills one
-host of the serving group in mid-stream.  Then starts an entry host that relays before
-stand-ins of the platform, and lets the group of a stream stand still.  It checks that
-all of it held.
+"""Demonstrate both programs on one machine, end to end: ``make demo``.
+
+The first part starts stand-ins of the backend servers and three entry hosts in two
+availability zones.  It streams a chat answer, sends the same booking to two entry
+hosts, and kills one member of the serving group in the middle of a stream.  The second
+part starts an entry host that relays requests, in front of stand-ins of the platform,
+and stalls the group that runs a stream.  The demonstration checks the result of each
+step.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 def main() -> int:
-    """Run the demonstration and return 0 only if everything held."""
+    """Run the demonstration and return 0 only if all checks passed."""
     started = time.monotonic()
     checks: dict[str, bool] = {}
     with (
@@ -37,9 +38,11 @@
         running_fleet(Path(directory)) as fleet,
     ):
         entries = _start(fleet)
-        checks["a chat answer was streamed whole"] = _chat(fleet, entries[0])
-        checks["a booking, sent twice, ran once"] = _book(fleet, entries)
-        checks["a stream outlived the loss of a member"] = _lose_member(
+        checks["a chat answer was streamed completely"] = _check_chat(fleet, entries[0])
+        checks["a booking that was sent twice ran once"] = _check_booking(
+            fleet, entries
+        )
+        checks["a stream survived the loss of a group member"] = _check_member_loss(
             fleet, entries[0]
         )
         codes = [entry.process.stop() for entry in entries]
@@ -48,28 +51,28 @@
         tempfile.TemporaryDirectory() as directory,
         running_relay_zone(Path(directory)) as zone,
     ):
-        checks["a relayed stream outlived a group that stood still"] = _relay(zone)
-    for what, held in checks.items():
-        print(f"{'ok  ' if held else 'FAIL'} {what}")
-    print(f"{time.monotonic() - started:.1f} s; everything started was stopped")
+        checks["a relayed stream survived a stalled group"] = _check_relay(zone)
+    for what, passed in checks.items():
+        print(f"{'ok  ' if passed else 'FAIL'} {what}")
+    print(f"{time.monotonic() - started:.1f} s; all started processes were stopped")
     return 0 if all(checks.values()) else 1
 
 
-def _relay(zone: RelayZone) -> bool:
-    """Pass a stream on unchanged, while the group that begins it stands still."""
+def _check_relay(zone: RelayZone) -> bool:
+    """Relay a stream whose first group stalls, and return whether it is complete."""
     zone.start_platform()
     host = zone.start_host("relay-1")
     zone.head_of(1)
     zone.slow_engines(n_events=15)
     with ThreadPoolExecutor() as threads:
-        asked = threads.submit(host.chat, request_id="s1", model="small")
+        future = threads.submit(host.chat, request_id="s1", model="small")
         first = wait_until(
-            lambda: zone.server_that_runs("s1"), what="the stream has begun"
+            lambda: zone.server_that_runs("s1"), what="a server runs the stream"
         )
         zone.control(**{first.replace("-", "_"): {"still": True}})
-        answer = asked.result()
+        answer = future.result()
     second = zone.server_that_runs("s1", other_than=first)
-    print(f"relayed a stream of {first}, which stood still, on by {second}")
+    print(f"relayed a stream from {first}, which stalled, and then from {second}")
     return answer.text == events_of_stream(15)
 
 
@@ -97,7 +100,7 @@
     ]
     wait_until(
         lambda: all(entry.n_complete_groups() == 3 for entry in entries),
-        what="three replica groups are whole",
+        what="three replica groups are complete",
     )
     for group in entries[0].dump()["groups"]:
         print(f"group {group['group'][:14]} serves on {', '.join(group['members'])}")
@@ -130,13 +133,13 @@
     return positions == list(range(N_TOKENS))
 
 
-def _chat(fleet: Fleet, entry: EntryHost) -> bool:
+def _check_chat(fleet: Fleet, entry: EntryHost) -> bool:
     tokens = _stream(fleet, entry)
     print(f"streamed {len(tokens)} tokens through {entry.address}")
     return _is_complete(tokens)
 
 
-def _book(fleet: Fleet, entries: list[EntryHost]) -> bool:
+def _check_booking(fleet: Fleet, entries: list[EntryHost]) -> bool:
     headers = {
         "Authorization": f"Bearer {fleet.keys_by_account['pawroute']}",
         "Idempotency-Key": f"{time.time_ns() // 1_000_000}-rex",
@@ -156,11 +159,13 @@
     address = fleet.addresses_by_name["bookings-1"]
     runs = httpx.get(f"http://{address}/bookings").json()
     print(f"the service ran: {runs}")
-    same = answers[0].content == answers[1].content
-    return same and list(runs.values()) == [1] and answers[0].status_code == 201
+    is_same_answer = answers[0].content == answers[1].content
+    return (
+        is_same_answer and list(runs.values()) == [1] and answers[0].status_code == 201
+    )
 
 
-def _lose_member(fleet: Fleet, entry: EntryHost) -> bool:
+def _check_member_loss(fleet: Fleet, entry: EntryHost) -> bool:
     killed: list[str] = []
     lock = threading.Lock()
 
@@ -168,17 +173,17 @@
         with lock:
             if killed or n_tokens < N_TOKENS // 4:
                 return
-            member = _busy_member(fleet, entry)
+            member = _member_to_kill(fleet, entry)
             killed.append(member)
             fleet.processes_by_name[member].kill()
             print(f"killed {member} after {n_tokens} tokens")
 
     tokens = _stream(fleet, entry, kill_member)
-    print(f"the stream went on to {len(tokens)} tokens")
+    print(f"the stream continued to {len(tokens)} tokens")
     return bool(killed) and _is_complete(tokens)
 
 
-def _busy_member(fleet: Fleet, entry: EntryHost) -> str:
+def _member_to_kill(fleet: Fleet, entry: EntryHost) -> str:
     state = entry.dump()
     target = state["requests"][0]["target"]
     group = next(group for group in state["groups"] if group["group"] == target)
