--- a/ryelever/emulator/__init__.py
+++ b/ryelever/emulator/__init__.py
@@ -1,7 +1,8 @@
-"""Play the planners' own code against backend servers in simulated time.
+"""Run the planners' own code against emulated backend servers in simulated time.
 
-No socket, thread or clock: a day of sixty servers takes about a second, and the same
-seed gives the same day on every machine.  Nothing that serves imports this package.
+The emulation uses no sockets, threads or clocks: a day of sixty servers takes about a
+second, and the same seed gives the same day on every machine.  The serving programs do
+not import this package.
 """
 
 from .day import DayResult, LossPattern, play_day
--- a/ryelever/emulator/day.py
+++ b/ryelever/emulator/day.py
@@ -1,4 +1,4 @@
-"""Play a day on which backend servers are lost and come, and tell what was served."""
+"""Simulate a day on which backend servers are lost and added, and rate its service."""
 
 from __future__ import annotations
 
@@ -6,55 +6,58 @@
 from dataclasses import dataclass, field
 
 from .deployment import Deployment
-from .fleet import LEAD, STEP, Fleet
+from .fleet import STEP, WARM_UP_TIME, Fleet
 
 __all__ = ["DayResult", "LossPattern", "play_day"]
 
-#: Seconds with requests.
+#: Simulated seconds of a day, during which requests arrive.
 DAY = 34.0
 
-#: Part of its time for which a group can be busy before its requests come late: 60 in
-#: 100 of its places are in use then.
-CALM = 0.9
+#: Highest utilization of a group, the work that arrives divided by its capacity, at
+#: which no request is late: 60 in 100 of the group's slots are in use then.
+MAX_PUNCTUAL_UTILIZATION = 0.9
 
-#: The same at which half of what its requests are worth is lost, as most wait longer
-#: than their latency objective.
-CROWDED = 1.8
+#: Utilization at which requests earn half of their value, because most of them wait
+#: longer than their latency objective.
+HALF_CREDIT_UTILIZATION = 1.8
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class LossPattern:
-    """Describe what befalls the servers of a deployment.
+    """The losses and additions of backend servers during a day.
 
     Attributes
     ----------
     every : tuple of float
-        Seconds between two losses, at the least and at most.
+        Minimum and maximum seconds between two losses.
     n_at_once : int
-        Members of groups that are lost for good then.
-    domain_at : float
-        When a whole fabric domain goes dark for some seconds.
-    new_every : tuple of float
-        Seconds between two empty servers that come, from the twelfth second on.
+        Members of groups that are lost permanently at each loss.
+    domain_at, domain_for : float
+        Second at which all servers of one fabric domain are lost, and seconds until
+        they restart.
+    arrival_interval : tuple of float
+        Minimum and maximum seconds between two additions of an empty server, from the
+        twelfth second on.
     """
 
     every: tuple[float, float] = (2.4, 3.6)
     n_at_once: int = 1
     domain_at: float = float("inf")
     domain_for: float = 6.0
-    new_every: tuple[float, float] = (2.4, 4.0)
+    arrival_interval: tuple[float, float] = (2.4, 4.0)
 
 
 @dataclass(slots=True, kw_only=True)
 class DayResult:
-    """Hold what became of a day.
+    """The results of a day.
 
     Attributes
     ----------
     served_by_model : dict of str to float
-        Part of what requests are worth that is earned, if none is lost otherwise.
+        Fraction of the value of all requests that was earned, by model, if no request
+        is lost for another reason.
     worst : float
-        The same in the worst two seconds, over all models.
+        Mean of that fraction over all models, in the worst two seconds.
     n_loads : int
         Loads from the weight store.
     """
@@ -65,43 +68,48 @@
 
     @property
     def mean(self) -> float:
-        """Return the mean over the models."""
+        """Return the mean of ``served_by_model`` over the models."""
         return sum(self.served_by_model.values()) / len(self.served_by_model)
 
 
-def credit(*, busy: float) -> float:
-    """Return the part of their worth that requests earn at groups that busy."""
-    if busy <= CALM:
+def credit(*, utilization: float) -> float:
+    """Return the fraction of their value that requests earn at a utilization."""
+    if utilization <= MAX_PUNCTUAL_UTILIZATION:
         return 1.0
-    if busy <= CROWDED:
-        return 1.0 - 0.5 * (busy - CALM) / (CROWDED - CALM)
-    return 0.5 * CROWDED / busy
+    if utilization <= HALF_CREDIT_UTILIZATION:
+        return 1.0 - 0.5 * (utilization - MAX_PUNCTUAL_UTILIZATION) / (
+            HALF_CREDIT_UTILIZATION - MAX_PUNCTUAL_UTILIZATION
+        )
+    return 0.5 * HALF_CREDIT_UTILIZATION / utilization
 
 
 def play_day(*, deployment: Deployment, losses: LossPattern, seed: int) -> DayResult:
-    """Play one day; the same seed gives the same losses to every policy."""
+    """Simulate one day.
+
+    The same seed gives the same losses, whatever the policy of the planners.
+    """
     fleet = Fleet(deployment=deployment, seed=seed)
-    draws = random.Random(seed)
-    loss_at = draws.uniform(1.0, 4.0)
+    rng = random.Random(seed)
+    next_loss_at = rng.uniform(1.0, 4.0)
     domain_at = losses.domain_at
-    new_at = 12.0
+    next_arrival_at = 12.0
     result = DayResult(served_by_model=dict.fromkeys(deployment.models_by_name, 0.0))
     window: list[float] = []
-    for _ in range(round(LEAD / STEP)):
+    for _ in range(round(WARM_UP_TIME / STEP)):
         fleet.advance()
     for _ in range(round(DAY / STEP)):
-        if fleet.now >= loss_at:
-            loss_at += draws.uniform(*losses.every)
-            _lose_members(fleet, draws, n=losses.n_at_once)
+        if fleet.now >= next_loss_at:
+            next_loss_at += rng.uniform(*losses.every)
+            _lose_members(fleet, rng, n=losses.n_at_once)
         if fleet.now >= domain_at:
             domain_at = float("inf")
-            _darken_domain(fleet, draws, seconds=losses.domain_for)
-        if fleet.now >= new_at:
-            new_at += draws.uniform(*losses.new_every)
-            zone = draws.choice(deployment.zones)
-            fleet.add(zone, f"{zone}-{draws.randrange(deployment.n_domains)}")
+            _lose_domain(fleet, rng, seconds=losses.domain_for)
+        if fleet.now >= next_arrival_at:
+            next_arrival_at += rng.uniform(*losses.arrival_interval)
+            zone = rng.choice(deployment.zones)
+            fleet.add(zone, f"{zone}-{rng.randrange(deployment.n_domains)}")
         fleet.advance()
-        window.append(_count(fleet, result))
+        window.append(_add_step(fleet, result))
     n_window = round(2.0 / STEP)
     sums = [sum(window[i : i + n_window]) for i in range(0, len(window), n_window)]
     result.worst = min(sums) / n_window
@@ -109,25 +117,25 @@
     return result
 
 
-def _count(fleet: Fleet, result: DayResult) -> float:
-    """Add one step to the result; return its mean credit over the models."""
+def _add_step(fleet: Fleet, result: DayResult) -> float:
+    """Add one step to the result and return its mean credit over the models."""
     n_open = fleet.n_open()
     total = 0.0
     for model, demand in fleet.deployment.demand.items():
-        earned = credit(busy=demand / n_open[model]) if n_open[model] else 0.0
+        earned = credit(utilization=demand / n_open[model]) if n_open[model] else 0.0
         result.served_by_model[model] += earned * STEP / DAY
         total += earned
     return total / len(fleet.deployment.models_by_name)
 
 
-def _lose_members(fleet: Fleet, draws: random.Random, *, n: int) -> None:
+def _lose_members(fleet: Fleet, rng: random.Random, *, n: int) -> None:
     members = [server for server in fleet.living if server.entry.group is not None]
-    for server in draws.sample(members, min(n, len(members))):
+    for server in rng.sample(members, min(n, len(members))):
         fleet.lose(server, back_after=None)
 
 
-def _darken_domain(fleet: Fleet, draws: random.Random, *, seconds: float) -> None:
-    domain = draws.choice(sorted({server.entry.domain for server in fleet.living}))
+def _lose_domain(fleet: Fleet, rng: random.Random, *, seconds: float) -> None:
+    domain = rng.choice(sorted({server.entry.domain for server in fleet.living}))
     for server in fleet.living:
         if server.entry.domain == domain:
             fleet.lose(server, back_after=seconds)
--- a/ryelever/emulator/deployment.py
+++ b/ryelever/emulator/deployment.py
@@ -1,4 +1,4 @@
-"""Describe the deployment that is emulated."""
+"""Define the emulated deployment: its servers, models and weight store."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 from ..state.routes import EngineProfile, ModelProfile
 
-__all__ = ["SERVICE", "Deployment", "EmulatedModel", "engine_of"]
+__all__ = ["SERVICE", "Deployment", "EmulatedModel", "engine_profile"]
 
-#: Name of the one service that there is.
+#: Name of the only service of an emulated deployment.
 SERVICE = "engines"
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class EmulatedModel:
-    """Describe one model and the work that arrives for it.
+    """One model and the work that arrives for it.
 
     Attributes
     ----------
     size : int
         Backend servers of one group.
     demand : float
-        Work that arrives, in groups kept busy.
+        Work that arrives, as the number of groups that it keeps fully busy.
     share : float
-        Part of the work that the operator expects.
+        Fraction of all work that the operator expects for this model.
     load_time, warm_time : float
-        Seconds to load the weights from the store, and from the host.
+        Seconds to load the weights from the weight store, and from the server's host.
     """
 
     size: int
@@ -37,16 +37,17 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Deployment:
-    """Describe where planners are to work.
+    """The servers, models and weight store that the planners manage.
 
     Attributes
     ----------
     n_domains, domain_size : int
         Fabric domains of each availability zone, and servers of each domain.
     stall_time : float
-        Seconds for which a group stands still before it breaks off.
+        Seconds for which a group is stalled before its head reports the group broken.
     loads_per_second, loads_at_once : float
-        What the weight store starts, and makes at once without slowing.
+        Loads that the weight store can start in a second, and loads that it can serve
+        at the same time without slowing down.
     """
 
     n_zones: int
@@ -64,17 +65,17 @@
 
     @property
     def n_servers(self) -> int:
-        """Return how many backend servers there are at the start."""
+        """Return the number of backend servers at the start."""
         return self.n_zones * self.n_domains * self.domain_size
 
     @property
     def demand(self) -> dict[str, float]:
-        """Return the work that arrives, by model."""
+        """Return the work that arrives for each model."""
         return {name: model.demand for name, model in self.models_by_name.items()}
 
 
-def engine_of(deployment: Deployment) -> EngineProfile:
-    """Return the engines' profile as the operator's configuration would have it."""
+def engine_profile(deployment: Deployment) -> EngineProfile:
+    """Return the engine profile that an operator would configure for a deployment."""
     models = {
         name: ModelProfile(
             name=name,
--- a/ryelever/emulator/fleet.py
+++ b/ryelever/emulator/fleet.py
@@ -1,4 +1,4 @@
-"""Play the servers of a deployment, the list that shows them, and their planners."""
+"""Emulate the backend servers of a deployment, the server list and the planners."""
 
 from __future__ import annotations
 
@@ -11,36 +11,38 @@
 from ..coordination.groups import GroupOrder, OrderKind, OrderOutcome, ZonePlanner
 from ..state.directory import BackendServer, Directory, GroupState
 from ..state.routes import RoutedService, RouteTable
-from .deployment import SERVICE, Deployment, engine_of
+from .deployment import SERVICE, Deployment, engine_profile
 from .server import EmulatedServer
 
 if TYPE_CHECKING:
     from ..coordination.groups import AppendGroups
 
-__all__ = ["LEAD", "STEP", "Fleet"]
+__all__ = ["WARM_UP_TIME", "STEP", "Fleet"]
 
-#: Seconds of a step: planners look ten times a second.
+#: Seconds of a step.  The planners run ten times a second.
 STEP = 0.1
 
-#: Seconds before the first request, when loads take a tenth of their time.
-LEAD = 12.0
-QUICK = 10.0
+#: Simulated seconds before the first request, and the factor by which loads are faster
+#: in that time: they take a tenth of their usual time.
+WARM_UP_TIME = 12.0
+WARM_UP_LOAD_SPEED = 10.0
 
-#: Steps until the list shows a change; it is read three times a second.
-LIST_LAG = 3
+#: Steps until the server list shows a change.  The list is read three times a second.
+LIST_LAG_STEPS = 3
 
-#: Seconds until a lost server's entry lapses: three heartbeats of 1.2 s.
+#: Seconds until the entry of a lost server expires: three record renewals, one each
+#: 1.2 s.
 LAPSE = 3.6
 
-#: Seconds until the streams of a group that lost a member are seen to stand still,
-#: and steps until a probe without an answer counts as such.
-NOTICED = 0.6
-UNANSWERED = 4
+#: Seconds until the streams of a group that lost a member are detected as stalled, and
+#: steps until an order without an answer, such as a probe, counts as unanswered.
+STALL_DETECTION_TIME = 0.6
+ORDER_TIMEOUT_STEPS = 4
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class _Answer:
-    """Hold an answer on its way to a planner, and the step at which it is there."""
+class _PendingOutcome:
+    """The outcome of an order, which its planner receives at a later step."""
 
     step: int
     zone: str
@@ -49,12 +51,12 @@
 
 
 class Fleet:
-    """Play the backend servers of a deployment and one planner a zone.
+    """Emulate the backend servers of a deployment and one planner for each zone.
 
     Attributes
     ----------
     now : float
-        Simulated time in seconds from the first request on.
+        Simulated time in seconds, relative to the first request.
     n_loads : int
         Loads from the weight store since the first request.
     """
@@ -62,17 +64,17 @@
     def __init__(self, *, deployment: Deployment, seed: int) -> None:
         self.deployment = deployment
         self.random = random.Random(seed)
-        self.now = -LEAD
+        self.now = -WARM_UP_TIME
         self.n_loads = 0
         self.directory = Directory()
         self.servers_by_id: dict[str, EmulatedServer] = {}
-        self._engine = engine_of(deployment)
+        self._engine = engine_profile(deployment)
         self._ids = itertools.count()
         self._step = 0
-        self._shown: dict[str, BackendServer] = {}
-        self._listed: list[tuple[int, BackendServer]] = []
-        self._answers: list[_Answer] = []
-        self._ends = dict.fromkeys(deployment.zones, 0)
+        self._last_queued: dict[str, BackendServer] = {}
+        self._pending_list_updates: list[tuple[int, BackendServer]] = []
+        self._pending_outcomes: list[_PendingOutcome] = []
+        self._log_ends = dict.fromkeys(deployment.zones, 0)
         for zone in deployment.zones:
             for domain in range(deployment.n_domains):
                 for _ in range(deployment.domain_size):
@@ -83,10 +85,10 @@
         for planner in self.planners_by_zone.values():
             planner.listed([], end=0, now=self.now)
 
-    # What befalls it
+    # Additions and losses
 
     def add(self, zone: str, domain: str) -> None:
-        """Let an empty server come."""
+        """Add an empty server."""
         server_id = f"i{next(self._ids)}"
         entry = BackendServer(
             id=server_id,
@@ -101,11 +103,11 @@
         self.servers_by_id[server_id] = EmulatedServer(entry=entry)
 
     def lose(self, server: EmulatedServer, *, back_after: float | None) -> None:
-        """Lose a server for good, or until it starts again under its id."""
+        """Lose a server permanently, or until it restarts with the same id."""
         if server.lost_at is None:
             server.lost_at = self.now
             if back_after is not None:
-                server.back_at = self.now + back_after
+                server.restarts_at = self.now + back_after
 
     @property
     def living(self) -> list[EmulatedServer]:
@@ -115,25 +117,25 @@
     # Time
 
     def advance(self) -> None:
-        """Let one step pass, then let the planners look."""
+        """Advance the servers by one step, then run the planners."""
         self._step += 1
         self.now = round(self.now + STEP, 3)
         n_loading = sum(len(server.loads) for server in self.living)
         pace = min(1.0, self.deployment.loads_at_once / max(1, n_loading))
-        pace = QUICK if self.now < 0 else pace
+        pace = WARM_UP_LOAD_SPEED if self.now < 0 else pace
         for server in list(self.servers_by_id.values()):
             if server.lost_at is None:
                 server.advance(seconds=STEP, load_pace=pace, now=self.now)
             else:
-                self._advance_lost(server)
+                self._advance_lost_server(server)
         for server in self.living:
             if server.is_open_head:
-                self._stall(server)
-        self._show()
-        self._plan()
+                self._update_stall(server)
+        self._update_list()
+        self._run_planners()
 
     def n_open(self) -> Counter[str]:
-        """Count the groups that serve, by model."""
+        """Return the number of open and complete groups for each model."""
         return Counter(
             server.last_model
             for server in self.living
@@ -141,7 +143,7 @@
         )
 
     def is_complete(self, head: EmulatedServer) -> bool:
-        """Tell whether all members of a head's group are there and in it."""
+        """Return whether all members of a head's group are running and in the group."""
         report = head.entry.group
         n_members = sum(
             other.entry.group is not None
@@ -151,13 +153,13 @@
         )
         return n_members == self.deployment.models_by_name[head.last_model].size
 
-    def _advance_lost(self, server: EmulatedServer) -> None:
+    def _advance_lost_server(self, server: EmulatedServer) -> None:
         if self.now - server.lost_at >= LAPSE:
             self.directory.remove(server.id, heard_at=server.lost_at)
-            self._shown.pop(server.id, None)
-            if server.back_at == float("inf"):
+            self._last_queued.pop(server.id, None)
+            if server.restarts_at == float("inf"):
                 del self.servers_by_id[server.id]
-        if self.now >= server.back_at:
+        if self.now >= server.restarts_at:
             entry = server.entry
             self.servers_by_id[server.id] = EmulatedServer(
                 entry=BackendServer(
@@ -173,7 +175,7 @@
                 )
             )
 
-    def _stall(self, head: EmulatedServer) -> None:
+    def _update_stall(self, head: EmulatedServer) -> None:
         if self.is_complete(head):
             head.whole_until = float("inf")
             return
@@ -181,14 +183,18 @@
         if self.now - head.whole_until >= self.deployment.stall_time:
             head.break_off()
 
-    def _show(self) -> None:
-        """Let the list show what has changed, some steps later."""
+    def _update_list(self) -> None:
+        """Show changed entries in the server list after ``LIST_LAG_STEPS`` steps."""
         for server in self.living:
-            if self._shown.get(server.id) != server.entry:
-                self._shown[server.id] = server.entry
-                self._listed.append((self._step + LIST_LAG, server.entry))
-        due = [item for item in self._listed if item[0] <= self._step]
-        self._listed = [item for item in self._listed if item[0] > self._step]
+            if self._last_queued.get(server.id) != server.entry:
+                self._last_queued[server.id] = server.entry
+                self._pending_list_updates.append(
+                    (self._step + LIST_LAG_STEPS, server.entry)
+                )
+        due = [item for item in self._pending_list_updates if item[0] <= self._step]
+        self._pending_list_updates = [
+            item for item in self._pending_list_updates if item[0] > self._step
+        ]
         for _, entry in due:
             server = self.servers_by_id.get(entry.id)
             if server is not None and server.lost_at is None:
@@ -212,7 +218,7 @@
             directory=self.directory,
             table=lambda: table,
             demand=lambda: self.deployment.demand if self.now >= 0 else {},
-            reshaping=lambda: self._reshaping(zone),
+            reshaping=lambda: self._other_reshaping_zones(zone),
             observe=lambda phase, seconds: None,
             list_is_stale=lambda: False,
             stall_time=self.deployment.stall_time,
@@ -220,14 +226,14 @@
             log=lambda event, **fields: None,
         )
 
-    def _reshaping(self, besides: str) -> set[str]:
+    def _other_reshaping_zones(self, own_zone: str) -> set[str]:
         return {
             zone
             for zone, planner in self.planners_by_zone.items()
-            if zone != besides and planner.reshapes
+            if zone != own_zone and planner.reshapes
         }
 
-    def _plan(self) -> None:
+    def _run_planners(self) -> None:
         suspects = self._suspects()
         for zone, planner in self.planners_by_zone.items():
             planner.manager.suspect(suspects)
@@ -236,8 +242,10 @@
                 self._carry_out(zone, order)
             if append is not None:
                 self._append(zone, append)
-        due = [answer for answer in self._answers if answer.step <= self._step]
-        self._answers = [item for item in self._answers if item.step > self._step]
+        due = [answer for answer in self._pending_outcomes if answer.step <= self._step]
+        self._pending_outcomes = [
+            item for item in self._pending_outcomes if item.step > self._step
+        ]
         for answer in due:
             if answer.order.group:
                 manager = self.planners_by_zone[answer.zone].manager
@@ -245,37 +253,39 @@
 
     def _append(self, zone: str, append: AppendGroups) -> None:
         planner = self.planners_by_zone[zone]
-        if append.at != self._ends[zone]:
-            planner.append_failed(end=self._ends[zone])
+        if append.at != self._log_ends[zone]:
+            planner.append_failed(end=self._log_ends[zone])
             return
         n_records = len(append.formed) + len(append.restored) + len(append.dropped)
-        self._ends[zone] += n_records
-        planner.appended(append, end=self._ends[zone], now=self.now)
+        self._log_ends[zone] += n_records
+        planner.appended(append, end=self._log_ends[zone], now=self.now)
 
     def _carry_out(self, zone: str, order: GroupOrder) -> None:
         server = self.servers_by_id.get(order.server_id)
         step = self._step + 1
         if server is None or server.lost_at is not None:
             outcome = OrderOutcome.UNKNOWN
-            step = self._step + UNANSWERED
+            step = self._step + ORDER_TIMEOUT_STEPS
         else:
             n_before = len(server.loads)
             outcome = server.obey(order, engine=self._engine, now=self.now)
             is_load = order.kind in (OrderKind.STAGE, OrderKind.JOIN)
             if is_load and self.now >= 0:
                 self.n_loads += max(0, len(server.loads) - n_before)
-        answer = _Answer(step=step, zone=zone, order=order, outcome=outcome)
-        self._answers.append(answer)
+        answer = _PendingOutcome(step=step, zone=zone, order=order, outcome=outcome)
+        self._pending_outcomes.append(answer)
 
     def _suspects(self) -> set[str]:
-        """Return the heads whose groups are seen to stand still."""
-        seen_before = self.now - NOTICED
+        """Return the heads whose groups are detected as stalled."""
+        detected_before = self.now - STALL_DETECTION_TIME
         suspects = set()
         for server in self.servers_by_id.values():
             report = server.entry.group
             if report is None or report.rank or report.state is not GroupState.OPEN:
                 continue
-            lost_long = server.lost_at is not None and server.lost_at <= seen_before
-            if server.whole_until <= seen_before or lost_long:
+            is_lost_for_long = (
+                server.lost_at is not None and server.lost_at <= detected_before
+            )
+            if server.whole_until <= detected_before or is_lost_for_long:
                 suspects.add(server.id)
         return suspects
--- a/ryelever/emulator/server.py
+++ b/ryelever/emulator/server.py
@@ -1,4 +1,4 @@
-"""Play one backend server: its orders, its loads and what it reports."""
+"""Emulate one backend server: its orders, its loads and its reports."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 __all__ = ["EmulatedServer", "Load"]
 
-#: Seconds to join a group of the model of the server's last one.
+#: Seconds to join a group that serves the same model as the server's last group.
 REJOIN_TIME = 0.2
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Load:
-    """Hold weights on their way to a host.
+    """A load of a model's weights from the weight store to a host.
 
     Attributes
     ----------
     remaining : float
-        Seconds that it takes yet if the weight store isn't crowded.
+        Remaining seconds if the weight store is not overloaded.
     joins : bool
-        True where the server becomes ready in its group with it.
+        True if the server becomes ready in its group when the load is complete.
     """
 
     model: str
@@ -35,32 +35,35 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class EmulatedServer:
-    """Hold one backend server as it is, and not as the list shows it.
+    """The actual state of one backend server, which the server list shows later.
 
     Attributes
     ----------
     entry : BackendServer
-        What it would report now.
+        The server's current report.
     last_model : str
-        Model of its last group since its start; reports show it only in a group.
+        Model of the server's last group since its start.  Reports contain the model
+        only while the server is in a group.
     lost_at : float or None
-        When it was lost; None while it lives.
-    back_at : float
-        When it starts again, empty but for what its host has staged.
+        Simulated time at which the server was lost; None while it is running.
+    restarts_at : float
+        Simulated time at which a lost server restarts, empty except for the weights
+        that its host has staged; infinite if the server does not restart.
     whole_until : float
-        Since when its group, of which it is the head, stands still.
+        Simulated time since which the group that this server heads is stalled because
+        it is incomplete; infinite while the group is complete.
     newest_epoch : int
-        Highest epoch that it was told to join.
+        Highest epoch that the server was ordered to join.
     """
 
     entry: BackendServer
     last_model: str = ""
     lost_at: float | None = None
-    back_at: float = float("inf")
+    restarts_at: float = float("inf")
     whole_until: float = float("inf")
     newest_epoch: int = -1
     loads: list[Load] = field(default_factory=list)
-    _due: list[tuple[float, GroupState]] = field(default_factory=list)
+    _scheduled_states: list[tuple[float, GroupState]] = field(default_factory=list)
 
     @property
     def id(self) -> str:
@@ -69,7 +72,7 @@
 
     @property
     def is_open_head(self) -> bool:
-        """Tell whether it takes requests."""
+        """Return whether the server is the head of an open group."""
         report = self.entry.group
         return (
             self.lost_at is None
@@ -79,38 +82,40 @@
         )
 
     def advance(self, *, seconds: float, load_pace: float, now: float) -> None:
-        """Let time pass.
+        """Advance the server's loads and scheduled group states.
 
         Parameters
         ----------
+        seconds : float
+            Simulated seconds to advance by.
         load_pace : float
-            Seconds of loading that are done in a second.
+            Seconds of loading that are completed in one simulated second.
         """
         for load in list(self.loads):
             load.remaining -= seconds * load_pace
             if load.remaining <= 0:
                 self.loads.remove(load)
-                self._change(staged=frozenset({load.model}))
+                self._update_entry(staged=frozenset({load.model}))
                 if load.joins:
-                    self._ready(load.model)
-        for due in [item for item in self._due if item[0] <= now]:
-            self._due.remove(due)
-            if due[1] is GroupState.READY:
-                self._ready(self.last_model)
+                    self._set_ready(load.model)
+        for scheduled in [item for item in self._scheduled_states if item[0] <= now]:
+            self._scheduled_states.remove(scheduled)
+            if scheduled[1] is GroupState.READY:
+                self._set_ready(self.last_model)
             elif self.entry.group is not None:
-                self._report(due[1])
+                self._set_group_state(scheduled[1])
 
     def obey(
         self, order: GroupOrder, *, engine: EngineProfile, now: float
     ) -> OrderOutcome:
-        """Carry out an order; return what it answers."""
+        """Execute an order and return its outcome."""
         report = self.entry.group
-        is_in = report is not None and (report.name, report.epoch) == (
+        is_member = report is not None and (report.name, report.epoch) == (
             order.group,
             order.epoch,
         )
         if order.kind is OrderKind.PROBE:
-            return OrderOutcome.APPLIED if is_in else OrderOutcome.NOT_A_MEMBER
+            return OrderOutcome.APPLIED if is_member else OrderOutcome.NOT_A_MEMBER
         model = engine.models_by_name.get(order.model)
         if order.kind is OrderKind.STAGE:
             self.loads.append(Load(model=order.model, remaining=model.load_time))
@@ -119,54 +124,54 @@
                 return OrderOutcome.SUPERSEDED
             self.newest_epoch = order.epoch
             self._join(order, model, now=now)
-        elif not is_in:
+        elif not is_member:
             return OrderOutcome.REFUSED
         elif order.kind is OrderKind.OPEN:
             if report.state is not GroupState.READY:
                 return OrderOutcome.REFUSED
-            self._due.append((now + engine.form_time, GroupState.OPEN))
+            self._scheduled_states.append((now + engine.form_time, GroupState.OPEN))
         elif order.kind is OrderKind.CLOSE:
-            self._report(GroupState.CLOSING)
+            self._set_group_state(GroupState.CLOSING)
         elif order.kind is OrderKind.LEAVE:
-            self._change(group=None, models=frozenset())
+            self._update_entry(group=None, models=frozenset())
             return OrderOutcome.APPLIED
         return OrderOutcome.IN_PROGRESS
 
     def break_off(self) -> None:
-        """Report that its group has stood still for too long."""
-        self._report(GroupState.BROKEN)
+        """Report that the server's group was stalled for too long."""
+        self._set_group_state(GroupState.BROKEN)
 
     def _join(self, order: GroupOrder, model: ModelProfile, *, now: float) -> None:
-        joined = GroupReport(
+        new_report = GroupReport(
             name=order.group,
             epoch=order.epoch,
             rank=order.members.index(self.id),
             state=GroupState.JOINING,
         )
-        self._due.clear()
+        self._scheduled_states.clear()
         self.loads = [load for load in self.loads if not load.joins]
-        under_way = [load for load in self.loads if load.model == order.model]
+        same_model_loads = [load for load in self.loads if load.model == order.model]
         if order.model == self.last_model:
-            self._due.append((now + REJOIN_TIME, GroupState.READY))
+            self._scheduled_states.append((now + REJOIN_TIME, GroupState.READY))
         elif order.model in self.entry.staged:
             self.last_model = order.model
-            self._due.append((now + model.warm_time, GroupState.READY))
-        elif under_way:
-            under_way[0].joins = True
+            self._scheduled_states.append((now + model.warm_time, GroupState.READY))
+        elif same_model_loads:
+            same_model_loads[0].joins = True
         else:
             load = Load(model=order.model, remaining=model.load_time, joins=True)
             self.loads.append(load)
-        self._change(group=joined, models=frozenset())
+        self._update_entry(group=new_report, models=frozenset())
 
-    def _ready(self, model: str) -> None:
+    def _set_ready(self, model: str) -> None:
         if self.entry.group is None:
             return
         self.last_model = model
-        self._change(models=frozenset({model}))
-        self._report(GroupState.READY)
+        self._update_entry(models=frozenset({model}))
+        self._set_group_state(GroupState.READY)
 
-    def _report(self, state: GroupState) -> None:
-        self._change(group=replace(self.entry.group, state=state))
+    def _set_group_state(self, state: GroupState) -> None:
+        self._update_entry(group=replace(self.entry.group, state=state))
 
-    def _change(self, **changes: object) -> None:
+    def _update_entry(self, **changes: object) -> None:
         self.entry = replace(self.entry, **changes)
--- a/tests/test_emulator/__init__.py
+++ b/tests/test_emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Test the emulated servers, and the planners over days of losses."""
+"""Tests of the emulated servers, and of the planners during days with losses."""
--- a/tests/test_emulator/test_days.py
+++ b/tests/test_emulator/test_days.py
@@ -1,9 +1,9 @@
-"""Test what planners make of servers that are lost and come, in simulated time.
+"""Test the planners with servers that are lost and added, in simulated time.
 
-The pattern is that of a deployment which loses a member of a group for good every three
-seconds and gets an empty server about as often: 66 servers in six fabric domains of
-eleven, models of six and of three servers, work for 4.1 and 5.3 groups when loaded.
-Bounds are a little below the mean of 24 days (benchmarks.group_days).
+The deployment permanently loses a member of a group every three seconds and gets an
+empty server about as often.  It has 66 servers in six fabric domains of eleven, and
+models with groups of six and of three servers; under load, work for 4.1 and 5.3 groups
+arrives.  The bounds are slightly below the mean of 24 days (benchmarks.group_days).
 """
 
 from __future__ import annotations
@@ -55,15 +55,16 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_groups_are_mended_as_fast_as_they_are_lost(seed: int) -> None:
-    """Lose a member of a group every three seconds, beside heavy load.
-
-    Symptom: the large model goes from six groups to two within twenty seconds, while
-    a fifth of all servers wait with weights that no group needs.
-    Sequence: each loss uses up two spares, a spare that holds one model's weights can't
-    mend the other's groups, and newcomers load for sixteen seconds.
-    Cause: spares and newcomers held the largest model only, and a head that has left
-    its group was taken for one without a model.
+def test_groups_are_repaired_as_fast_as_they_are_lost(seed: int) -> None:
+    """Lose a member of a group every three seconds under heavy load.
+
+    Guards against losing groups faster than they are repaired: the large model went
+    from six groups to two within twenty seconds, while a fifth of all servers waited
+    with weights that no group needed.  Each loss uses up two spares, a spare with one
+    model's weights can't repair the other model's groups, and new servers load for
+    sixteen seconds.  The fault was that spares and new servers held the weights of the
+    largest model only, and that a head which had left its group was treated as having
+    no model.
     """
     day = play_day(deployment=LOADED, losses=LossPattern(), seed=seed)
     assert day.mean > 0.95
@@ -71,13 +72,13 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_rush_for_one_model_reshapes_groups(seed: int) -> None:
-    """Let one model's work grow to half as much again, and lose servers meanwhile.
+def test_higher_demand_for_one_model_reshapes_groups(seed: int) -> None:
+    """Increase one model's work by half while servers are lost.
 
-    Symptom: the other model keeps groups that it doesn't need, or loses all of its own.
-    Sequence: groups are planned for shares of 0.67 and 0.33, and then requests of the
-    small model are 8.0 groups' work.
-    Cause: groups were taken apart one at a time, and only where one was enough.
+    Guards against the other model keeping groups that it doesn't need, or losing all of
+    its groups: groups are planned for shares of 0.67 and 0.33, and then the requests
+    for the small model are work for 8.0 groups.  The fault was that groups were
+    disbanded one at a time, and only if disbanding one was enough.
     """
     day = play_day(
         deployment=_deployment(large=3.5, small=8.0), losses=LossPattern(), seed=seed
@@ -85,14 +86,14 @@
     assert min(day.served_by_model.values()) > 0.75
 
 
-def test_a_dark_domain_is_back_soon() -> None:
+def test_a_lost_domain_recovers_soon() -> None:
     losses = LossPattern(every=(100.0, 100.0), domain_at=8.0, domain_for=5.0)
     day = play_day(deployment=LOADED, losses=losses, seed=5)
     assert day.mean > 0.95
 
 
-class _Promises:
-    """Watch what each server does, and hold the promises of groups against it."""
+class _GroupInvariants:
+    """Check the invariants of replica groups for the orders that servers execute."""
 
     def __init__(self) -> None:
         self.fleet: Fleet | None = None
@@ -100,64 +101,64 @@
         self.members: dict[tuple[str, int], tuple[str, ...]] = {}
         self.n_opened = 0
 
-    def obeyed(self, server: EmulatedServer, order: GroupOrder) -> None:
-        """Check an order that a server is about to carry out."""
+    def check_order(self, server: EmulatedServer, order: GroupOrder) -> None:
+        """Check an order that a server is about to execute."""
         group = (order.group, order.epoch)
         if order.kind is OrderKind.JOIN:
             known = self.members.setdefault(group, order.members)
             assert known == order.members, "an epoch is used for two groups"
-            self._head_is_closed(server, group)
+            self._check_old_head_is_closed(server, group)
         elif order.kind is OrderKind.OPEN:
             missing = set(self.members[group]) - self.ready[group]
             assert not missing, "a group opens with a member that was never ready"
             self.n_opened += 1
 
-    def look(self) -> None:
-        """Take note of who is ready."""
+    def record_ready_members(self) -> None:
+        """Record which servers are ready in their groups."""
         for server in self.fleet.living:
             report = server.entry.group
             if report is not None and report.state is GroupState.READY:
                 self.ready[report.name, report.epoch].add(server.id)
 
-    def _head_is_closed(self, server: EmulatedServer, group: tuple[str, int]) -> None:
+    def _check_old_head_is_closed(
+        self, server: EmulatedServer, group: tuple[str, int]
+    ) -> None:
         report = server.entry.group
         if report is None or (report.name, report.epoch) == group:
             return
         for other in self.fleet.living:
             head = other.entry.group
-            same = head is not None and (head.name, head.epoch) == (
+            is_same_group = head is not None and (head.name, head.epoch) == (
                 report.name,
                 report.epoch,
             )
-            if same and head.rank == 0:
+            if is_same_group and head.rank == 0:
                 serves = head.state in (GroupState.OPEN, GroupState.CLOSING)
-                assert not serves, "a member is given away while its head serves"
+                assert not serves, "a member joins another group while its head serves"
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_no_promise_of_groups_is_broken(
-    seed: int, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    promises = _Promises()
+def test_invariants_of_groups_hold(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    invariants = _GroupInvariants()
     obey = EmulatedServer.obey
 
-    def watched(
+    def checked_obey(
         server: EmulatedServer,
         order: GroupOrder,
         *,
         engine: EngineProfile,
         now: float,
     ) -> OrderOutcome:
-        promises.obeyed(server, order)
+        invariants.check_order(server, order)
         return obey(server, order, engine=engine, now=now)
 
-    monkeypatch.setattr(EmulatedServer, "obey", watched)
-    fleet = promises.fleet = Fleet(deployment=LOADED, seed=seed)
+    monkeypatch.setattr(EmulatedServer, "obey", checked_obey)
+    fleet = invariants.fleet = Fleet(deployment=LOADED, seed=seed)
     for step in range(400):
         fleet.advance()
-        promises.look()
+        invariants.record_ready_members()
         if fleet.now >= 0 and step % 11 == seed % 11:
-            living = fleet.random.choice(fleet.living)
-            back = fleet.random.choice([None, 0.4, 3.0, 8.0])
-            fleet.lose(living, back_after=back)
-    assert promises.n_opened > 12
+            server = fleet.random.choice(fleet.living)
+            restart_delay = fleet.random.choice([None, 0.4, 3.0, 8.0])
+            fleet.lose(server, back_after=restart_delay)
+    assert invariants.n_opened > 12
