--- a/ryelever/transport/http_client.py
+++ b/ryelever/transport/http_client.py
@@ -47,7 +47,7 @@
 #: Maximum bytes of one read from a socket.
 READ_SIZE = 64 * 1024
 
-#: Error code if no process listens at an address: the one that did has ended.
+#: Error code if no process listens at an address: the process that did has ended.
 REFUSED = "connection_refused"
 
 
@@ -170,7 +170,7 @@
             self._close(connection)
             self._report_unsent(request, f"cannot be asked this: {error}")
             return
-        connection.begin(request, data, now=time.monotonic())
+        connection.start_request(request, data, now=time.monotonic())
         connection.bytes_sent = bytes_sent
         self._connections_by_request[request.id] = connection
         if not connection.connecting:
@@ -201,9 +201,9 @@
             message = "was reached only after the deadline"
             self._fail(connection, message, category=Category.TIMEOUT)
             return
-        if connection.out:
+        if connection.send_buffer:
             try:
-                n_sent = connection.sock.send(connection.out)
+                n_sent = connection.sock.send(connection.send_buffer)
             except BlockingIOError:
                 n_sent = 0
             except OSError as error:
@@ -213,11 +213,11 @@
                 connection.bytes_sent = True
                 self.n_bytes_sent_by_step[request.step] += n_sent
                 connection.progress_at = now
-                del connection.out[:n_sent]
+                del connection.send_buffer[:n_sent]
         writing = self._poller.isWriting(connection.sock)
-        if connection.out and not writing:
+        if connection.send_buffer and not writing:
             self._poller.addWriter(self, connection.sock)
-        elif not connection.out and writing:
+        elif not connection.send_buffer and writing:
             self._poller.removeWriter(connection.sock)
 
     @handler("_read")
@@ -249,8 +249,8 @@
         connection = self._connections_by_sock.get(sock)
         if connection is not None:
             code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-            verb = "cannot connect" if connection.connecting else "connection broke"
-            self._fail(connection, f"{verb}: {errno.errorcode.get(code, 'closed')}")
+            problem = "cannot connect" if connection.connecting else "connection broke"
+            self._fail(connection, f"{problem}: {errno.errorcode.get(code, 'closed')}")
 
     def _process_events(self, connection: Connection) -> None:
         while connection.request is not None:
@@ -330,7 +330,7 @@
             # Reading is paused because the caller does not read its answer; the
             # caller's own connection has a timeout for that.
             return
-        limit = connection.silence_limit()
+        limit = connection.current_timeout()
         if silent_for <= limit:
             return
         # A network device between the two ends may have dropped the state of this
--- a/ryelever/transport/http_connection.py
+++ b/ryelever/transport/http_connection.py
@@ -63,6 +63,8 @@
         over the one that it replaces.
     progress_at : float
         Monotonic time of the most recent byte in either direction.
+    paused : bool
+        True while the answer is not read, because its recipient does not keep up.
     reused : bool
         True when the connection has carried a request before.
     body_started : bool
@@ -83,12 +85,14 @@
     reused: bool = False
     body_started: bool = False
     idle_timeout: float = IDLE_TIMEOUT
-    out: bytearray = msgspec.field(default_factory=bytearray)
+    send_buffer: bytearray = msgspec.field(default_factory=bytearray)
     status: int = 0
     headers: dict[str, str] = msgspec.field(default_factory=dict)
     body: bytearray = msgspec.field(default_factory=bytearray)
 
-    def begin(self, request: OutboundRequest, data: bytes, *, now: float) -> None:
+    def start_request(
+        self, request: OutboundRequest, data: bytes, *, now: float
+    ) -> None:
         """Assign a request to this connection and queue its bytes for sending."""
         self.request = request
         self.started_at = self.progress_at = now
@@ -97,7 +101,7 @@
         self.status = 0
         self.headers = {}
         self.body.clear()
-        self.out += data
+        self.send_buffer += data
 
     def record_head(self, status: int, headers: dict[str, str]) -> None:
         """Record the head of an answer and apply its ``Keep-Alive`` timeout."""
@@ -107,8 +111,8 @@
         if match is not None:
             self.idle_timeout = max(0.0, int(match[1]) - IDLE_MARGIN)
 
-    def silence_limit(self) -> float:
-        """Return the seconds without a byte after which the request has timed out."""
+    def current_timeout(self) -> float:
+        """Return the seconds without a byte after which the request times out."""
         request = self.request
         if self.connecting:
             return request.connect_timeout
@@ -125,7 +129,7 @@
         request as part of it.
         """
         return (
-            not self.out
+            not self.send_buffer
             and self.http.our_state is h11.DONE
             and self.http.their_state is h11.DONE
             and not self.http.trailing_data[0]
--- a/tests/test_transport/test_http_client.py
+++ b/tests/test_transport/test_http_client.py
@@ -180,7 +180,9 @@
 
 
 @pytest.mark.parametrize("name", FAILURES)
-def test_failure(server: ScriptedServer, harness: ClientHarness, name: str) -> None:
+def test_failure_is_reported_once(
+    server: ScriptedServer, harness: ClientHarness, name: str
+) -> None:
     """Report each failure once, and whether a byte may have been sent.
 
     Guards against a fault that raises an exception instead of being reported: the
--- a/tests/test_transport/test_peers.py
+++ b/tests/test_transport/test_peers.py
@@ -61,20 +61,20 @@
 
 
 @pytest.fixture
-def outside() -> Iterator[socket.socket]:
+def peer_socket() -> Iterator[socket.socket]:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", 0))
         sock.settimeout(10)
         yield sock
 
 
-def _to(peers: Peers) -> tuple[str, int]:
+def _address_of(peers: Peers) -> tuple[str, int]:
     host, _, port = peers.address.rpartition(":")
     return host, int(port)
 
 
 def test_one_poll_reads_the_whole_backlog(
-    polled_receiver: DatagramReceiver, outside: socket.socket
+    polled_receiver: DatagramReceiver, peer_socket: socket.socket
 ) -> None:
     """Read a backlog of several batches in one poll.
 
@@ -85,7 +85,7 @@
     peers = polled_receiver.peers
     n_sent = 3 * MAX_BATCH + 1
     for number in range(n_sent):
-        outside.sendto(b"%d" % number, _to(peers))
+        peer_socket.sendto(b"%d" % number, _address_of(peers))
     polled_receiver.fire(peers_poll(), "peers")
     wait_until(lambda: len(polled_receiver.received) == n_sent, what="datagrams")
     assert [datagram.data for datagram in polled_receiver.received] == [
@@ -94,21 +94,21 @@
 
 
 def test_datagrams_are_sent_and_received(
-    receiver: DatagramReceiver, outside: socket.socket
+    receiver: DatagramReceiver, peer_socket: socket.socket
 ) -> None:
-    outside.sendto(b"one", _to(receiver.peers))
-    outside.sendto(b"two", _to(receiver.peers))
+    peer_socket.sendto(b"one", _address_of(receiver.peers))
+    peer_socket.sendto(b"two", _address_of(receiver.peers))
     wait_until(lambda: len(receiver.received) == 2, what="datagrams")
-    host, port = outside.getsockname()
+    host, port = peer_socket.getsockname()
     assert [datagram.data for datagram in receiver.received] == [b"one", b"two"]
     answer = Datagram(address=f"{host}:{port}", data=b"answer")
     receiver.fire(peers_send([answer]), "peers")
     wait_until(lambda: receiver.peers.n_sent == 1, what="datagrams")
-    assert outside.recv(100) == b"answer"
+    assert peer_socket.recv(100) == b"answer"
 
 
 def test_receives_after_sending_to_closed_port_and_bad_route(
-    receiver: DatagramReceiver, outside: socket.socket
+    receiver: DatagramReceiver, peer_socket: socket.socket
 ) -> None:
     """Go on receiving after datagrams were sent to peers that have ended.
 
@@ -127,15 +127,15 @@
         lambda: receiver.peers.n_sent + receiver.peers.n_unsent == 3, what="datagrams"
     )
     assert receiver.peers.n_unsent >= 1
-    outside.sendto(b"still here", _to(receiver.peers))
+    peer_socket.sendto(b"still here", _address_of(receiver.peers))
     wait_until(lambda: receiver.received, what="datagrams")
     assert receiver.received[0].data == b"still here"
 
 
 def test_a_too_long_datagram_is_recognizable(
-    receiver: DatagramReceiver, outside: socket.socket
+    receiver: DatagramReceiver, peer_socket: socket.socket
 ) -> None:
-    outside.sendto(b"x" * 20_000, _to(receiver.peers))
+    peer_socket.sendto(b"x" * 20_000, _address_of(receiver.peers))
     wait_until(lambda: receiver.received, what="datagrams")
     assert len(receiver.received[0].data) == READ_SIZE
 
