--- a/ryelever/console/__init__.py
+++ b/ryelever/console/__init__.py
@@ -1,1 +1,1 @@
-"""Serve the operators' forms and the status page."""
+"""Serve the operators' console: the configuration forms and the status page."""
--- a/ryelever/console/access.py
+++ b/ryelever/console/access.py
@@ -1,4 +1,4 @@
-"""Sign operators in and out, and tell whose request it is."""
+"""Sign operators in and out, and find the session of each request."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from ..logs import log_event
-from .answers import page, redirect
+from .answers import redirect, render_page
 from .forms import read_form
-from .sessions import SESSION_LIFE, Session, Sessions, SignInLimit
+from .sessions import SESSION_LIFETIME, Session, Sessions, SignInLimit
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -17,22 +17,24 @@
 
 __all__ = ["Access"]
 
-COOKIE = "ryelever_console"
+COOKIE_NAME = "ryelever_console"
 
-#: Longest name of an operator.
-MAX_OPERATOR = 60
+#: Longest name of an operator, in characters.
+MAX_OPERATOR_LENGTH = 60
 
-#: What a form needs for itself and must not be carried through a sign-in.
+#: Fields that a form needs for itself.  The sign-in form does not carry them along with
+#: a draft.
 _NOT_CARRIED = frozenset({"token", "key", "operator"})
 
 
 class Access:
-    """Own the sign-in of one entry host.
+    """Manage sign-in, sign-out and sessions of operators at one entry host.
 
     Parameters
     ----------
     wall_clock, clock : callable
-        Seconds since the epoch, for sessions; monotonic seconds, for the limit.
+        Return seconds since the epoch, used for sessions, and monotonic seconds, used
+        for the limit on failed sign-ins.
     """
 
     def __init__(
@@ -48,24 +50,24 @@
         self._clock = clock
 
     def session_of(self, request: CallerRequest) -> Session | None:
-        """Return the session that a request belongs to, if there is one."""
+        """Return the session that a request belongs to, or None without a valid one."""
         try:
             cookies = SimpleCookie(request.headers.get("cookie", ""))
         except CookieError:
             return None
-        morsel = cookies.get(COOKIE)
+        morsel = cookies.get(COOKIE_NAME)
         token = morsel.value if morsel is not None else ""
         return self._sessions.check(token, now=self._wall_clock())
 
     def form_token(self, session: Session | None) -> str:
-        """Return what each form of a session carries; empty without a session."""
+        """Return the form token of a session; empty without a session."""
         return self._sessions.form_token(session) if session is not None else ""
 
-    def is_own_form(self, fields: dict[str, str], session: Session) -> bool:
-        """Tell whether a posted form was made for this session."""
+    def is_form_of_session(self, fields: dict[str, str], session: Session) -> bool:
+        """Return whether a posted form contains the form token of this session."""
         return self._sessions.is_form_token(fields.get("token", ""), session)
 
-    def told(
+    def refusal_page(
         self,
         request: CallerRequest,
         session: Session | None,
@@ -73,8 +75,8 @@
         *,
         status: int,
     ) -> CallerAnswer:
-        """Say on a page of its own why nothing was done."""
-        return page(
+        """Return a page that states why the request was refused."""
+        return render_page(
             request,
             "told.html",
             status=status,
@@ -86,15 +88,16 @@
     def sign_in_again(
         self, request: CallerRequest, fields: dict[str, str]
     ) -> CallerAnswer:
-        """Ask for a sign-in that takes the posted draft along.
+        """Return a sign-in form that carries the posted draft along.
 
-        A session can expire while its operator edits.  The draft only ever comes
-        back into the edit form, so that a forged one is seen before it can count.
+        A session can expire while its operator is editing.  After the sign-in the draft
+        is only shown in the edit form, where the operator sees a forged draft before
+        it can be published.
         """
-        return self._page(
+        return self._sign_in_page(
             request,
             status=401,
-            message="Your session has ended. Nothing was done; sign in to go on.",
+            message="Your session has ended. Nothing was done; sign in to continue.",
             carried={
                 name: value
                 for name, value in fields.items()
@@ -105,64 +108,73 @@
     def sign_in(
         self,
         request: CallerRequest,
-        go_on: Callable[
+        on_signed_in: Callable[
             [CallerRequest, Session, dict[str, str], dict[str, str]], CallerAnswer
         ],
     ) -> CallerAnswer:
-        """Show the sign-in form, or check it.
+        """Show the sign-in form, or check a posted one.
 
         Parameters
         ----------
-        go_on : callable
-            Answer the request of an operator who has just signed in; takes the
-            request, the session, the carried fields and the answer's headers.
+        on_signed_in : callable
+            Return the answer to the request of an operator who has just signed in.
+            Called with the request, the session, the carried fields and the headers of
+            the answer.
         """
         if request.method != "POST":
-            return self._page(request)
+            return self._sign_in_page(request)
         form = read_form(request.body)
         if form.is_error():
-            return self._page(request, status=400, message=form.error.message)
+            return self._sign_in_page(request, status=400, message=form.error.message)
         fields = form.ok
         carried = {
             name.removeprefix("carried."): value
             for name, value in fields.items()
             if name.startswith("carried.")
         }
-        wait = self._limit.wait(now=self._clock())
+        wait = self._limit.retry_after(now=self._clock())
         if wait:
-            return self._page(
+            return self._sign_in_page(
                 request,
                 status=429,
                 message=f"Too many failed sign-ins. Try again in {wait:.0f} s.",
                 headers={"Retry-After": f"{wait:.0f}"},
                 carried=carried,
             )
-        fault = self._fault(request, fields)
+        fault = self._sign_in_fault(request, fields)
         if fault:
-            return self._page(request, status=403, message=fault, carried=carried)
+            return self._sign_in_page(
+                request, status=403, message=fault, carried=carried
+            )
         operator = fields["operator"].strip()
         now = self._wall_clock()
         token = self._sessions.start(operator, now=now)
         log_event("signed_in", operator=operator, peer=request.peer)
-        headers = {"Set-Cookie": _cookie(request, token, max_age=SESSION_LIFE)}
-        return go_on(request, self._sessions.check(token, now=now), carried, headers)
+        headers = {"Set-Cookie": _cookie(request, token, max_age=SESSION_LIFETIME)}
+        return on_signed_in(
+            request, self._sessions.check(token, now=now), carried, headers
+        )
 
     def sign_out(self, request: CallerRequest) -> CallerAnswer:
-        """Take the cookie back."""
+        """Delete the session cookie and redirect to the sign-in form."""
         headers = {"Set-Cookie": _cookie(request, "", max_age=0)}
         return redirect(request, "/console/sign-in", headers=headers)
 
-    def _fault(self, request: CallerRequest, fields: dict[str, str]) -> str:
-        if not self._sessions.is_key(fields.get("key", "")):
-            self._limit.failed()
+    def _sign_in_fault(self, request: CallerRequest, fields: dict[str, str]) -> str:
+        if not self._sessions.is_operator_key(fields.get("key", "")):
+            self._limit.record_failure()
             log_event("sign_in_failed", peer=request.peer)
             return "This is not the operator key."
         operator = fields.get("operator", "").strip()
-        if not operator or len(operator) > MAX_OPERATOR or not operator.isprintable():
-            return f"Give your name, in at most {MAX_OPERATOR} characters."
+        if (
+            not operator
+            or len(operator) > MAX_OPERATOR_LENGTH
+            or not operator.isprintable()
+        ):
+            return f"Enter your name, in at most {MAX_OPERATOR_LENGTH} characters."
         return ""
 
-    def _page(
+    def _sign_in_page(
         self,
         request: CallerRequest,
         *,
@@ -171,7 +183,7 @@
         headers: dict[str, str] | None = None,
         carried: dict[str, str] | None = None,
     ) -> CallerAnswer:
-        return page(
+        return render_page(
             request,
             "sign_in.html",
             status=status,
@@ -186,7 +198,7 @@
 
 def _cookie(request: CallerRequest, token: str, *, max_age: float) -> str:
     cookie = (
-        f"{COOKIE}={token}; Path=/console; Max-Age={max_age:.0f}; "
+        f"{COOKIE_NAME}={token}; Path=/console; Max-Age={max_age:.0f}; "
         "HttpOnly; SameSite=Strict"
     )
     if request.headers.get("x-forwarded-proto", "").lower() == "https":
--- a/ryelever/console/answers.py
+++ b/ryelever/console/answers.py
@@ -1,4 +1,4 @@
-"""Compose the console's answers: pages from templates, with their headers."""
+"""Build the console's HTTP answers: pages rendered from templates, and headers."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
     from ..events import CallerRequest
 
-__all__ = ["page", "redirect", "style_sheet"]
+__all__ = ["redirect", "render_page", "style_sheet"]
 
-#: Scripts never run, forms go nowhere else, and no other site may frame a page.
+#: Browsers run no scripts, post forms to the console only, and refuse to show its pages
+#: in frames of other sites.
 _SECURITY_HEADERS = {
     "Content-Security-Policy": (
         "default-src 'none'; style-src 'self'; form-action 'self'; "
@@ -27,7 +28,7 @@
 }
 
 
-def page(
+def render_page(
     request: CallerRequest,
     template: str,
     *,
@@ -35,8 +36,8 @@
     headers: dict[str, str] | None = None,
     **context: Any,
 ) -> CallerAnswer:
-    """Return a page made from a template."""
-    text = _templates().get_template(template).render(context)
+    """Return an HTML page rendered from a template."""
+    text = _environment().get_template(template).render(context)
     return CallerAnswer(
         request_id=request.request_id,
         status=status,
@@ -49,7 +50,7 @@
 def redirect(
     request: CallerRequest, path: str, *, headers: dict[str, str] | None = None
 ) -> CallerAnswer:
-    """Send the browser on to a page, to be read by GET."""
+    """Return a redirect that the browser follows with GET."""
     return CallerAnswer(
         request_id=request.request_id,
         status=303,
@@ -60,8 +61,8 @@
 
 
 def style_sheet(request: CallerRequest) -> CallerAnswer:
-    """Return the style sheet."""
-    text = _templates().get_template("console.css").render()
+    """Return the style sheet of the console."""
+    text = _environment().get_template("console.css").render()
     return CallerAnswer(
         request_id=request.request_id,
         status=200,
@@ -72,8 +73,8 @@
 
 
 @functools.cache
-def _templates() -> jinja2.Environment:
-    # Imported with the first page: most entry hosts never show one.
+def _environment() -> jinja2.Environment:
+    # Import Jinja when the first page is shown: most entry hosts never show one.
     import jinja2
 
     return jinja2.Environment(
--- a/ryelever/console/assembly.py
+++ b/ryelever/console/assembly.py
@@ -1,4 +1,4 @@
-"""Join the console with the parts of one process."""
+"""Connect the console to the other components of the process."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 __all__ = ["console_of"]
 
-#: Seconds after which a silent peer no longer counts among the entry hosts.
-PEER_MAX_AGE = 10.0
+#: Seconds of silence after which a peer no longer counts among the known entry hosts.
+MAX_PEER_SILENCE = 10.0
 
 
 def console_of(application: EntryHost) -> Console:
@@ -41,7 +41,7 @@
     now = time.monotonic()
     for address, peer in exchange.peers_by_address.items():
         version = exchange.configuration.versions_by_address.get(address)
-        alive = peer.current is not None and now - peer.heard_at <= PEER_MAX_AGE
+        alive = peer.current is not None and now - peer.heard_at <= MAX_PEER_SILENCE
         if alive and version is not None:
             versions_by_host[peer.name or address] = version
     return versions_by_host
--- a/ryelever/console/drafting.py
+++ b/ryelever/console/draft_pages.py
@@ -1,4 +1,4 @@
-"""Show a draft for editing, and what would change if it were published."""
+"""Show drafts of the configuration document for editing and for review."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING, Any
 
 from ..protocol.configuration_document import canonical, check_document, difference
-from .answers import page
-from .forms import Draft, draft_of_document, draft_of_form, make_keys
-from .sections import SECTIONS, WEIGHTS
+from .answers import render_page
+from .forms import Draft, draft_of_document, draft_of_form, generate_keys
+from .sections import SECTIONS, WEIGHT_NAMES
 
 if TYPE_CHECKING:
     from ..events import CallerAnswer, CallerRequest
@@ -18,24 +18,27 @@
     from .access import Access
     from .sessions import Session
 
-__all__ = ["Drafting", "draft_of", "holds_draft", "whole_number"]
+__all__ = ["DraftPages", "has_draft", "parse_draft", "parse_version"]
 
 Fields = dict[str, str]
 
 
-class Drafting:
-    """Own the pages on which a draft travels."""
+class DraftPages:
+    """Build the pages that show or carry a draft.
+
+    Entry hosts do not store drafts: each page contains the whole draft in its form.
+    """
 
     def __init__(self, *, access: Access, configuration: ConfigurationFold) -> None:
         self._access = access
         self._configuration = configuration
 
-    def show(
+    def signed_in_page(
         self, request: CallerRequest, template: str, session: Session, **context: Any
     ) -> CallerAnswer:
-        """Return a page for a signed-in operator."""
+        """Return a page for a signed-in operator, rendered from a template."""
         fold = self._configuration
-        return page(
+        return render_page(
             request,
             template,
             session=session,
@@ -46,27 +49,27 @@
         )
 
     def edit_current(self, request: CallerRequest, session: Session) -> CallerAnswer:
-        """Begin a draft with the document in force."""
+        """Show a new draft that starts from the document in force."""
         draft = draft_of_document(self._configuration.configuration)
         return self.edit_page(request, session, draft)
 
-    def edit_on(
+    def continue_editing(
         self, request: CallerRequest, session: Session, fields: Fields
     ) -> CallerAnswer:
         """Show a posted draft for further editing."""
-        if not holds_draft(fields):
-            return self.damaged(request, session)
+        if not has_draft(fields):
+            return self.refuse_damaged(request, session)
         return self.edit_page(
             request,
             session,
-            draft_of(fields),
+            parse_draft(fields),
             base_version=fields.get("base_version"),
         )
 
-    def damaged(self, request: CallerRequest, session: Session) -> CallerAnswer:
-        """Refuse a form that holds no draft."""
-        message = "This form is damaged, so nothing was done. Edit again."
-        return self._access.told(request, session, message, status=400)
+    def refuse_damaged(self, request: CallerRequest, session: Session) -> CallerAnswer:
+        """Refuse a form that contains no readable draft."""
+        message = "This form is damaged, so nothing was done. Start editing again."
+        return self._access.refusal_page(request, session, message, status=400)
 
     def edit_page(
         self,
@@ -80,16 +83,16 @@
         status: int = 200,
         headers: dict[str, str] | None = None,
     ) -> CallerAnswer:
-        """Show a draft with every fault beside its field."""
+        """Return the edit form of a draft, with each fault beside its field."""
         version = self._configuration.version
-        return self.show(
+        return self.signed_in_page(
             request,
             "edit.html",
             session,
             status=status,
             headers=headers,
             sections=SECTIONS,
-            weight_names=WEIGHTS,
+            weight_names=WEIGHT_NAMES,
             draft=draft,
             faults=faults or [],
             base_version=version if base_version is None else base_version,
@@ -99,10 +102,10 @@
     def review(
         self, request: CallerRequest, session: Session, fields: Fields
     ) -> CallerAnswer:
-        """Show what a posted draft would change, or its faults."""
-        if "add" in fields or not holds_draft(fields):
-            return self.edit_on(request, session, fields)
-        draft = draft_of(fields)
+        """Show the changes that a posted draft would make, or its faults."""
+        if "add" in fields or not has_draft(fields):
+            return self.continue_editing(request, session, fields)
+        draft = parse_draft(fields)
         checked = check_document(draft.encoded())
         faults = draft.faults + (checked.error if checked.is_error() else [])
         if faults:
@@ -114,7 +117,7 @@
                 faults=faults,
                 status=422,
             )
-        keys_by_account = make_keys(draft)
+        keys_by_account = generate_keys(draft)
         document = check_document(draft.encoded()).ok
         return self._review_page(
             request, session, document, fields, keys_by_account=keys_by_account
@@ -130,8 +133,8 @@
         keys_by_account: dict[str, str],
     ) -> CallerAnswer:
         fold = self._configuration
-        base_version = whole_number(fields.get("base_version", ""))
-        return self.show(
+        base_version = parse_version(fields.get("base_version", ""))
+        return self.signed_in_page(
             request,
             "review.html",
             session,
@@ -145,25 +148,26 @@
         )
 
 
-def holds_draft(fields: Fields) -> bool:
-    """Tell whether a form holds a draft that can be shown again."""
+def has_draft(fields: Fields) -> bool:
+    """Return whether a form contains a draft that can be shown again."""
     if "base_version" not in fields:
         return False
     document = fields.get("document")
     return document is None or check_document(document.encode()).is_ok()
 
 
-def draft_of(fields: Fields) -> Draft:
-    """Return the draft of an edit form, or of a form that holds a document."""
+def parse_draft(fields: Fields) -> Draft:
+    """Return the draft in an edit form, or in a form that contains a whole document."""
     if "document" in fields:
         return draft_of_document(check_document(fields["document"].encode()).ok)
     return draft_of_form(fields)
 
 
-def whole_number(text: str) -> int:
-    """Return a version that came with a form.
+def parse_version(text: str) -> int:
+    """Return the version number in a form field, or -2 if it is unreadable.
 
-    An unreadable one is below every version, and so never taken for the current.
+    -2 is below every version, so that an unreadable field never matches the version in
+    force.
     """
     digits = text.removeprefix("-")
     readable = digits.isdecimal() and digits.isascii() and len(digits) <= 18
--- a/ryelever/console/forms.py
+++ b/ryelever/console/forms.py
@@ -1,7 +1,7 @@
-"""Turn the fields of the edit form into a document, and a document into fields.
+"""Convert between the fields of the edit form and a configuration document.
 
-A draft travels in the form itself: entry hosts keep nothing, and the next request
-may reach another one.  Field names are ``<section>.<row>.<field>``.
+The form itself contains the whole draft: entry hosts store no drafts, and an operator's
+next request may reach another entry host.  Field names are ``<section>.<row>.<field>``.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from ..errors import Category, RyeleverError
 from ..faults import Fault
 from ..state.configuration_check import place_of
-from .sections import SECTIONS, WEIGHTS, Section, read_number
+from .sections import SECTIONS, WEIGHT_NAMES, Section, parse_number
 
 if TYPE_CHECKING:
     from expression import Result
@@ -31,23 +31,23 @@
     "Row",
     "draft_of_document",
     "draft_of_form",
-    "make_keys",
+    "generate_keys",
     "read_form",
 ]
 
-#: Longest form, in bytes, and the most fields in one.
-MAX_FORM = 512 * 1024
+#: Longest form that is accepted, in bytes, and the largest number of its fields.
+MAX_FORM_BYTES = 512 * 1024
 MAX_FIELDS = 20_000
 
-#: Stands for the hash of a key that is made once the draft has no fault.
-_KEY_TO_COME = hash_key("", salt="0" * 16)
+#: Placeholder for the hash of a key that is generated once the draft has no faults.
+_PLACEHOLDER_KEY_HASH = hash_key("", salt="0" * 16)
 
 _ROW_FIELD = re.compile(r"([a-z_]+)\.(\d{1,5})\.[a-z_]+")
 
 
 @dataclass(slots=True, kw_only=True)
 class Row:
-    """Hold one entry of a section as it stands in the form."""
+    """Represent one entry of a section, with its values as text from the form."""
 
     index: int
     name: str = ""
@@ -57,13 +57,13 @@
     make_key: bool = False
 
     @property
-    def wants_key(self) -> bool:
-        """Tell whether a new key is to be made for this client account."""
+    def needs_new_key(self) -> bool:
+        """Return whether a new key must be generated for this client account."""
         return self.make_key or not self.key_hash
 
     @property
     def is_blank(self) -> bool:
-        """Tell whether nothing was typed into it."""
+        """Return whether all text fields of the row are empty."""
         return not self.name.strip() and not any(
             value.strip() for value in self.values.values()
         )
@@ -71,16 +71,17 @@
 
 @dataclass(slots=True, kw_only=True)
 class Draft:
-    """Hold the document that is being edited.
+    """Represent a configuration document that is being edited.
 
     Attributes
     ----------
     rows_by_section : dict of str to list of Row
-        What the form shows.
+        Rows of the form.
     document : dict
-        The same as a document, not checked yet.
+        The draft as a document that has not been checked yet.
     faults : list of Fault
-        What a document cannot show any more, such as two entries of one name.
+        Faults that the document cannot represent, such as two entries with the same
+        name.
     """
 
     rows_by_section: dict[str, list[Row]]
@@ -89,16 +90,17 @@
     faults: list[Fault] = field(default_factory=list)
 
     def encoded(self) -> bytes:
-        """Return the document as JSON."""
+        """Return the document encoded as JSON."""
         return json.dumps(self.document).encode()
 
 
 def read_form(body: bytes) -> Result[dict[str, str], RyeleverError]:
-    """Return the fields of a posted form."""
-    if len(body) > MAX_FORM:
+    """Return the fields of a posted form, or an error if it is too large or invalid."""
+    if len(body) > MAX_FORM_BYTES:
         return Error(
             RyeleverError(
-                f"the form is longer than {MAX_FORM} bytes; publish in smaller steps",
+                f"the form is longer than {MAX_FORM_BYTES} bytes; "
+                "publish in smaller steps",
                 category=Category.TOO_LARGE,
                 step="read_form",
             )
@@ -125,26 +127,28 @@
 def draft_of_form(fields: dict[str, str]) -> Draft:
     """Return the draft that a posted edit form describes."""
     draft = Draft(
-        rows_by_section={section.name: _rows(section, fields) for section in SECTIONS},
-        weights={name: fields.get(f"weights.{name}", "") for name in WEIGHTS},
+        rows_by_section={
+            section.name: _rows_of_form(section, fields) for section in SECTIONS
+        },
+        weights={name: fields.get(f"weights.{name}", "") for name in WEIGHT_NAMES},
     )
     for section in SECTIONS:
-        draft.document[section.name] = _entries(draft, section)
+        draft.document[section.name] = _entries_of_draft(draft, section)
     draft.document["weights"] = {
-        name: read_number(text) for name, text in draft.weights.items() if text.strip()
+        name: parse_number(text) for name, text in draft.weights.items() if text.strip()
     }
     return draft
 
 
-def make_keys(draft: Draft) -> dict[str, str]:
-    """Make the keys that a draft asks for and return them by client account.
+def generate_keys(draft: Draft) -> dict[str, str]:
+    """Generate the new keys that a draft needs, and return them by client account.
 
-    Only their salted hashes go into the draft, so this is the one time that they
-    can be shown.
+    The draft stores only the salted hashes of the keys, so that the caller can show the
+    keys this one time only.
     """
     keys_by_account = {}
     for row in draft.rows_by_section["client_accounts"]:
-        if row.wants_key:
+        if row.needs_new_key:
             key = new_key(row.name)
             draft.document["client_accounts"][row.name]["key_hash"] = hash_key(key)
             keys_by_account[row.name] = key
@@ -152,38 +156,40 @@
 
 
 def draft_of_document(configuration: Configuration) -> Draft:
-    """Return the draft that shows a checked document."""
+    """Return a draft with the contents of a checked document."""
     document = msgspec.to_builtins(configuration)
     return Draft(
         rows_by_section={
-            section.name: _rows_of(section, document[section.name])
+            section.name: _rows_of_document(section, document[section.name])
             for section in SECTIONS
         },
-        weights={name: f"{document['weights'][name]:g}" for name in WEIGHTS},
+        weights={name: f"{document['weights'][name]:g}" for name in WEIGHT_NAMES},
         document=document,
     )
 
 
-def _rows_of(section: Section, entries: dict[str, Any]) -> list[Row]:
+def _rows_of_document(section: Section, entries: dict[str, Any]) -> list[Row]:
     return [
         Row(
             index=index,
             name=name,
-            values={each.name: each.show(entry[each.name]) for each in section.fields},
+            values={
+                each.name: each.format(entry[each.name]) for each in section.fields
+            },
             key_hash=entry.get("key_hash", ""),
         )
         for index, (name, entry) in enumerate(sorted(entries.items()))
     ]
 
 
-def _rows(section: Section, fields: dict[str, str]) -> list[Row]:
+def _rows_of_form(section: Section, fields: dict[str, str]) -> list[Row]:
     matches = (_ROW_FIELD.fullmatch(name) for name in fields)
     indices = {int(match[2]) for match in matches if match and match[1] == section.name}
-    rows = [_row(section, index, fields) for index in sorted(indices)]
+    rows = [_row_of_form(section, index, fields) for index in sorted(indices)]
     return [row for row in rows if not row.remove and not row.is_blank]
 
 
-def _row(section: Section, index: int, fields: dict[str, str]) -> Row:
+def _row_of_form(section: Section, index: int, fields: dict[str, str]) -> Row:
     prefix = f"{section.name}.{index}."
     return Row(
         index=index,
@@ -197,28 +203,28 @@
     )
 
 
-def _entries(draft: Draft, section: Section) -> dict[str, Any]:
+def _entries_of_draft(draft: Draft, section: Section) -> dict[str, Any]:
     entries: dict[str, Any] = {}
     for row in draft.rows_by_section[section.name]:
         if row.name in entries:
             draft.faults.append(
                 Fault(
                     place=place_of(section.name, row.name),
-                    expected=f"one {section.one} of this name",
+                    expected=f"only one {section.one} with this name",
                     remedy="rename one of them, or remove it",
                 )
             )
-        entries[row.name] = _entry(section, row)
+        entries[row.name] = _entry_of_row(section, row)
     return entries
 
 
-def _entry(section: Section, row: Row) -> dict[str, Any]:
-    # An empty field leaves its default to the document's own declaration.
+def _entry_of_row(section: Section, row: Row) -> dict[str, Any]:
+    # An empty field is left out, so that the document applies its default value.
     entry = {
-        each.name: each.read(text.strip())
+        each.name: each.parse(text.strip())
         for each in section.fields
         if (text := row.values[each.name]).strip()
     }
     if section.name == "client_accounts":
-        entry["key_hash"] = _KEY_TO_COME if row.wants_key else row.key_hash
+        entry["key_hash"] = _PLACEHOLDER_KEY_HASH if row.needs_new_key else row.key_hash
     return entry
--- a/ryelever/console/pages.py
+++ b/ryelever/console/pages.py
@@ -1,7 +1,7 @@
-"""Answer the operators' forms.
+"""Answer the requests of the operators' console.
 
-Every change goes the same way: edit, review the difference, publish, read back what
-became of it.  Only reading back tells the outcome.
+Every change takes the same steps: edit a draft, review the differences, publish, and
+read the publication back from the log.  Only reading it back shows the outcome.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from ..state.records import Publication
 from .access import Access
 from .answers import redirect, style_sheet
-from .drafting import Drafting, draft_of, holds_draft, whole_number
+from .draft_pages import DraftPages, has_draft, parse_draft, parse_version
 from .forms import read_form
 from .publications import OutcomeKind, outcome_of
 
@@ -37,21 +37,21 @@
 
 __all__ = ["Console"]
 
-#: Seconds for which the answer to a publication waits for the log.
-PUBLISH_WAIT = 3.0
+#: Seconds for which the answer to a publication waits until it is read back.
+READ_BACK_TIMEOUT = 3.0
 
-#: Publications that were ignored lately and are shown beside the document.
-N_SHOWN_IGNORED = 10
+#: Number of recently ignored publications that are shown below the document.
+MAX_SHOWN_IGNORED = 10
 
-#: A record id as ``uuid.uuid4().hex`` makes it.
+#: Record id in the form of ``uuid.uuid4().hex``.
 _RECORD_ID = re.compile(r"[0-9a-f]{32}")
 
 Fields = dict[str, str]
 
 
 @dataclass(slots=True, kw_only=True)
-class _Waiting:
-    """Hold a publication whose answer waits until it is read back."""
+class _PendingPublication:
+    """Represent a publication that is answered once it is read back from the log."""
 
     request: CallerRequest
     session: Session
@@ -60,20 +60,21 @@
 
 
 class Console(BaseComponent):
-    """Own the console of one entry host.
+    """Serve the console of one entry host.
 
     Parameters
     ----------
     configuration : ConfigurationFold
-        What is in force.
+        Fold with the configuration in force.
     status : Status
-        What the status page shows.
+        Source of the contents of the status page.
     versions_by_host : callable
-        Return the version in force at each entry host that is known of.
+        Return the version in force at each known entry host.
     log_age : callable
         Return the seconds since the end of the log was last read; None if never.
     wall_clock, clock : callable
-        Seconds since the epoch, for sessions; monotonic seconds, for all else.
+        Return seconds since the epoch, used for sessions, and monotonic seconds, used
+        for everything else.
     """
 
     channel = "console"
@@ -93,52 +94,63 @@
         self._access = Access(
             operator_key=operator_key, wall_clock=wall_clock, clock=clock
         )
-        self._drafting = Drafting(access=self._access, configuration=configuration)
+        self._draft_pages = DraftPages(access=self._access, configuration=configuration)
         self._configuration = configuration
         self._status = status
         self._versions_by_host = versions_by_host
         self._log_age = log_age
         self._clock = clock
-        self._waiting: list[_Waiting] = []
+        self._pending: list[_PendingPublication] = []
 
     def pages(self) -> dict[str, Callable[[CallerRequest], CallerAnswer | None]]:
-        """Return the pages by path; None means that the answer comes later."""
-        reading, posting, drafting = self._reading, self._posting, self._drafting
+        """Return the request handlers by path.
+
+        A handler returns None when its answer is sent later, by an event.
+        """
+        with_session, with_form, draft_pages = (
+            self._with_session,
+            self._with_form,
+            self._draft_pages,
+        )
         return {
-            "/console": reading(self._home),
-            "/console/": reading(self._home),
+            "/console": with_session(self._home),
+            "/console/": with_session(self._home),
             "/console/console.css": style_sheet,
             "/console/sign-in": self._sign_in,
-            "/console/sign-out": posting(self._sign_out),
-            "/console/document": reading(self._show_document),
-            "/console/status": reading(self._show_status),
-            "/console/outcome": reading(self._show_outcome),
+            "/console/sign-out": with_form(self._sign_out),
+            "/console/document": with_session(self._show_document),
+            "/console/status": with_session(self._show_status),
+            "/console/outcome": with_session(self._show_outcome),
             "/console/edit": self._edit,
-            "/console/review": posting(drafting.review),
-            "/console/publish": posting(self._publish),
+            "/console/review": with_form(draft_pages.review),
+            "/console/publish": with_form(self._publish),
         }
 
     @property
     def n_waiting(self) -> int:
-        """Return how many publications wait to be read back and answered."""
-        return len(self._waiting)
+        """Return the number of publications that wait to be read back and answered."""
+        return len(self._pending)
 
-    # Who asks
+    # Checks of the session and the form
 
-    def _reading(
-        self, show: Callable[[CallerRequest, Session], CallerAnswer]
+    def _with_session(
+        self, handle: Callable[[CallerRequest, Session], CallerAnswer]
     ) -> Callable[[CallerRequest], CallerAnswer]:
+        """Return a handler that redirects to the sign-in form without a session."""
+
         def answer(request: CallerRequest) -> CallerAnswer:
             session = self._access.session_of(request)
             if session is None:
                 return redirect(request, "/console/sign-in")
-            return show(request, session)
+            return handle(request, session)
 
         return answer
 
-    def _posting(
-        self, act: Callable[[CallerRequest, Session, Fields], CallerAnswer | None]
+    def _with_form(
+        self, handle: Callable[[CallerRequest, Session, Fields], CallerAnswer | None]
     ) -> Callable[[CallerRequest], CallerAnswer | None]:
+        """Return a handler that checks the session and the form token of a POST."""
+
         def answer(request: CallerRequest) -> CallerAnswer | None:
             if request.method != "POST":
                 return redirect(request, "/console")
@@ -148,12 +160,14 @@
                 too_large = form.error.category is Category.TOO_LARGE
                 status = 413 if too_large else 400
                 message = form.error.message
-                return self._access.told(request, session, message, status=status)
+                return self._access.refusal_page(
+                    request, session, message, status=status
+                )
             if session is None:
                 return self._access.sign_in_again(request, form.ok)
-            if not self._access.is_own_form(form.ok, session):
+            if not self._access.is_form_of_session(form.ok, session):
                 return self._refuse_forged(request, session, form.ok)
-            return act(request, session, form.ok)
+            return handle(request, session, form.ok)
 
         return answer
 
@@ -161,13 +175,13 @@
         self, request: CallerRequest, session: Session, fields: Fields
     ) -> CallerAnswer:
         message = (
-            "This form was not made for your present session, so nothing was done. "
-            "Look through it before you go on."
+            "This form does not belong to your current session, so nothing was done. "
+            "Check its contents before you continue."
         )
-        if not holds_draft(fields):
-            return self._access.told(request, session, message, status=403)
-        return self._drafting.edit_page(
-            request, session, draft_of(fields), status=403, message=message
+        if not has_draft(fields):
+            return self._access.refusal_page(request, session, message, status=403)
+        return self._draft_pages.edit_page(
+            request, session, parse_draft(fields), status=403, message=message
         )
 
     # Signing in and out
@@ -176,23 +190,23 @@
         return redirect(request, "/console/document")
 
     def _sign_in(self, request: CallerRequest) -> CallerAnswer:
-        return self._access.sign_in(request, self._signed_in)
+        return self._access.sign_in(request, self._after_sign_in)
 
-    def _signed_in(
+    def _after_sign_in(
         self,
         request: CallerRequest,
         session: Session,
         carried: Fields,
         headers: dict[str, str],
     ) -> CallerAnswer:
-        if not holds_draft(carried):
+        if not has_draft(carried):
             return redirect(request, "/console/document", headers=headers)
-        return self._drafting.edit_page(
+        return self._draft_pages.edit_page(
             request,
             session,
-            draft_of(carried),
+            parse_draft(carried),
             base_version=carried["base_version"],
-            message="You are signed in again; here is your draft.",
+            message="You are signed in again. This is your draft.",
             headers=headers,
         )
 
@@ -201,22 +215,24 @@
     ) -> CallerAnswer:
         return self._access.sign_out(request)
 
-    # Reading
+    # Pages that only show
 
     def _show_document(self, request: CallerRequest, session: Session) -> CallerAnswer:
-        return self._drafting.show(
+        return self._draft_pages.signed_in_page(
             request,
             "document.html",
             session,
             configuration=self._configuration.configuration,
-            ignored=list(reversed(self._configuration.ignored[-N_SHOWN_IGNORED:])),
+            ignored=list(reversed(self._configuration.ignored[-MAX_SHOWN_IGNORED:])),
             versions_by_host=self._versions_by_host(),
             log_age=self._log_age(),
         )
 
     def _show_status(self, request: CallerRequest, session: Session) -> CallerAnswer:
         view = self._status.view(now=self._clock())
-        return self._drafting.show(request, "status.html", session, view=view)
+        return self._draft_pages.signed_in_page(
+            request, "status.html", session, view=view
+        )
 
     def _show_outcome(self, request: CallerRequest, session: Session) -> CallerAnswer:
         record_id = parse_qs(request.query).get("id", [""])[0]
@@ -224,8 +240,8 @@
 
     def _edit(self, request: CallerRequest) -> CallerAnswer | None:
         if request.method == "POST":
-            return self._posting(self._drafting.edit_on)(request)
-        return self._reading(self._drafting.edit_current)(request)
+            return self._with_form(self._draft_pages.continue_editing)(request)
+        return self._with_session(self._draft_pages.edit_current)(request)
 
     # Publishing
 
@@ -235,9 +251,9 @@
         checked = check_document(fields.get("document", "").encode())
         record_id = fields.get("record_id", "")
         if checked.is_error() or not _is_record_id(record_id):
-            return self._drafting.damaged(request, session)
+            return self._draft_pages.refuse_damaged(request, session)
         record = Publication(
-            base_version=whole_number(fields.get("base_version", "")),
+            base_version=parse_version(fields.get("base_version", "")),
             author=session.operator,
             document=checked.ok,
         )
@@ -246,36 +262,39 @@
             stream=CONFIGURATION_STREAM, record_id=record_id, record=record
         )
         self.fire(append_record(action), "streams")
-        self._waiting.append(
-            _Waiting(
+        self._pending.append(
+            _PendingPublication(
                 request=request,
                 session=session,
                 fields=fields,
-                deadline=self._clock() + PUBLISH_WAIT,
+                deadline=self._clock() + READ_BACK_TIMEOUT,
             )
         )
         return None
 
     @handler("control_tick")
     def _on_control_tick(self) -> None:
-        if not self._waiting:
+        if not self._pending:
             return
         now = self._clock()
-        waiting, self._waiting = self._waiting, []
+        waiting, self._pending = self._pending, []
         for each in waiting:
             outcome = outcome_of(each.fields["record_id"], self._configuration)
             if outcome.kind is OutcomeKind.NOT_READ_BACK and now < each.deadline:
-                self._waiting.append(each)
+                self._pending.append(each)
                 continue
-            answer = self._published(each, outcome.kind)
+            answer = self._publication_answer(each, outcome.kind)
             self.fire(caller_answer(answer), "callers")
 
-    def _published(self, waiting: _Waiting, kind: OutcomeKind) -> CallerAnswer:
+    def _publication_answer(
+        self, waiting: _PendingPublication, kind: OutcomeKind
+    ) -> CallerAnswer:
         if kind in (OutcomeKind.IN_FORCE, OutcomeKind.REPLACED):
             record_id = quote(waiting.fields["record_id"])
             return redirect(waiting.request, f"/console/outcome?id={record_id}")
-        # A draft that lost the race or is not read back yet must not be lost: the
-        # answer carries it, to be edited or published again under the same id.
+        # The page includes the draft of a publication that lost a race or is not read
+        # back yet.  The operator can edit the draft, or publish it again under the same
+        # id, instead of losing it.
         return self._outcome_page(waiting.request, waiting.session, waiting.fields)
 
     def _outcome_page(
@@ -283,7 +302,7 @@
     ) -> CallerAnswer:
         record_id = fields["record_id"]
         outcome = outcome_of(record_id, self._configuration)
-        return self._drafting.show(
+        return self._draft_pages.signed_in_page(
             request,
             "outcome.html",
             session,
--- a/ryelever/console/publications.py
+++ b/ryelever/console/publications.py
@@ -1,4 +1,4 @@
-"""Tell what became of a publication, by what was read back from the log."""
+"""Determine the outcome of a publication from the records read back from the log."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class OutcomeKind(enum.Enum):
-    """Say what is known of a publication."""
+    """Enumerate the possible states of a publication at this entry host."""
 
     IN_FORCE = "in force"
     REPLACED = "accepted, and replaced since"
@@ -26,14 +26,15 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Outcome:
-    """Hold what is known of a publication at this entry host.
+    """Represent the outcome of a publication, as far as this entry host knows.
 
     Attributes
     ----------
     version : int
-        Its offset in the log; -1 while it was not read back.
+        Offset of the publication in the log; -1 until the record is read back.
     reason : str
-        Why it was rejected; names the version that won.
+        Why the publication was rejected or not evaluated; after a lost race, with the
+        version that won.
     """
 
     kind: OutcomeKind
@@ -42,21 +43,21 @@
 
 
 def outcome_of(record_id: str, fold: ConfigurationFold) -> Outcome:
-    """Return what the fold knows of the record with this id.
+    """Return the outcome of the publication with this record id.
 
-    The answer to the append plays no part: it can be lost after the record was
-    taken, and it says nothing of a race.  Nor is acceptance concluded from the lack
-    of a rejection: a host that took a newer version from a peer has not judged the
-    records below it.
+    The answer to the append is not considered: it can be lost after the record was
+    appended, and it does not show whether the publication won a race.  A missing
+    rejection does not imply acceptance either: a host that adopted a newer version
+    from a peer has not evaluated the records before that version.
     """
     offset = fold.offset_of(record_id)
     if offset is None:
         return Outcome(kind=OutcomeKind.NOT_READ_BACK)
     for ignored in fold.ignored:
-        # A repeated append is ignored under the same id at a later offset.
+        # A repeated append is also in this list, with the same id and a later offset.
         if ignored.id == record_id and ignored.offset == offset:
-            judged = not ignored.reason.startswith(NOT_JUDGED)
-            kind = OutcomeKind.REJECTED if judged else OutcomeKind.UNKNOWN
+            was_evaluated = not ignored.reason.startswith(NOT_JUDGED)
+            kind = OutcomeKind.REJECTED if was_evaluated else OutcomeKind.UNKNOWN
             return Outcome(kind=kind, version=offset, reason=ignored.reason)
     if fold.version == offset:
         return Outcome(kind=OutcomeKind.IN_FORCE, version=offset)
--- a/ryelever/console/sections.py
+++ b/ryelever/console/sections.py
@@ -1,4 +1,4 @@
-"""Declare the sections of the edit form and how each field is read and shown."""
+"""Declare the sections of the edit form, and how fields are parsed and formatted."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-__all__ = ["SECTIONS", "WEIGHTS", "Field", "Section", "read_number"]
+__all__ = ["SECTIONS", "WEIGHT_NAMES", "Field", "Section", "parse_number"]
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
@@ -15,24 +15,31 @@
 
     Attributes
     ----------
-    read : callable
-        Return the document's value of what was typed.  What cannot be read stays a
-        text, so that the check of the document names it.
-    show : callable
-        Return what stands in the field for a document's value.
+    parse : callable
+        Return the value for the document that the entered text stands for.  Text that
+        cannot be parsed is returned unchanged, so that the check of the document
+        reports it.
+    format : callable
+        Return the text that the field shows for a value of the document.
     """
 
     name: str
     label: str
     hint: str
-    read: Callable[[str], Any] = str
-    show: Callable[[Any], str] = str
+    parse: Callable[[str], Any] = str
+    format: Callable[[Any], str] = str
     multiline: bool = False
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Section:
-    """Describe one section of the document."""
+    """Describe one section of the document.
+
+    Attributes
+    ----------
+    one : str
+        Noun for a single entry, as shown to operators.
+    """
 
     name: str
     title: str
@@ -40,8 +47,8 @@
     fields: tuple[Field, ...]
 
 
-def read_number(text: str) -> Any:
-    """Return the number that a text shows, or the text itself."""
+def parse_number(text: str) -> Any:
+    """Return the number that a text represents, or the text itself if it is none."""
     try:
         return int(text)
     except ValueError:
@@ -52,25 +59,25 @@
         return text
 
 
-def _lines(text: str) -> list[str]:
+def _parse_lines(text: str) -> list[str]:
     return [line.strip() for line in text.splitlines() if line.strip()]
 
 
-def _pairs(text: str) -> dict[str, str]:
-    pairs = (line.partition("=") for line in _lines(text))
+def _parse_pairs(text: str) -> dict[str, str]:
+    pairs = (line.partition("=") for line in _parse_lines(text))
     return {name.strip(): value.strip() for name, _, value in pairs}
 
 
-def _show_lines(values: Any) -> str:
+def _format_lines(values: Any) -> str:
     return "\n".join(str(value) for value in values)
 
 
-def _show_pairs(values: Any) -> str:
+def _format_pairs(values: Any) -> str:
     return "\n".join(f"{name} = {value}" for name, value in values.items())
 
 
 _PRIORITY = Field(
-    name="priority", label="Priority", hint="higher goes first", read=read_number
+    name="priority", label="Priority", hint="higher values go first", parse=parse_number
 )
 
 SECTIONS: tuple[Section, ...] = (
@@ -79,26 +86,26 @@
         title="Models",
         one="model",
         fields=(
-            Field(name="version", label="Version", hint="as the weight store names it"),
+            Field(name="version", label="Version", hint="as named in the weight store"),
             Field(
                 name="hosts_per_group",
                 label="Hosts per group",
-                hint="members of one replica",
-                read=read_number,
+                hint="members of one replica group",
+                parse=parse_number,
             ),
             Field(
                 name="n_groups",
                 label="Groups",
                 hint="wanted in each availability zone",
-                read=read_number,
+                parse=parse_number,
             ),
             _PRIORITY,
             Field(
                 name="adapters",
                 label="Adapters",
-                hint="one a line: name = version",
-                read=_pairs,
-                show=_show_pairs,
+                hint="one per line: name = version",
+                parse=_parse_pairs,
+                format=_format_pairs,
                 multiline=True,
             ),
         ),
@@ -112,27 +119,27 @@
             Field(
                 name="share",
                 label="Share of capacity",
-                hint="0 to 1; all together at most 1",
-                read=read_number,
+                hint="0 to 1; at most 1 over all client accounts",
+                parse=parse_number,
             ),
             Field(
                 name="rate",
                 label="Rate",
-                hint="requests a second, over all entry hosts",
-                read=read_number,
+                hint="requests per second, over all entry hosts",
+                parse=parse_number,
             ),
             Field(
                 name="concurrency",
                 label="Concurrency",
                 hint="requests in flight, over all entry hosts",
-                read=read_number,
+                parse=parse_number,
             ),
             Field(
                 name="models",
                 label="Models",
-                hint="one a line; all when empty",
-                read=_lines,
-                show=_show_lines,
+                hint="one per line; empty means all",
+                parse=_parse_lines,
+                format=_format_lines,
                 multiline=True,
             ),
         ),
@@ -145,13 +152,13 @@
             Field(
                 name="non_repeatable",
                 label="Calls that run at most once",
-                hint="path prefixes, one a line, such as /bookings",
-                read=_lines,
-                show=_show_lines,
+                hint="path prefixes, one per line, such as /bookings",
+                parse=_parse_lines,
+                format=_format_lines,
                 multiline=True,
             ),
         ),
     ),
 )
 
-WEIGHTS = ("group_downtime", "stranded_accelerators")
+WEIGHT_NAMES = ("group_downtime", "stranded_accelerators")
--- a/ryelever/console/sessions.py
+++ b/ryelever/console/sessions.py
@@ -1,8 +1,8 @@
-"""Sign operators in, and protect their forms against forgery.
+"""Issue and verify operators' sessions, and protect forms against forgery.
 
-Any entry host may get an operator's next request, and none keeps anything.  A
-session is therefore a signed token in a cookie; every entry host derives the same
-signing key from the operator key and so accepts it.
+Any entry host may receive an operator's next request, and entry hosts store no
+sessions.  A session is therefore a signed token in a cookie.  Every entry host derives
+the same signing key from the operator key and can verify the token.
 """
 
 from __future__ import annotations
@@ -18,32 +18,35 @@
 
 __all__ = ["Session", "Sessions", "SignInLimit"]
 
-#: Seconds for which a session lasts.
-SESSION_LIFE = 3600.0
+#: Lifetime of a session, in seconds.
+SESSION_LIFETIME = 3600.0
 
-#: Seconds by which the clocks of two entry hosts may differ.
+#: Largest tolerated difference between the clocks of two entry hosts, in seconds.
 MAX_CLOCK_SKEW = 60.0
 
-#: Failed sign-ins that are answered at once, and seconds after which one more is.
-N_FAILED_AT_ONCE = 5
-FAILED_INTERVAL = 10.0
+#: Failed sign-ins that are allowed in a burst, and seconds until another one is
+#: allowed.
+MAX_FAILURE_BURST = 5
+FAILURE_INTERVAL = 10.0
 
-#: Longest cookie that is looked at, in bytes.
-MAX_TOKEN = 1024
+#: Longest session token that is verified, in bytes.
+MAX_TOKEN_BYTES = 1024
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Session:
-    """Hold what a session token says.
+    """Represent the contents of a session token.
 
     Attributes
     ----------
     operator : str
-        Name that the operator gave; the author of what is published.
+        Name that the operator entered at the sign-in; recorded as the author of
+        publications.
     nonce : str
-        Makes each session's form token a different one.
+        Random value that makes the form token of each session different.
     started_at : float
-        Wall-clock time, seconds since the epoch: hosts share no other clock.
+        Time of the sign-in, in seconds since the epoch.  The wall clock is the only
+        clock that entry hosts share.
     """
 
     operator: str
@@ -52,29 +55,29 @@
 
 
 class Sessions:
-    """Sign and check session tokens and the form tokens bound to them.
+    """Sign and verify session tokens and the form tokens bound to them.
 
     Parameters
     ----------
     operator_key : str
-        Key from the settings; nobody can sign in while it is empty.
+        Key from the settings.  Signing in is disabled while the key is empty.
     """
 
     def __init__(self, *, operator_key: str) -> None:
         self._operator_key = operator_key.encode()
-        self._signing_key = _derived(self._operator_key, b"console session")
-        self._form_key = _derived(self._operator_key, b"console form")
+        self._signing_key = _derive(self._operator_key, b"console session")
+        self._form_key = _derive(self._operator_key, b"console form")
 
     @property
     def enabled(self) -> bool:
-        """Tell whether there is a key to sign in with."""
+        """Return whether an operator key is set."""
         return bool(self._operator_key)
 
-    def is_key(self, given: str) -> bool:
-        """Tell in constant time whether this is the operator key."""
+    def is_operator_key(self, candidate: str) -> bool:
+        """Return whether the candidate is the operator key, in constant time."""
         return self.enabled and hmac.compare_digest(
-            _derived(self._operator_key, b"compare"),
-            _derived(given.encode("utf-8", "surrogatepass"), b"compare"),
+            _derive(self._operator_key, b"compare"),
+            _derive(candidate.encode("utf-8", "surrogatepass"), b"compare"),
         )
 
     def start(self, operator: str, *, now: float) -> str:
@@ -86,9 +89,9 @@
         return f"{content.decode()}.{self._signature(content)}"
 
     def check(self, token: str, *, now: float) -> Session | None:
-        """Return the session of a token that is genuine and has not expired."""
+        """Return the session of a token, or None if it is forged or has expired."""
         content, _, signature = token.partition(".")
-        if not self.enabled or len(token) > MAX_TOKEN or not token.isascii():
+        if not self.enabled or len(token) > MAX_TOKEN_BYTES or not token.isascii():
             return None
         if not hmac.compare_digest(signature, self._signature(content.encode())):
             return None
@@ -99,47 +102,49 @@
         except (binascii.Error, msgspec.DecodeError):
             return None
         age = now - session.started_at
-        return session if -MAX_CLOCK_SKEW <= age < SESSION_LIFE else None
+        return session if -MAX_CLOCK_SKEW <= age < SESSION_LIFETIME else None
 
     def form_token(self, session: Session) -> str:
-        """Return the token that every form of this session carries."""
+        """Return the token that every form of this session contains."""
         content = msgspec.json.encode(session)
         return hmac.new(self._form_key, content, hashlib.sha256).hexdigest()
 
-    def is_form_token(self, given: str, session: Session) -> bool:
-        """Tell whether a form was made for this session.
+    def is_form_token(self, candidate: str, session: Session) -> bool:
+        """Return whether the candidate is the form token of this session.
 
-        Another site can make a browser send the cookie along with a form of its
-        own; it cannot read this token, though.
+        A page of another site can make the browser post a form together with the
+        session cookie, but cannot read the form token.
         """
-        return given.isascii() and hmac.compare_digest(given, self.form_token(session))
+        return candidate.isascii() and hmac.compare_digest(
+            candidate, self.form_token(session)
+        )
 
     def _signature(self, content: bytes) -> str:
         return hmac.new(self._signing_key, content, hashlib.sha256).hexdigest()
 
 
 class SignInLimit:
-    """Bound the rate of failed sign-ins at this entry host.
+    """Limit the rate of failed sign-ins at this entry host.
 
-    All callers come through the platform's balancer, so that failures cannot be
-    told apart by their address.  Sessions that exist go on.
+    All requests arrive through the platform's balancer, so that callers cannot be
+    distinguished by address and share one limit.  Existing sessions are not affected.
     """
 
     def __init__(self) -> None:
-        self._n_left = float(N_FAILED_AT_ONCE)
-        self._filled_at = float("-inf")
+        self._n_allowed = float(MAX_FAILURE_BURST)
+        self._refilled_at = float("-inf")
 
-    def wait(self, *, now: float) -> float:
-        """Return the seconds to wait before a key is looked at; 0 if none."""
-        n_gained = (now - self._filled_at) / FAILED_INTERVAL
-        self._n_left = min(self._n_left + n_gained, N_FAILED_AT_ONCE)
-        self._filled_at = now
-        return 0.0 if self._n_left >= 1 else (1 - self._n_left) * FAILED_INTERVAL
+    def retry_after(self, *, now: float) -> float:
+        """Return the seconds until another key may be checked, or 0."""
+        n_gained = (now - self._refilled_at) / FAILURE_INTERVAL
+        self._n_allowed = min(self._n_allowed + n_gained, MAX_FAILURE_BURST)
+        self._refilled_at = now
+        return 0.0 if self._n_allowed >= 1 else (1 - self._n_allowed) * FAILURE_INTERVAL
 
-    def failed(self) -> None:
-        """Take note of a failed sign-in."""
-        self._n_left -= 1
+    def record_failure(self) -> None:
+        """Count a failed sign-in."""
+        self._n_allowed -= 1
 
 
-def _derived(key: bytes, purpose: bytes) -> bytes:
+def _derive(key: bytes, purpose: bytes) -> bytes:
     return hmac.new(key, purpose, hashlib.sha256).digest()
--- a/ryelever/console/status.py
+++ b/ryelever/console/status.py
@@ -1,4 +1,4 @@
-"""Gather what the status page shows: groups, repairs and both measures."""
+"""Collect the contents of the status page: groups, repairs and both measures."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 __all__ = ["GroupRow", "MemberRow", "Plot", "RepairRow", "Status", "StatusView"]
 
-#: Repairs on one page.
-N_SHOWN_REPAIRS = 50
+#: Number of repairs that the page shows, the newest first.
+MAX_SHOWN_REPAIRS = 50
 
-#: Extent of a plot, in its own units.
+#: Size of a plot, in units of its SVG view box.
 PLOT_WIDTH = 600
 PLOT_HEIGHT = 100
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class MemberRow:
-    """Hold one member of a group and what it says of itself.
+    """Describe one member of a group and the state that its host reports.
 
     Attributes
     ----------
     expected : bool
-        It confirms the group, or was released from it.
+        Whether the host confirms that it serves in the group, or was released from it.
     """
 
     host: str
@@ -40,7 +40,13 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class GroupRow:
-    """Hold one group; ``since`` is in seconds before now."""
+    """Describe one group.
+
+    Attributes
+    ----------
+    since : float
+        Seconds since this entry host first saw the group in its state.
+    """
 
     name: str
     availability_zone: str
@@ -55,7 +61,13 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class RepairRow:
-    """Hold one repair; ``age`` is in seconds before now."""
+    """Describe one repair.
+
+    Attributes
+    ----------
+    age : float
+        Seconds since this entry host learned of the repair.
+    """
 
     age: float
     availability_zone: str
@@ -68,16 +80,16 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Plot:
-    """Hold one measure as the points of a stepped line.
+    """Represent the samples of one measure as a stepped line.
 
     Attributes
     ----------
     points : str
-        Coordinates as SVG has them.
+        Coordinates in the form of the ``points`` attribute of SVG.
     highest : int
-        The value at the top.
+        Value at the top of the plot.
     minutes : float
-        Time from the first sample to now.
+        Minutes from the first sample to now.
     """
 
     points: str
@@ -87,7 +99,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class StatusView:
-    """Hold the whole page."""
+    """Hold the values that the status page shows."""
 
     groups: list[GroupRow]
     repairs: list[RepairRow]
@@ -103,7 +115,7 @@
 
 
 class Status:
-    """Compose the status page from what this entry host knows."""
+    """Compose the status page from the state that this entry host knows."""
 
     def __init__(
         self,
@@ -119,13 +131,13 @@
         self._repairs = repairs
 
     def view(self, *, now: float) -> StatusView:
-        """Return the page as of ``now``."""
+        """Return the contents of the page as of ``now``, in monotonic seconds."""
         measures = self._measures
         return StatusView(
             groups=self._groups(now=now),
             repairs=[
                 _repair_row(repair, now=now)
-                for repair in list(self._repairs.repairs)[: -N_SHOWN_REPAIRS - 1 : -1]
+                for repair in list(self._repairs.repairs)[: -MAX_SHOWN_REPAIRS - 1 : -1]
             ],
             downtime_by_group=dict(sorted(measures.downtime_by_group.items())),
             n_groups_down=measures.n_groups_down,
--- a/tests/test_console/browser.py
+++ b/tests/test_console/browser.py
@@ -1,4 +1,4 @@
-"""Read the console's pages and fill in its forms, as a browser without scripts."""
+"""Simulate a browser without scripts that reads the console's pages and forms."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Form:
-    """Hold one form with the values that would be sent."""
+    """Represent a form of a page, with the field values that a browser would submit."""
 
     action: str
     fields: dict[str, str] = field(default_factory=dict)
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Page:
-    """Hold one answer."""
+    """Represent an HTTP answer; for HTML, with its forms and tags."""
 
     status: int
     headers: dict[str, str]
@@ -28,7 +28,7 @@
     tags: list[str] = field(default_factory=list)
 
     def form(self, action: str) -> Form:
-        """Return the form that is sent to a path."""
+        """Return the form that is submitted to this path."""
         return next(form for form in self.forms if form.action == action)
 
 
@@ -60,7 +60,8 @@
             self._page.forms[-1].fields[self._textarea] += data
 
 
-#: Send method, path, form fields and cookie; return status, headers and text.
+#: Sends a request with method, path, form fields and cookie; returns the status, the
+#: headers and the text of the answer.
 Exchange = Callable[
     [str, str, "dict[str, str] | None", str], tuple[int, dict[str, str], str]
 ]
@@ -68,12 +69,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class Browser:
-    """Keep the cookie and follow redirects.
+    """Send requests, store the session cookie and follow redirects.
 
     Attributes
     ----------
     exchange : callable
-        Reaches one entry host; replace it to go on at another one.
+        Function that reaches one entry host.  Replace it to continue at another one.
     """
 
     exchange: Exchange
@@ -86,17 +87,17 @@
         return self._send("POST", path, fields)
 
     def submit(self, form: Form, **changes: str) -> Page:
-        """Send a form after typing into some fields; dots are ``__`` here."""
-        typed = {name.replace("__", "."): value for name, value in changes.items()}
-        return self.post(form.action, form.fields | typed)
+        """Submit a form with changed fields; ``__`` in a keyword stands for a dot."""
+        edits = {name.replace("__", "."): value for name, value in changes.items()}
+        return self.post(form.action, form.fields | edits)
 
     def review(self, **changes: str) -> Page:
-        """Open the document in force, type into some fields and review it."""
+        """Open the edit form, change some fields and return the review page."""
         page = self.get("/console/edit")
         return self.submit(page.form("/console/review"), **changes)
 
     def publish(self, page: Page) -> Page:
-        """Publish what a page shows."""
+        """Submit the publish form of a page."""
         return self.submit(page.form("/console/publish"))
 
     def sign_in(self, *, key: str, operator: str = "ana") -> Page:
--- a/tests/test_console/conftest.py
+++ b/tests/test_console/conftest.py
@@ -1,4 +1,4 @@
-"""Share a console with a configuration fold of its own and no process."""
+"""Provide fixtures for a console with its own configuration fold, without processes."""
 
 from __future__ import annotations
 
@@ -26,26 +26,26 @@
 
 @dataclass(slots=True, kw_only=True)
 class Host:
-    """Hold one entry host's console; the log is a list that the test applies.
+    """Simulate an entry host with a console, and with a list in place of the log.
 
     Attributes
     ----------
     appended : list
-        Publications handed to the log, not yet read back.
+        Actions of publications that were sent to the log and are not read back yet.
     """
 
     console: Console = None
     fold: ConfigurationFold = field(default_factory=ConfigurationFold)
     now: float = 1000.0
     log_age: float | None = 0.0
-    log_is_up: bool = True
+    log_available: bool = True
     appended: list = field(default_factory=list)
     answers: list = field(default_factory=list)
 
     def fired(self, event: object, channel: str) -> None:
         if event.name == "append_record":
             self.appended.append(event.args[0])
-            if self.log_is_up:
+            if self.log_available:
                 self.read_back()
         elif event.name == "caller_answer":
             self.answers.append(event.args[0])
@@ -81,14 +81,14 @@
             body=body,
             peer="127.0.0.1:1",
         )
-        answer = self.console.pages()[path](request) or self._answer_later()
+        answer = self.console.pages()[path](request) or self._wait_for_answer()
         return (
             answer.status,
             answer.headers | {"content-type": answer.content_type},
             answer.body.decode(),
         )
 
-    def _answer_later(self) -> CallerAnswer:
+    def _wait_for_answer(self) -> CallerAnswer:
         self.tick()
         if not self.answers:
             self.now += 10
@@ -98,7 +98,7 @@
 
 @pytest.fixture
 def new_host() -> Callable[[], Host]:
-    """Return a function that makes entry hosts which share the operator key."""
+    """Return a function that creates entry hosts with the same operator key."""
 
     def make(*, operator_key: str = OPERATOR_KEY) -> Host:
         host = Host()
@@ -124,7 +124,7 @@
 
 @pytest.fixture
 def host(new_host: Callable[[], Host]) -> Host:
-    """Return an entry host with one model in force as version 0."""
+    """Return an entry host with version 0 in force, which declares one model."""
     host = new_host()
     host.publish(declared(model="notes"), author="bia")
     return host
--- a/tests/test_console/test_pages.py
+++ b/tests/test_console/test_pages.py
@@ -1,4 +1,4 @@
-"""Test the console through its forms, without a process."""
+"""Test the console through its forms, without starting processes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from ryelever.accounts import account_of
-from ryelever.console.sessions import SESSION_LIFE
+from ryelever.console.sessions import SESSION_LIFETIME
 from ryelever.state.configuration import Configuration
 
 from ..builders import declared
@@ -34,7 +34,7 @@
     assert host.fold.configuration.models["notes"].version == "v2"
 
 
-def test_every_section_can_be_added_through_the_form(
+def test_entries_of_every_section_can_be_added_through_the_form(
     host: Host, browser: Browser
 ) -> None:
     outcome = _publish(
@@ -79,7 +79,7 @@
     assert account_of(f"Bearer {key}", host.fold.configuration) is None
 
 
-def test_every_fault_stands_beside_its_field_and_nothing_is_lost(
+def test_faults_are_shown_beside_their_fields_and_input_is_kept(
     host: Host, browser: Browser
 ) -> None:
     page = browser.review(
@@ -96,9 +96,9 @@
     assert fields["models.0.n_groups"] == "many"
     assert fields["client_accounts.0.name"] == "a b"
     assert page.text.count('class="faulty"') >= 5
-    assert "one model of this name" in page.text
+    assert "only one model with this name" in page.text
     assert host.fold.version == 0 and not host.appended
-    mended = browser.submit(
+    corrected = browser.submit(
         page.form("/console/review"),
         models__0__n_groups="2",
         models__0__hosts_per_group="4",
@@ -107,7 +107,7 @@
         client_accounts__0__share="0.5",
         weights__group_downtime="1",
     )
-    assert browser.publish(mended).status == 200
+    assert browser.publish(corrected).status == 200
     assert host.fold.configuration.models["notes"].n_groups == 2
 
 
@@ -118,14 +118,14 @@
     assert fields["models.1.name"] == "more" and fields["models.2.name"] == ""
 
 
-def test_loser_of_a_race_sees_who_won_and_keeps_the_draft(
+def test_rejected_operator_sees_the_winner_and_keeps_the_draft(
     host: Host, browser: Browser
 ) -> None:
-    """Publish what somebody else has overtaken.
+    """Publish a draft after another operator has published.
 
-    Symptom: an operator's change vanishes, or undoes another's unseen.  Sequence:
-    both review on version 0, the other one publishes first.  Cause: both drafts have
-    one base, and only the first in the log can follow it.
+    Two operators review drafts of version 0, and the other operator publishes first.
+    Only the first publication in the log can replace version 0.  Without the
+    rejection, one change is lost, or undoes the other one unnoticed.
     """
     review = browser.review(models__0__version="v2")
     host.publish(declared("w", model="notes"), author="caio")
@@ -141,19 +141,21 @@
     assert "Accepted as version 3" in accepted.text
 
 
-def test_nothing_is_claimed_while_the_log_is_down(host: Host, browser: Browser) -> None:
-    """Publish during an outage of the log, then again after it.
+def test_publication_is_not_called_accepted_while_the_log_is_down(
+    host: Host, browser: Browser
+) -> None:
+    """Publish during an outage of the log, and again after the outage.
 
-    Symptom: a change that was called published never takes effect, or counts twice.
-    Sequence: the log is down, the operator publishes, the log comes back, the operator
-    publishes again.  Cause: only reading the record back proves that it was taken.
+    Only reading the record back proves that it was appended.  A console that does not
+    wait for this reports a change as published that never takes effect, or that
+    takes effect twice when the operator publishes again.
     """
-    host.log_is_up = False
+    host.log_available = False
     host.log_age = 30.0
     outcome = _publish(browser, models__0__version="v2")
     assert "Not read back yet" in outcome.text and "30 s ago" in outcome.text
     assert "Accepted" not in outcome.text
-    host.log_is_up = True
+    host.log_available = True
     host.read_back()
     again = browser.publish(outcome)
     assert "Accepted as version 1" in again.text
@@ -161,16 +163,15 @@
     assert "repeated append" in host.fold.ignored[-1].reason
 
 
-def test_lost_answer_to_the_append_does_not_hide_success(
+def test_append_with_a_lost_answer_is_reported_as_accepted(
     host: Host, browser: Browser
 ) -> None:
-    """Read back what was appended although its answer was lost.
+    """Read a publication back from the log after the answer to its append was lost.
 
-    Symptom: the console reports a failure, the change is in force all the same.
-    Sequence: the append takes effect, its answer is lost.  Cause: the outcome was
-    taken from the answer.
+    A console that takes the outcome from the answer to the append reports a failure
+    although the change is in force.
     """
-    host.log_is_up = False
+    host.log_available = False
     outcome = _publish(browser, models__0__version="v2")
     record_id = outcome.form("/console/publish").fields["record_id"]
     host.read_back()
@@ -181,14 +182,14 @@
     assert "replaced since" in page.text and "Version 2 by caio" in page.text
 
 
-def test_next_request_may_reach_another_entry_host(
+def test_review_at_a_lagging_entry_host_cannot_be_published(
     host: Host, browser: Browser, new_host: Callable[[], Host]
 ) -> None:
-    """Go on at an entry host that has read less of the log.
+    """Review a draft at an entry host that has read less of the log.
 
-    Symptom: a draft is compared with, and published over, an old version.  Sequence:
-    the balancer sends the review to a host that lags.  Cause: its version is not the
-    one that the draft began with.
+    The balancer may send the review to an entry host whose version is older than the
+    one that the draft is based on.  That host would compare the draft with the old
+    version and publish over it.
     """
     edit = browser.get("/console/edit").form("/console/review")
     other = new_host()
@@ -202,12 +203,12 @@
 
 
 @pytest.mark.parametrize("token", ["", "0" * 64, "é"])
-def test_forged_form_does_nothing(host: Host, browser: Browser, token: str) -> None:
+def test_forged_form_is_refused(host: Host, browser: Browser, token: str) -> None:
     """Post a form that another site has made.
 
-    Symptom: a configuration that no operator wrote is in force.  Sequence: a
-    signed-in operator opens a page that posts a form to the console.  Cause: the
-    browser sends the cookie along.
+    A signed-in operator opens a page of another site that posts a form to the console,
+    and the browser sends the session cookie along.  Without the form token, a
+    configuration that no operator wrote comes into force.
     """
     form = browser.review(models__0__version="v2").form("/console/publish")
     page = browser.submit(form, token=token)
@@ -226,13 +227,13 @@
 
 
 def test_expired_session_keeps_the_draft(host: Host, browser: Browser) -> None:
-    """Send a form after the session has ended.
+    """Submit a form after the session has expired.
 
-    Symptom: an hour of editing is lost.  Sequence: the session expires, the operator
-    sends the form and has to sign in.  Cause: the form was dropped on the way.
+    The operator has to sign in again.  If the sign-in dropped the posted form, an hour
+    of editing would be lost.
     """
     edit = browser.get("/console/edit").form("/console/review")
-    host.now += SESSION_LIFE
+    host.now += SESSION_LIFETIME
     page = browser.submit(edit, models__0__version="v2")
     assert page.status == 401 and host.fold.version == 0
     again = browser.submit(
@@ -244,32 +245,31 @@
 
 
 def test_values_are_escaped(host: Host, browser: Browser) -> None:
-    """Name things after markup.
+    """Enter markup as names and values.
 
-    Symptom: a name runs as a script in the next operator's browser.  Sequence: it is
-    typed into a form, or comes with a record.  Cause: values were written into pages
-    as they stood.
+    A value that is written into a page without escaping runs as a script in the next
+    operator's browser.  Values come from forms and from records of the log.
     """
-    evil = '"><script>alert(1)</script>'
+    markup = '"><script>alert(1)</script>'
     pages = [
         browser.review(
-            models__0__name=evil,
-            models__0__version=evil,
-            models__0__adapters=evil,
-            client_accounts__0__name=evil,
-            client_accounts__0__key_hash=evil,
-            base_version=evil,
-            weights__group_downtime=evil,
+            models__0__name=markup,
+            models__0__version=markup,
+            models__0__adapters=markup,
+            client_accounts__0__name=markup,
+            client_accounts__0__key_hash=markup,
+            base_version=markup,
+            weights__group_downtime=markup,
         ),
-        browser.get(f"/console/outcome?id={evil.replace(' ', '')}"),
+        browser.get(f"/console/outcome?id={markup.replace(' ', '')}"),
     ]
-    browser.sign_in(key=OPERATOR_KEY, operator=evil)
+    browser.sign_in(key=OPERATOR_KEY, operator=markup)
     pages.append(_publish(browser, models__0__version="v2"))
     pages += [browser.get(f"/console/{name}") for name in ("document", "status")]
     for page in pages:
         assert "script" not in page.tags and "<script" not in page.text
-    assert pages[0].form("/console/review").fields["models.0.name"] == evil
-    assert host.fold.author == evil
+    assert pages[0].form("/console/review").fields["models.0.name"] == markup
+    assert host.fold.author == markup
 
 
 def test_document_in_force_that_holds_markup_is_escaped(
@@ -299,17 +299,17 @@
 
 
 @pytest.mark.parametrize("key", ["", "wrong", OPERATOR_KEY + "x", "\udcff"])
-def test_wrong_key_signs_nobody_in(host: Host, key: str) -> None:
+def test_wrong_operator_key_is_refused(host: Host, key: str) -> None:
     browser = Browser(exchange=host.exchange)
     page = browser.sign_in(key=key.encode("utf-8", "replace").decode())
     assert page.status == 403 and not browser.cookie
 
 
-def test_failed_sign_ins_are_bounded(host: Host) -> None:
-    """Try keys without end.
+def test_failed_sign_ins_are_rate_limited(host: Host) -> None:
+    """Sign in with wrong keys repeatedly.
 
-    Symptom: somebody guesses the operator key.  Sequence: thousands of sign-ins a
-    second.  Cause: each was looked at.
+    If every attempt were checked, the operator key could be guessed with thousands of
+    sign-ins per second.
     """
     browser = Browser(exchange=host.exchange)
     statuses = [browser.sign_in(key="wrong").status for _ in range(7)]
@@ -319,7 +319,9 @@
     assert browser.sign_in(key=OPERATOR_KEY).status == 200
 
 
-def test_console_without_a_key_is_off(new_host: Callable[..., Host]) -> None:
+def test_console_without_an_operator_key_is_disabled(
+    new_host: Callable[..., Host],
+) -> None:
     browser = Browser(exchange=new_host(operator_key="").exchange)
     assert browser.sign_in(key="").status == 403
     assert "switched off" in browser.get("/console").text
--- a/tests/test_console/test_publications.py
+++ b/tests/test_console/test_publications.py
@@ -1,4 +1,4 @@
-"""Test what is told of a publication."""
+"""Test the outcome that the console reports for a publication."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 
 INVALID = Configuration(models={"notes": Model(version="")})
 
-#: Rows of (record id, base version, document) in the log, and what is told of "mine".
+#: Rows of (record id, base version, document) in the log, and the expected outcome and
+#: version of the record "mine".
 CASES = [
     ([], OutcomeKind.NOT_READ_BACK, -1),
     ([("other", -1, None)], OutcomeKind.NOT_READ_BACK, -1),
@@ -37,12 +38,12 @@
     assert (outcome.kind, outcome.version) == (kind, version)
 
 
-def test_lack_of_a_rejection_is_no_acceptance() -> None:
-    """Ask for a publication that this host has read without judging it.
+def test_publication_that_was_not_evaluated_is_not_reported_as_accepted() -> None:
+    """Read a publication without evaluating it.
 
-    Symptom: an operator is told "accepted" of a publication that lost its race.
-    Sequence: the host takes a newer version from a peer, then reads the records below
-    it.  Cause: whatever was not among the rejections counted as accepted.
+    The host adopts a newer version from a peer and then reads the records before that
+    version.  If every record without a rejection counted as accepted, the console
+    would report a publication as accepted that lost its race.
     """
     fold = _fold([("other", -1, None), ("mine", 0, None)])
     fold.accepted_versions.remove(1)
@@ -50,12 +51,12 @@
     assert outcome_of("mine", fold).kind is OutcomeKind.UNKNOWN
 
 
-def test_publication_read_while_records_are_missing_is_no_rejection() -> None:
-    """Ask for a publication that this host could not judge.
+def test_publication_read_while_records_are_missing_is_unknown() -> None:
+    """Read a publication that this host cannot evaluate.
 
-    Symptom: an operator is told "rejected" of a version that is in force elsewhere.
-    Sequence: the log loses records before this host has read them, then the operator
-    publishes.  Cause: whatever was ignored here counted as rejected everywhere.
+    The log loses records before this host has read them, and then an operator
+    publishes.  If every publication that this host ignores counted as rejected, the
+    console would report a version as rejected that is in force on other hosts.
     """
     fold = ConfigurationFold()
     fold.lost(before=3, reason="offsets 0 to 2 have expired")
--- a/tests/test_console/test_through_processes.py
+++ b/tests/test_console/test_through_processes.py
@@ -1,4 +1,4 @@
-"""Test the console through real entry hosts and the log stand-in."""
+"""Test the console with processes of entry hosts and of the emulated log."""
 
 from __future__ import annotations
 
@@ -55,11 +55,11 @@
 
 
 def test_two_operators_race_and_one_wins(fleet: Fleet, browsers: list[Browser]) -> None:
-    """Publish at two entry hosts on one base.
+    """Publish drafts of the same version at two entry hosts.
 
-    Symptom: an operator's accepted change vanishes.  Sequence: two operators review
-    on version 0 at two entry hosts; both publish.  Cause: neither host knew of the
-    other's publication when it took its own.
+    Two operators review drafts of version 0 at two entry hosts, and both publish.
+    Neither host knows of the other publication when it sends its own.  If both
+    publications counted, a change that was reported as accepted would be lost.
     """
     reviews = [
         browser.review(models__0__version=version)
@@ -72,7 +72,7 @@
     wait_until(lambda: _versions(fleet) == [1, 1], what="version 1 is everywhere")
 
 
-def test_session_holds_at_every_entry_host(browsers: list[Browser]) -> None:
+def test_session_is_valid_at_every_entry_host(browsers: list[Browser]) -> None:
     edit = browsers[0].get("/console/edit").form("/console/review")
     browsers[0].exchange = browsers[1].exchange
     review = browsers[0].submit(edit, models__0__n_groups="2")
@@ -80,18 +80,18 @@
     assert "Accepted as version 1" in outcome.text
     wait_until(
         lambda: "In force on 2 of 2" in browsers[0].get("/console/document").text,
-        what="both entry hosts are heard of",
+        what="the page counts both entry hosts",
     )
 
 
-def test_outage_and_lost_answers_claim_nothing(
+def test_outage_and_lost_answers_are_not_reported_as_accepted(
     fleet: Fleet, browsers: list[Browser]
 ) -> None:
     """Publish while the log is down, and while its answers are lost.
 
-    Symptom: a change is reported as published, and is nowhere.  Sequence: the log
-    refuses every call; later it takes appends and loses the answers.  Cause: the
-    answer to the append decided what the operator was told.
+    The log first refuses every call, and later appends records but loses the answers.
+    If the answer to the append decided the reported outcome, a change could be
+    reported as published that is in force nowhere.
     """
     browser = browsers[0]
     review = browser.review(models__0__version="v2")
@@ -102,8 +102,9 @@
     page = outcome
 
     def is_accepted() -> bool:
-        # The log's readers pause for longer after an outage; a page that comes before
-        # they have read on claims nothing, and can be published again under its id.
+        # Entry hosts pause for longer between reads of the log after an outage.  A page
+        # that is answered before the next read reports no outcome, and its publication
+        # can be sent again under the same id.
         nonlocal page
         page = browser.publish(page)
         accepted = "Accepted as version 1" in page.text
