--- a/ryelever/console/pages.py
+++ b/ryelever/console/pages.py
@@ -136,7 +136,7 @@
     def _with_session(
         self, handle: Callable[[CallerRequest, Session], CallerAnswer]
     ) -> Callable[[CallerRequest], CallerAnswer]:
-        """Return a handler that redirects to the sign-in form without a session."""
+        """Return a handler that redirects to the sign-in form if no session exists."""
 
         def answer(request: CallerRequest) -> CallerAnswer:
             session = self._access.session_of(request)
@@ -215,7 +215,7 @@
     ) -> CallerAnswer:
         return self._access.sign_out(request)
 
-    # Pages that only show
+    # Read-only pages
 
     def _show_document(self, request: CallerRequest, session: Session) -> CallerAnswer:
         return self._draft_pages.signed_in_page(
