--- a/ryelever/console/access.py
+++ b/ryelever/console/access.py
@@ -50,7 +50,7 @@
         self._clock = clock
 
     def session_of(self, request: CallerRequest) -> Session | None:
-        """Return the session of a request, or None if its cookie holds no valid token."""
+        """Return the session of a request, or None if its cookie is not valid."""
         try:
             cookies = SimpleCookie(request.headers.get("cookie", ""))
         except CookieError:
