--- a/benchmarks/slopes_operators.py
+++ b/benchmarks/slopes_operators.py
@@ -59,7 +59,7 @@
         status = application.console._status
         works = {
             ("state dump", "ms a look", "ms, each second"): lambda a=application: (
-                a.dump._look(now=time.monotonic())
+                a.dump._record_changes(now=time.monotonic())
             ),
             ("console", "ms a look at the fleet", "ms, each second"): (
                 history._on_control_tick
