--- a/tests/test_system/test_claims.py
+++ b/tests/test_system/test_claims.py
@@ -1,4 +1,7 @@
-"""Book at most once, and tell the truth, while hosts and the log fail."""
+"""Test that bookings run at most once, with a true run state, while processes fail.
+
+The faults are those of entry hosts, of callers and of the log.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 
 class _Booking:
-    """Send one booking in a thread of its own."""
+    """Booking that is sent to the entry host e1 in a separate thread."""
 
     def __init__(self, caller: Caller, fleet: Fleet, key: str) -> None:
         self.answer: httpx.Response | None = None
@@ -26,7 +29,7 @@
             self.answer = caller.book(fleet.entries_by_name["e1"], key)
 
     def wait(self) -> httpx.Response | None:
-        """Return the answer, or None when the connection broke."""
+        """Wait for the answer and return it, or None when the connection broke."""
         self._thread.join()
         return self.answer
 
@@ -39,11 +42,12 @@
 
 
 def test_entry_host_dies_between_claim_and_run(fleet: Fleet) -> None:
-    """Kill an entry host after its claim is in the log and before it has read it.
+    """Kill an entry host after it has appended a claim and before it has read it back.
 
-    Symptom: a booking that ran twice, or that is told not_run and then runs.
-    Sequence: the claim is appended, the host dies, the caller goes to another one.
-    Cause: nobody but the dead host knew whether it had sent the booking.
+    Symptom: a booking runs twice, or is answered with not_run and runs afterwards.
+    Sequence: the claim is appended, the host is killed, the caller sends the booking to
+    another entry host.  Cause: only the killed host knew whether it had sent the
+    booking to the service.
     """
     fleet.start_world()
     caller, key = Caller(fleet), new_key()
@@ -73,16 +77,17 @@
 
     wait_until(
         lambda: n_read() >= 1,
-        what="the other host has read the claim",
+        what="the other entry host has read the claim",
     )
 
 
 def test_entry_host_dies_between_run_and_outcome(fleet: Fleet) -> None:
     """Kill an entry host while the booking runs.
 
-    Symptom: a customer is charged twice.  Sequence: the service books, the host
-    dies before it has the answer, the caller goes to another one.  Cause: a claim
-    without an outcome says only that nobody else may run it.
+    Symptom: a customer is charged twice.  Sequence: the service runs the booking, the
+    entry host is killed before it has the answer, the caller sends the booking to
+    another entry host.  Cause: a claim without an outcome shows only that no other
+    entry host may run the booking, not whether it ran.
     """
     fleet.start_world()
     caller, key = Caller(fleet), new_key()
@@ -96,13 +101,14 @@
     assert fleet.n_runs() == [1]
 
 
-def test_paused_host_tells_and_does_the_same(fleet: Fleet) -> None:
+def test_resumed_host_answers_with_the_true_run_state(fleet: Fleet) -> None:
     """Pause an entry host between its claim and the run, beyond every deadline.
 
-    Symptom: a booking is told not_run and runs afterwards.  Sequence: the claim is
-    appended, the host stops for longer than the claim may take, another host is
-    asked in the meantime, the first one goes on and finds its claim.  Cause: a
-    process that wakes up believes that no time has passed.
+    Symptom: a booking is answered with not_run and runs afterwards.  Sequence: the
+    claim is appended, the entry host is paused for longer than the claim timeout,
+    another entry host receives the booking in the meantime, the first one resumes and
+    reads its claim.  Cause: a resumed process does not take the duration of its pause
+    into account.
     """
     fleet.start_world(claim_timeout=0.8)
     caller, key = Caller(fleet), new_key()
@@ -115,9 +121,9 @@
     _wait_claim_known(fleet)
     meanwhile = caller.book(fleet.entries_by_name["e2"], key)
     assert error_of(meanwhile)["run_state"] == "outcome_unknown"
-    # The pause itself is the fault: it has to outlast the claim's time.
-    wakes_at = time.monotonic() + 1.0
-    wait_until(lambda: time.monotonic() >= wakes_at, what="the pause is over")
+    # The pause itself is the fault under test: it has to outlast claim_timeout.
+    resume_at = time.monotonic() + 1.0
+    wait_until(lambda: time.monotonic() >= resume_at, what="the pause is over")
     paused.send(signal.SIGCONT)
     answer = first.wait()
     if answer.status_code == 201:
@@ -130,11 +136,12 @@
 
 
 def test_log_down_while_claiming(fleet: Fleet) -> None:
-    """Book while the log is down, and again when it is back.
+    """Send a booking while the log is down, and again when the log is available.
 
-    Symptom: a booking without a claim, or one that hangs.  Sequence: the log
-    refuses every call, bookings arrive, the log comes back, their callers resend.
-    Cause: without the log nobody knows who else runs the booking.
+    Symptom: a booking runs without a claim, or hangs.  Sequence: the log refuses every
+    call, bookings arrive, the log is available again, the callers resend them.
+    Cause: without the log an entry host cannot know whether another one runs the
+    booking.
     """
     fleet.start_world(entries=("e1",), claim_timeout=1.0)
     caller, key = Caller(fleet), new_key()
@@ -142,7 +149,7 @@
     fleet.control("log", outage=True)
     answers = [caller.book(entry, key) for _ in range(2)]
     assert {answer.status_code for answer in answers} == {503}
-    # Whether another host ran the booking before is not known without the log.
+    # Without the log, the entry host cannot know whether another one ran the booking.
     assert {error_of(answer)["run_state"] for answer in answers} == {"outcome_unknown"}
     assert all(int(answer.headers["Retry-After"]) > 0 for answer in answers)
     assert fleet.n_runs() == []
@@ -152,11 +159,12 @@
 
 
 def test_log_down_while_the_outcome_is_appended(fleet: Fleet) -> None:
-    """Lose the log between the run and its outcome.
+    """Stop the log between the run of a booking and the append of its outcome.
 
-    Symptom: a resend is told "in progress" for ever.  Sequence: the booking runs,
-    the log is down when its outcome is appended, and comes back later.  Cause: an
-    outcome that is given up as soon as other appends.
+    Symptom: every later request with the booking's key gets "in progress".  Sequence:
+    the booking runs, the log is down when the outcome is appended, and is available
+    again later.  Cause: the append of an outcome is abandoned as early as that of other
+    records.
     """
     fleet.start_world()
     caller, key = Caller(fleet), new_key()
@@ -172,12 +180,13 @@
     assert fleet.n_runs() == [1]
 
 
-def test_append_answers_are_lost(fleet: Fleet) -> None:
+def test_booking_is_claimed_once_when_append_answers_are_lost(fleet: Fleet) -> None:
     """Break the connection of every append after it has taken effect.
 
-    Symptom: a booking that is refused although it was claimed, or claimed twice.
-    Sequence: the claim is in the log, its answer is lost, it is appended again.
-    Cause: the answer to an append proves nothing either way.
+    Symptom: a booking is refused although it was claimed, or is claimed twice.
+    Sequence: the claim is in the log, the answer to its append is lost, the claim is
+    appended again.  Cause: a lost answer proves neither that the append took effect nor
+    that it failed.
     """
     fleet.start_world(claim_timeout=PATIENCE)
     fleet.control("log", lose_append_answers=True)
@@ -189,13 +198,13 @@
     assert fleet.n_runs() == [1]
 
 
-def test_caller_leaves_while_its_booking_runs(fleet: Fleet) -> None:
-    """Close the caller's connection in the middle of a booking.
+def test_caller_disconnects_while_its_booking_runs(fleet: Fleet) -> None:
+    """Close the caller's connection while its booking runs.
 
-    Symptom: every resend is told "in progress" although the booking ran long ago.
-    Sequence: the booking runs, its caller times out and leaves, the service
-    answers, the caller asks another host.  Cause: an answer that nobody waits for
-    still is the outcome.
+    Symptom: every resend gets "in progress" although the booking ran long ago.
+    Sequence: the booking runs, its caller times out and disconnects, the service
+    answers, the caller sends the booking to another entry host.  Cause: the service's
+    answer is not recorded as the outcome because no caller waits for it.
     """
     fleet.start_world()
     caller, key = Caller(fleet), new_key()
@@ -205,7 +214,7 @@
     first = fleet.entries_by_name["e1"]
     wait_until(
         lambda: not first.dump()["connections"]["callers"][:-1],
-        what="the caller has left",
+        what="the caller has disconnected",
     )
     fleet.control("service", hold_answers=False)
     entry = fleet.entries_by_name["e2"]
--- a/tests/test_system/test_drain.py
+++ b/tests/test_system/test_drain.py
@@ -1,4 +1,4 @@
-"""Stop entry hosts under load."""
+"""Test that entry hosts drain and stop under load, with real processes."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from ..callers import Answer, Caller, new_key
 from ..processes import EntryHost, Fleet, wait_until
 
-#: The shipped default.  It must outlast two looks of the balancer, which take longer
-#: than its interval on a busy machine.
+#: Seconds; the default of the settings.  The grace must outlast two readiness checks
+#: of the balancer, which take longer than the check interval on a busy machine.
 DRAIN_GRACE = 3.0
 
 
 class Balancer:
-    """Know which entry hosts were ready at the last look, as a balancer does."""
+    """Select among the entry hosts that were ready at the last readiness check."""
 
     def __init__(self, fleet: Fleet, caller: Caller) -> None:
         self._fleet = fleet
         self._caller = caller
         self.ready: list[EntryHost] = []
-        self._turn = itertools.count()
+        self._request_numbers = itertools.count()
 
-    async def look_on(self) -> None:
-        """Look at all hosts again and again."""
+    async def check_readiness(self) -> None:
+        """Check the readiness of all entry hosts every 0.05 s until cancelled."""
         while True:
             entries = list(self._fleet.entries_by_name.values())
             states = await asyncio.gather(*map(self._caller.is_ready, entries))
@@ -35,10 +35,10 @@
             await asyncio.sleep(0.05)
 
     async def next(self) -> EntryHost:
-        """Return the host for a new request."""
+        """Return the entry host for a new request, by round robin over ready hosts."""
         while not self.ready:
             await asyncio.sleep(0.01)
-        return self.ready[next(self._turn) % len(self.ready)]
+        return self.ready[next(self._request_numbers) % len(self.ready)]
 
 
 async def _call_until(
@@ -53,11 +53,11 @@
 
 
 async def _under_load(fleet: Fleet, work: object, *, n_callers: int) -> list[Answer]:
-    """Run blocking work while callers send one request after the other."""
+    """Run blocking work in a thread while callers send requests one after another."""
     stop = asyncio.Event()
     caller = Caller(fleet)
     balancer = Balancer(fleet, caller)
-    looking = asyncio.ensure_future(balancer.look_on())
+    checks = asyncio.ensure_future(balancer.check_readiness())
     calls = [
         asyncio.ensure_future(_call_until(stop, caller, balancer, f"caller {index}"))
         for index in range(n_callers)
@@ -65,39 +65,40 @@
     await asyncio.to_thread(work)
     stop.set()
     answers = await asyncio.gather(*calls)
-    looking.cancel()
+    checks.cancel()
     return list(itertools.chain.from_iterable(answers))
 
 
-def test_roll_of_all_entry_hosts_under_load(fleet: Fleet) -> None:
-    """Replace every entry host, one after the other, while callers call.
+def test_rolling_replacement_of_all_entry_hosts_under_load(fleet: Fleet) -> None:
+    """Replace every entry host, one after another, while callers send requests.
 
-    Symptom: an upgrade shows as refused or broken answers.  Sequence: a host gets
-    SIGTERM while streams are open and the balancer still sends to it.  Cause: a
-    host that closes before the balancer has turned away, or before its streams
-    have ended.
+    Symptom: callers see refused or broken answers during an upgrade.  Sequence: a host
+    gets SIGTERM while streams are open and the balancer still sends requests to it.
+    Cause: the host closes before the balancer has stopped selecting it, or before its
+    streams have ended.
     """
     fleet.start_world(entries=("e1", "e2", "e3"), drain_grace=DRAIN_GRACE)
 
-    def roll() -> None:
-        old = list(fleet.entries_by_name)
-        for name in old:
+    def replace_hosts() -> None:
+        old_names = list(fleet.entries_by_name)
+        for name in old_names:
             new = fleet.start_entry(f"{name}-new", zone="z", drain_grace=DRAIN_GRACE)
             wait_until(lambda new=new: new.n_complete_groups() == 1, what="new host")
             assert fleet.entries_by_name[name].process.stop() == 0
             del fleet.entries_by_name[name]
 
-    answers = asyncio.run(_under_load(fleet, roll, n_callers=12))
+    answers = asyncio.run(_under_load(fleet, replace_hosts, n_callers=12))
     assert len(answers) > 100
     assert [answer.error for answer in answers if not answer.whole] == []
 
 
 def test_drain_under_load(fleet: Fleet) -> None:
-    """Stop a host with streams open.
+    """Stop a host with open streams.
 
-    Symptom: streams cut off, or requests refused in the moment of the signal.
-    Sequence: streams are open, SIGTERM comes, a request still arrives in the grace,
-    a later one after it.  Cause: steps of the shutdown in the wrong order.
+    Symptom: streams are cut off, or requests are refused at the moment of the signal.
+    Sequence: streams are open, SIGTERM arrives, one request arrives during the grace
+    and another one after the grace.  Cause: the steps of the shutdown run in the wrong
+    order.
     """
     fleet.start_world(entries=("e1",), drain_grace=1.0)
     entry = fleet.entries_by_name["e1"]
@@ -124,11 +125,11 @@
 
 
 def test_second_signal_ends_streams_with_an_error_event(fleet: Fleet) -> None:
-    """Lose patience with a shutdown.
+    """Send a second SIGTERM during a long shutdown.
 
-    Symptom: streams that just end, and an exit code that looks like success.
-    Sequence: SIGTERM, streams go on for long, SIGTERM again.  Cause: a process
-    that ends without a word to its callers.
+    Symptom: streams end without an error event, and the exit code indicates success.
+    Sequence: SIGTERM, streams continue for long, SIGTERM again.  Cause: the process
+    exits without sending its callers an error.
     """
     fleet.start_world(entries=("e1",))
     entry = fleet.entries_by_name["e1"]
@@ -148,11 +149,12 @@
 
 
 def test_outcome_is_appended_before_the_host_ends(fleet: Fleet) -> None:
-    """Stop a host while the log cannot take the outcome of a booking.
+    """Stop a host while the log is down and the outcome of a booking is not appended.
 
-    Symptom: a booking ran and was answered, and a resend is told "in progress" for
-    ever.  Sequence: the booking runs, the log is down, SIGTERM comes, the log comes
-    back.  Cause: a host that ends as soon as its callers have their answers.
+    Symptom: a booking ran and was answered, but every later request with its key gets
+    "in progress".  Sequence: the booking runs, the log is down, SIGTERM arrives, the
+    log is available again.  Cause: the host exits as soon as its callers have their
+    answers.
     """
     fleet.start_world()
     caller, key = Caller(fleet), new_key()
--- a/tests/test_system/test_faults.py
+++ b/tests/test_system/test_faults.py
@@ -1,4 +1,4 @@
-"""Let backend servers fail under open streams."""
+"""Test the failure of backend servers while streams are open."""
 
 from __future__ import annotations
 
@@ -31,23 +31,23 @@
 
 
 def _busy_group(fleet: Fleet) -> list[str]:
-    """Return the members of the group that generates most."""
+    """Return the members of the group whose leader runs the most requests."""
     groups = fleet.entries_by_name["e1"].dump()["groups"]
-    busy = {
+    n_running_by_leader = {
         group["members"][0]: fleet.counts(group["members"][0])["n_running"]
         for group in groups
     }
-    leader = max(busy, key=busy.get)
+    leader = max(n_running_by_leader, key=n_running_by_leader.get)
     return next(group["members"] for group in groups if leader in group["members"])
 
 
-def test_members_death_under_a_hundred_streams(fleet: Fleet) -> None:
+def test_member_crash_with_a_hundred_open_streams(fleet: Fleet) -> None:
     """Kill one member of a group in mid-stream.
 
-    Symptom: answers that stop in the middle, start again or carry another's
-    tokens.  Sequence: a hundred streams are open on two groups, one host of one
-    group dies, its whole group aborts.  Cause: the streams of that group have to
-    be resumed on the other one after the tokens that were delivered.
+    Symptom: answers stop in the middle, start again or contain the tokens of another
+    answer.  Sequence: a hundred streams are open on two groups, one host of one group
+    is killed, the whole group aborts.  Cause: the streams of the aborted group are not
+    resumed on the other group after the tokens that were delivered.
     """
     fleet.start_world(n_groups=2)
 
@@ -67,16 +67,16 @@
         len(entry.process.events("attempt_failed"))
         for entry in fleet.entries_by_name.values()
     )
-    assert n_retries > 0, "no stream was on the group that died"
+    assert n_retries > 0, "no stream was open on the group whose member was killed"
 
 
 @pytest.mark.parametrize("rank", [0, 2], ids=["leader", "member"])
-def test_frozen_host(fleet: Fleet, rank: int) -> None:
+def test_frozen_host_in_mid_stream(fleet: Fleet, rank: int) -> None:
     """Freeze the leader or another member of a group in mid-stream.
 
-    Symptom: streams that hang, and new requests sent to a group with a member
-    missing.  Sequence: a host stops without closing anything; its connections stay
-    open.  Cause: only silence tells, on the stream and in the host's reports.
+    Symptom: streams hang, and new requests are sent to a group with a missing member.
+    Sequence: a host freezes without closing its connections.  Cause: the fault shows
+    only by silence, on the streams and in place of the host's reports.
     """
     fleet.start_world(n_groups=2, progress_timeout=1.0)
     frozen: list[str] = []
@@ -96,20 +96,20 @@
             for entry in fleet.entries_by_name.values()
             for group in entry.dump()["groups"]
         ),
-        what="the group with the frozen host is not whole",
+        what="the group with the frozen host is not complete",
     )
     entry = fleet.entries_by_name["e1"]
     late = asyncio.run(caller.stream(entry, "after the freeze", n_tokens=3))
     assert late.whole
 
 
-def test_first_token_of_a_frozen_leader(fleet: Fleet) -> None:
+def test_requests_to_a_frozen_leader_are_retried(fleet: Fleet) -> None:
     """Freeze the leader of a group before requests reach it.
 
     Symptom: a caller waits for its first token until the timeout, 10 s by default.
-    Sequence: a leader freezes while its last report still counts, requests are sent
-    to it, then its group stops counting as whole.  Cause: what waited for a first
-    token was looked at only by that timeout.
+    Sequence: a leader freezes while its last report is still valid, requests are sent
+    to it, then its group ceases to be complete.  Cause: only that timeout applied to
+    requests that waited for their first token.
     """
     fleet.start_world(entries=("e1",), n_groups=2, first_token_timeout=60.0)
     fleet.processes_by_name["d0-0"].send(signal.SIGSTOP)
@@ -130,12 +130,13 @@
 
 
 def test_poison_request_ends_in_explicit_errors(fleet: Fleet) -> None:
-    """Send a request that crashes whatever runs it, and send it again.
+    """Send a request that crashes every engine that runs it, and send it again.
 
-    Symptom: a caller that hangs, or a bystander whose answer just stops.
-    Sequence: the request kills the leader of a group, is tried on the other and
-    kills it too; its caller comes back.  Cause: one request that every retry makes
-    worse.
+    Symptom: a caller hangs, or the answer of a bystander (a request that runs on the
+    same engine) stops without an error.  Sequence: the request crashes the leader of
+    one group, is retried on the other group and crashes its leader too; the caller
+    sends the request again.  Cause: each retry of a poison request crashes another
+    engine.
     """
     fleet.start_world(n_groups=2, recovery_timeout=2.0)
     caller = Caller(fleet)
@@ -160,26 +161,28 @@
 
 @pytest.mark.parametrize("entries", [("e1",), ("e1", "e2"), ("e1", "e2", "e3")])
 def test_poison_request_is_quarantined(fleet: Fleet, entries: tuple[str, ...]) -> None:
-    """Send a poison request again and again while bystanders are served.
-
-    Symptom: group after group dies, and every answer with them.  Sequence: as
-    above, on four groups or more, and the caller asks another entry host each time.
-    Cause: nobody remembers what ran when an engine died, or what ran there is sent
-    to one place again, or the other entry host has not heard of it.
+    """Send a poison request repeatedly while bystanders are served.
+
+    Symptom: one group after another crashes, and all answers are lost.  Sequence: the
+    poison request crashes the leader of one group after another, with four groups or
+    more, and the caller sends it to another entry host each time.  Cause: no entry host
+    records which requests ran when an engine crashed, or the requests that ran there
+    are retried together on one engine, or the other entry host has not received the
+    record.
     """
     n_groups = 3 + len(entries)
     fleet.start_world(entries=(), n_groups=n_groups)
     hosts = _start_peers(fleet, entries)
     fleet.wait_whole(n_groups)
     caller = Caller(fleet)
-    begun: set[int] = set()
+    begun_indices: set[int] = set()
 
     async def run() -> None:
         all_begun = asyncio.Event()
 
-        def note(index: int) -> None:
-            begun.add(index)
-            if len(begun) == 10:
+        def record_begin(index: int) -> None:
+            begun_indices.add(index)
+            if len(begun_indices) == 10:
                 all_begun.set()
 
         bystanders = [
@@ -188,7 +191,7 @@
                     hosts[index % len(hosts)],
                     f"bystander {index}",
                     n_tokens=100,
-                    on_token=lambda index=index: note(index),
+                    on_token=lambda index=index: record_begin(index),
                 )
             )
             for index in range(10)
@@ -203,5 +206,5 @@
 
     asyncio.run(run())
     leaders = [f"d{index}-0" for index in range(n_groups)]
-    crashed = [fleet.processes_by_name[leader].exit_code for leader in leaders]
-    assert crashed.count(86) <= 2
+    exit_codes = [fleet.processes_by_name[leader].exit_code for leader in leaders]
+    assert exit_codes.count(86) <= 2
--- a/tests/test_system/test_leaving.py
+++ b/tests/test_system/test_leaving.py
@@ -1,4 +1,4 @@
-"""Test that backend servers that leave get nothing new, with real processes."""
+"""Test that leaving backend servers get no new requests, with real processes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 ENTRIES = ("e1", "e2", "e3")
 
-#: Seconds by which the platform's list lags.
+#: Seconds by which the platform's list of hosts lags behind changes.
 LIST_LAG = 5.0
 
 N_STREAMS = 24
@@ -31,7 +31,7 @@
     fleet.processes_by_name[host].kill()
 
 
-async def streams(fleet: Fleet, *, step: str) -> list[Answer]:
+async def stream_answers(fleet: Fleet, *, step: str) -> list[Answer]:
     caller, entries = Caller(fleet), list(fleet.entries_by_name.values())
     return await asyncio.gather(
         *(
@@ -41,12 +41,15 @@
     )
 
 
-def n_asked(fleet: Fleet, hosts: list[str]) -> dict[str, int]:
+def n_requests_by_host(fleet: Fleet, hosts: list[str]) -> dict[str, int]:
     return {host: fleet.counts(host)["n_asked"] for host in hosts}
 
 
 def start_two_groups(fleet: Fleet) -> list[str]:
-    """Start a zone whose list lags; return the members of one of its groups."""
+    """Start a zone whose list of hosts lags; return the members of one of its groups.
+
+    The zone has two groups and three entry hosts that are peers of each other.
+    """
     addresses = free_udp_addresses(len(ENTRIES))
     fleet.start_world(entries=(), n_groups=2)
     fleet.control("list", lag=LIST_LAG)
@@ -57,7 +60,8 @@
     return entry.dump()["groups"][0]["members"]
 
 
-def all_know(fleet: Fleet, host: str) -> bool:
+def is_known_to_leave(fleet: Fleet, host: str) -> bool:
+    """Return whether all entry hosts see a host as leaving or have no report of it."""
     return all(
         entry.dump()["hosts"][host]["leaving"]
         or entry.dump()["hosts"][host]["reported"] is None
@@ -73,26 +77,30 @@
         pytest.param(refuse_connections, 1, id="refuses_connections"),
     ],
 )
-def test_a_leaving_host_gets_nothing_new(
+def test_leaving_host_gets_no_new_requests(
     fleet: Fleet, leave: Callable[[Fleet, str], None], rank: int
 ) -> None:
-    """Send work while a host of one of two groups leaves.
+    """Send requests while a host of one of two groups leaves.
 
-    Symptom: requests end in errors on a host that was told to go.
-    Sequence: a host says that it leaves, is listed as leaving, or is gone; the list
-    lags; requests arrive at all entry hosts.
-    Cause: an entry host that did not see it itself goes on sending to its group.
+    Symptom: requests end in errors on a host that was ordered to leave.
+    Sequence: a host reports that it leaves, is listed as leaving, or refuses
+    connections; the list lags; requests arrive at all entry hosts.
+    Cause: an entry host that did not observe the leaving host itself goes on sending
+    requests to that host's group.
     """
     members = start_two_groups(fleet)
-    rank_0, leaver = members[0], members[rank]
-    before = asyncio.run(streams(fleet, step="before"))
+    rank_0, leaving_host = members[0], members[rank]
+    before = asyncio.run(stream_answers(fleet, step="before"))
     assert all(answer.whole for answer in before)
-    assert n_asked(fleet, [rank_0])[rank_0] > 0
+    assert n_requests_by_host(fleet, [rank_0])[rank_0] > 0
 
-    leave(fleet, leaver)
-    wait_until(lambda: all_know(fleet, leaver), what="all entry hosts know")
-    asked = n_asked(fleet, [rank_0])
-    after = asyncio.run(streams(fleet, step="after"))
+    leave(fleet, leaving_host)
+    wait_until(
+        lambda: is_known_to_leave(fleet, leaving_host),
+        what="all entry hosts know that the host leaves",
+    )
+    n_requests_before = n_requests_by_host(fleet, [rank_0])
+    after = asyncio.run(stream_answers(fleet, step="after"))
 
     assert [answer.error for answer in after if not answer.whole] == []
-    assert n_asked(fleet, [rank_0]) == asked
+    assert n_requests_by_host(fleet, [rank_0]) == n_requests_before
--- a/tests/test_system/test_log_outage.py
+++ b/tests/test_system/test_log_outage.py
@@ -1,4 +1,4 @@
-"""Test entry hosts against a log that is down, loses answers or forgets."""
+"""Test entry hosts with a log that is down, loses answers or expires records."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from ..callers import Caller, error_of, new_key
 from ..processes import EntryHost, Fleet, wait_until
 
-#: Seconds for a claim to be confirmed, also on a busy machine.
+#: Seconds that suffice to confirm a claim, also on a busy machine.
 CLAIM_TIMEOUT = 15.0
 
 
@@ -51,12 +51,14 @@
     return caught_up and httpx.get(f"{entry.url}/readyz").status_code == 200
 
 
-def test_no_booking_without_the_log_and_again_with_it(bookings: Fleet) -> None:
-    """Cut the log off and bring it back.
+def test_bookings_are_refused_while_the_log_is_down_and_accepted_after(
+    bookings: Fleet,
+) -> None:
+    """Stop the log and make it available again.
 
     Symptom: a booking runs twice.  Sequence: the log is down, a booking is sent, its
-    caller sends it again at another entry host.  Cause: without the log neither host
-    can know of the other.
+    caller sends it again to another entry host.  Cause: without the log neither entry
+    host can know that the other one received the booking.
     """
     caller = Caller(bookings)
     e1, e2 = bookings.entries_by_name.values()
@@ -75,12 +77,12 @@
     assert set(bookings.n_runs()) == {1}
 
 
-def test_booking_runs_once_though_answers_to_appends_are_lost(bookings: Fleet) -> None:
+def test_booking_runs_once_when_answers_to_appends_are_lost(bookings: Fleet) -> None:
     """Lose the answer to each append.
 
     Symptom: a booking runs twice, or never.  Sequence: the append of a claim takes
-    effect, its answer is lost, and it is appended again.  Cause: the answer is taken
-    for the fact.
+    effect, its answer is lost, and the claim is appended again.  Cause: the entry host
+    concludes from the answer alone whether the append took effect.
     """
     caller = Caller(bookings)
     e1, e2 = bookings.entries_by_name.values()
@@ -101,21 +103,22 @@
     httpx.post(url, content=append_request(items)).raise_for_status()
 
 
-def _read_whole(fleet: Fleet, stream: str, fold: ClaimsFold) -> None:
+def _read_to_end(fleet: Fleet, stream: str, fold: ClaimsFold) -> None:
     url = f"http://{fleet.addresses_by_name['log']}/v1/streams/{stream}/records"
     answer = httpx.get(url, params={"from": fold.next_offset})
     for raw in read_page(answer.content, peer="log").ok.records:
         fold.apply(decode_entry(raw, peer="log"))
 
 
-def test_entry_host_paused_beyond_the_retention_does_not_pretend_to_know(
+def test_entry_host_paused_beyond_the_log_retention_refuses_bookings(
     bookings: Fleet,
 ) -> None:
-    """Pause an entry host until what it has not read has expired.
+    """Pause an entry host until records that it has not read have expired.
 
-    Symptom: a booking runs a second time.  Sequence: an entry host pauses, the booking
-    is claimed and run at another one, the log expires the claim, the host wakes and
-    the booking is sent to it.  Cause: it goes on from the oldest record that is left.
+    Symptom: a booking runs a second time.  Sequence: an entry host is paused, the
+    booking is claimed and run through another one, the log expires the claim, the
+    first host resumes and receives the booking.  Cause: the resumed host reads on from
+    the oldest record that is left and ignores the gap.
     """
     caller = Caller(bookings)
     e1, e2 = bookings.entries_by_name.values()
@@ -124,26 +127,27 @@
     booked = caller.book(e1, key)
     assert booked.status_code == 201
     stream = claims_stream(f"pawroute/{key}", n_partitions=4)
-    whole = ClaimsFold()
+    fold = ClaimsFold()
     wait_until(
-        lambda: _read_whole(bookings, stream, whole) or whole.next_offset == 2,
+        lambda: _read_to_end(bookings, stream, fold) or fold.next_offset == 2,
         what="claim and outcome are in the log",
     )
     bookings.control("log", retention=1)
-    nobody = Outcome(key="pawroute/none", owner="none", run_state="run", status=200)
-    _append(bookings, stream, [nobody])
-    _read_whole(bookings, stream, whole)
+    unrelated = Outcome(key="pawroute/none", owner="none", run_state="run", status=200)
+    _append(bookings, stream, [unrelated])
+    _read_to_end(bookings, stream, fold)
     e2.process.send(signal.SIGCONT)
     wait_until(
         lambda: not e2.dump()["streams"][stream]["complete"],
         what="the host knows that records are missing",
     )
     assert e2.dump()["configuration"]["version"] == 0
-    # It may have had the claim, but not the outcome, on its socket while it e2.
+    # 409 or 503: the claim, but not the outcome, may have been waiting in a socket of
+    # e2 during the pause.
     assert caller.book(e2, key).status_code in (409, 503)
     refused = caller.book(e2, new_key())
     assert (refused.status_code, error_of(refused)["code"]) == (503, "log_unavailable")
-    _append(bookings, stream, whole.to_snapshot(snapshot="test"))
+    _append(bookings, stream, fold.to_snapshot(snapshot="test"))
     again = caller.book_until_taken(e2, key)
     assert again.content == booked.content
     assert e2.process.events("records_lost")
--- a/tests/test_system/test_path.py
+++ b/tests/test_system/test_path.py
@@ -1,4 +1,4 @@
-"""Test the whole path with real processes."""
+"""Test the path of a request from caller to backend server with real processes."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
         yield fleet
 
 
-def test_booking_that_is_sent_twice_runs_once(small_fleet: Fleet) -> None:
-    """Resend a booking at another entry host.
+def test_resent_booking_runs_once(small_fleet: Fleet) -> None:
+    """Send the same booking again through another entry host.
 
     Symptom: a customer is charged twice.  Sequence: the booking runs, its answer is
     lost on the way, the caller sends it again and the balancer picks another entry
-    host.  Cause: that host did not know of the first run.
+    host.  Cause: the second entry host does not know of the first run.
     """
     caller, key = Caller(small_fleet), new_key()
     entries = small_fleet.entries_by_name.values()
@@ -34,22 +34,22 @@
     assert small_fleet.n_runs() == [1]
 
 
-@pytest.mark.parametrize("given", ["0", "-1", "nan", "inf", "601", "soon", ""])
-def test_deadline_that_makes_no_sense(small_fleet: Fleet, given: str) -> None:
-    """Refuse a deadline that is none, and say what one looks like."""
-    answer = _chat(small_fleet, given, stream=False)
+@pytest.mark.parametrize("timeout", ["0", "-1", "nan", "inf", "601", "soon", ""])
+def test_invalid_deadline_is_refused(small_fleet: Fleet, timeout: str) -> None:
+    """Refuse an invalid deadline with an error that names the header at fault."""
+    answer = _chat(small_fleet, timeout, stream=False)
     assert answer.status_code == 400
     error = answer.json()["error"]
     assert error["code"] == "invalid_timeout"
     assert "X-Request-Timeout" in error["message"]
 
 
-def test_callers_own_deadline(small_fleet: Fleet) -> None:
-    """End a stream at the deadline that its caller named.
+def test_stream_ends_at_the_deadline_of_its_caller(small_fleet: Fleet) -> None:
+    """End a stream at the deadline that its caller set.
 
-    Symptom: a caller that gave up long ago still holds a place in the engine's
-    batch.  Sequence: the answer takes longer than its caller can use it.  Cause:
-    one deadline for all callers.
+    Symptom: the request of a caller that timed out long ago still occupies a slot in
+    the engine's batch.  Sequence: generating the answer takes longer than the caller
+    waits.  Cause: one deadline for all callers.
     """
     answer = _chat(small_fleet, "0.5", stream=True)
     assert answer.status_code == 200
@@ -57,8 +57,8 @@
     assert answer.text.endswith("data: [DONE]\n\n")
 
 
-def test_entry_host_stops_gracefully(fleet: Fleet) -> None:
-    """End with exit code 0 when nothing is in flight."""
+def test_entry_host_exits_with_code_0_on_sigterm(fleet: Fleet) -> None:
+    """Exit with code 0 on SIGTERM when no request is in flight."""
     fleet.start_world()
     codes = [entry.process.stop() for entry in fleet.entries_by_name.values()]
     assert codes == [0, 0]
--- a/tests/test_system/test_peers.py
+++ b/tests/test_system/test_peers.py
@@ -1,4 +1,4 @@
-"""Test entry hosts that talk to each other as processes."""
+"""Test the exchange between entry hosts that run as processes."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from ..processes import EntryHost, Fleet, free_udp_addresses, wait_until
 
-#: Where nothing listens.
-NOWHERE = "127.0.0.1:9"
+#: An address on which no process listens.
+UNUSED_ADDRESS = "127.0.0.1:9"
 
 
 def _version(entry: EntryHost) -> int:
@@ -31,25 +31,26 @@
             zone="brisbane",
             peers_address=address,
             peers=addresses,
-            log_address=NOWHERE if name in cut_off else log,
+            log_address=UNUSED_ADDRESS if name in cut_off else log,
         )
         for name, address in zip(names, addresses, strict=True)
     ]
 
 
-def _throw_rubbish(address: str) -> None:
+def _send_malformed_datagrams(address: str) -> None:
     host, _, port = address.rpartition(":")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for data in (b"", b"x", b"y" * 300, b"z" * 9000):
             sock.sendto(data, (host, int(port)))
 
 
-def test_a_host_cut_off_from_the_log_follows_its_peers(fleet: Fleet) -> None:
-    """Put each version in force on a host that cannot read the log.
+def test_host_without_the_log_gets_configurations_from_peers(fleet: Fleet) -> None:
+    """Put each configuration version in force on a host that cannot read the log.
 
     Symptom: one entry host serves by last week's configuration.
-    Sequence: it loses the log, not its peers; configurations are published.
-    Cause: the log would be the only way for a version to arrive.
+    Sequence: an entry host can reach its peers but not the log; configurations are
+    published.
+    Cause: configuration versions could reach an entry host only through the log.
     """
     fleet.start_platform()
     entries = _start(fleet, cut_off=("e2",))
@@ -59,7 +60,7 @@
         fleet.publish(_document(str(base_version)), base_version=base_version)
         version = base_version + 1
         wait_until(lambda: _version(cut_off) >= version, what="version in force")  # noqa: B023
-        _throw_rubbish(cut_off.dump()["settings"]["peers_address"])
+        _send_malformed_datagrams(cut_off.dump()["settings"]["peers_address"])
         seen.append(_version(cut_off))
     assert seen == [0, 1, 2]
 
@@ -69,34 +70,37 @@
             'dropped_total{kind="foreign_key"}' in text and 'kind="oversized"' in text
         )
 
-    wait_until(counted, what="rubbish counted")
+    wait_until(counted, what="malformed datagrams counted")
     assert not cut_off.process.events("fault")
 
 
-def test_hosts_share_questions_and_outlive_an_asker(fleet: Fleet) -> None:
-    """Hold a group for whole on every host while askers come and go.
+def test_hosts_share_reports_and_tolerate_the_loss_of_a_polling_host(
+    fleet: Fleet,
+) -> None:
+    """Keep a group complete on every entry host while a polling peer is frozen.
 
-    Symptom: groups stop serving on hosts that ask none of their members.
-    Sequence: one entry host is frozen, then killed; the others had learned from it.
-    Cause: reports that nobody passes on grow old.
+    Symptom: groups stop serving on entry hosts that poll none of their members.
+    Sequence: one entry host is frozen and later resumed; the other entry hosts had
+    received members' reports through it.
+    Cause: reports that no entry host passes on expire.
     """
     fleet.start_platform()
     fleet.start_engines("h1", "h2", "h3", "h4", zone="brisbane", domain="d1")
     entries = _start(fleet)
     fleet.publish(_document("1"))
 
-    def all_whole(hosts: list[EntryHost]) -> bool:
+    def complete_on(hosts: list[EntryHost]) -> bool:
         return all(entry.n_complete_groups() == 1 for entry in hosts)
 
     def members(entry: EntryHost) -> list[str]:
         return entry.dump()["peers"]["live_members"]
 
-    wait_until(lambda: all_whole(entries), what="a group, whole to all")
-    wait_until(lambda: len(members(entries[0])) == 2, what="peers known")
+    wait_until(lambda: complete_on(entries), what="group complete on all hosts")
+    wait_until(lambda: len(members(entries[0])) == 2, what="both peers live")
     entries[2].process.send(signal.SIGSTOP)
-    wait_until(lambda: members(entries[0]) == ["e1"], what="frozen peer noticed")
-    wait_until(lambda: all_whole(entries[:2]), what="whole to those left")
+    wait_until(lambda: members(entries[0]) == ["e1"], what="frozen peer detected")
+    wait_until(lambda: complete_on(entries[:2]), what="group complete on the others")
     entries[2].process.send(signal.SIGCONT)
-    wait_until(lambda: len(members(entries[0])) == 2, what="peer back")
-    wait_until(lambda: all_whole(entries), what="whole to all again")
+    wait_until(lambda: len(members(entries[0])) == 2, what="resumed peer live")
+    wait_until(lambda: complete_on(entries), what="group complete on all hosts again")
     assert not any(entry.process.events("fault") for entry in entries)
--- a/tests/test_system/test_promises.py
+++ b/tests/test_system/test_promises.py
@@ -1,4 +1,4 @@
-"""Test what must always hold where two faults come together, with real processes."""
+"""Test guarantees that must hold when two faults coincide, with real processes."""
 
 from __future__ import annotations
 
@@ -34,13 +34,16 @@
     ]
 
 
-def test_configuration_outlives_all_hosts_while_the_log_is_down(fleet: Fleet) -> None:
+def test_configuration_survives_the_replacement_of_all_hosts_while_the_log_is_down(
+    fleet: Fleet,
+) -> None:
     """Replace every entry host during an outage of the log.
 
-    Symptom: last week's configuration is in force, or none is, and the host serves.
+    Symptom: an entry host serves with last week's configuration, or with none.
     Sequence: version 1 is accepted, the log goes down, new hosts start, the old ones
-    die; another host starts without any peer; the log comes back.  Cause: a new host
-    knows only what the log says, or goes on from nothing.
+    are killed; another host starts without any peer; the log is available again.
+    Cause: a new host gets configurations from the log only, or starts to serve
+    without one.
     """
     fleet.start_platform()
     fleet.start_service("service", zone="z", service="bookings")
@@ -51,16 +54,20 @@
     wait_until(lambda: all(_version(entry) == 1 for entry in old), what="version 1")
     fleet.control("log", outage=True)
     new = _start(fleet, "new", addresses[2:], peers=addresses)
-    (lost,) = _start(fleet, "lost", [alone], peers=[alone])
-    wait_until(lambda: all(_version(entry) == 1 for entry in new), what="told by peers")
+    (isolated,) = _start(fleet, "lost", [alone], peers=[alone])
+    wait_until(
+        lambda: all(_version(entry) == 1 for entry in new),
+        what="version 1 received from peers",
+    )
     for entry in old:
         entry.process.kill()
-    # Placement cannot be read; they serve what they can once they waited for it.
+    # The new hosts cannot read the placement while the log is down.  After waiting
+    # for it, they become ready and serve the requests that need no placement.
     wait_until(
         lambda: [_readiness(entry) for entry in new] == [(200, "ready")] * 2,
-        what="told hosts are ready",
+        what="hosts that received version 1 are ready",
     )
-    assert _readiness(lost) == (503, "no configuration yet")
+    assert _readiness(isolated) == (503, "no configuration yet")
     fleet.control("log", outage=False)
     fleet.publish(_document("late"), base_version=0, author="bia")
     fleet.publish(_document("next"), base_version=1)
@@ -68,19 +75,20 @@
 
     def all_follow() -> bool:
         seen.update(map(_version, new))
-        return all(_version(entry) == 3 for entry in (*new, lost))
+        return all(_version(entry) == 3 for entry in (*new, isolated))
 
-    wait_until(all_follow, what="version 3 everywhere")
+    wait_until(all_follow, what="version 3 on all hosts")
     assert seen <= {1, 3}
 
 
-def test_zone_that_is_cut_off_serves_what_it_can(fleet: Fleet) -> None:
+def test_isolated_zone_serves_requests_that_need_no_log(fleet: Fleet) -> None:
     """Cut a zone's entry host off from the log and from all other entry hosts.
 
-    Symptom: a zone stands still that has all it needs; or a booking runs twice.
-    Sequence: booking A runs at the host, the cut begins, A is sent there again, B is
-    sent there and then elsewhere, the cut ends, B is sent there again.  Cause: the
-    host waits for the log where it need not, or guesses where it may not.
+    Symptom: a zone stops serving although it has all that it needs, or a booking runs
+    twice.  Sequence: booking A runs at the host, the cut begins, A is sent to the host
+    again, B is sent to the host and then to another one, the cut ends, B is sent to
+    the first host again.  Cause: the host waits for the log for requests that do not
+    need it, or guesses the outcome of requests that do.
     """
     fleet.start_world(entries=("e1",), cut=("log",), progress_timeout=1.0)
     direct = fleet.addresses_by_name["log-direct"]
@@ -94,8 +102,9 @@
     def refused() -> bool:
         answer = caller.book(cut, new_key())
         error = answer.json().get("error", {})
-        # Until the host knows of the cut, a claim that got no answer ends it.  An
-        # earlier sending with the key may have run elsewhere: nobody here can know.
+        # Until the host detects the cut, the booking fails because the append of its
+        # claim gets no answer.  The run state is unknown in either case: an earlier
+        # request with the key may have run through another entry host.
         codes = ("log_unavailable", "claim_not_confirmed")
         assert (answer.status_code, error["run_state"]) == (503, "outcome_unknown")
         assert error["code"] in codes
@@ -109,8 +118,10 @@
     assert caller.book(cut, during).status_code == 503
     elsewhere = wait_until(lambda: _booked(caller, other, during), what="booking B")
     fleet.control("log-cut", refuse=False)
-    healed = wait_until(lambda: _booked(caller, cut, during), what="B is known here")
-    assert healed.content == elsewhere.content
+    resent = wait_until(
+        lambda: _booked(caller, cut, during), what="B is known after the cut"
+    )
+    assert resent.content == elsewhere.content
     assert fleet.n_runs() == [1, 1]
 
 
--- a/tests/test_system/test_relay.py
+++ b/tests/test_system/test_relay.py
@@ -1,4 +1,4 @@
-"""Test entry hosts that relay requests, as processes before a stand-in platform."""
+"""Test entry hosts that relay requests, as processes with a stand-in platform."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         yield running
 
 
-def test_requests_of_each_kind_pass_unchanged(zone: RelayZone) -> None:
+def test_requests_of_each_kind_are_relayed_unchanged(zone: RelayZone) -> None:
     host = zone.start_host("e1")
     zone.head_of(2)
     stream = host.chat(request_id="s1")
@@ -58,7 +58,7 @@
         pytest.param("/look/1", {"Credential": "wrong"}, 401, id="wrong-key"),
     ],
 )
-def test_what_the_configuration_does_not_allow_is_refused(
+def test_request_without_route_or_valid_key_is_refused(
     zone: RelayZone, path: str, headers: dict[str, str], status: int
 ) -> None:
     host = zone.start_host("e1")
@@ -67,12 +67,12 @@
     assert zone.n_runs() == {}
 
 
-def test_a_changed_settings_file_ends_no_process(zone: RelayZone) -> None:
-    """Show that the signal of a changed file ends no entry host.
+def test_sighup_does_not_end_the_process(zone: RelayZone) -> None:
+    """Guard against entry hosts that SIGHUP terminates.
 
     Symptom: six processes ended with code 129, each with the requests in flight.
     Sequence: the settings file changes, the platform sends SIGHUP.
-    Cause: nothing handled the signal, and its default ends a process.
+    Cause: no handler was installed, and the default action terminates the process.
     """
     host = zone.start_host("e1")
     host.process.send(signal.SIGHUP)
@@ -80,7 +80,7 @@
     assert host.call("/look/1", request_id="i1").status_code == 200
 
 
-def test_a_stopping_host_finishes_what_runs(zone: RelayZone) -> None:
+def test_stopping_host_serves_until_it_exits(zone: RelayZone) -> None:
     host = zone.start_host("e1")
     assert host.call("/look/1", request_id="i1").status_code == 200
     host.process.send(signal.SIGTERM)
@@ -90,37 +90,37 @@
     assert host.process.wait() == 0
 
 
-def test_a_host_that_the_store_turns_away_gets_configurations_from_others(
+def test_host_refused_by_the_store_gets_configurations_from_peers(
     zone: RelayZone,
 ) -> None:
-    """Show that a new configuration reaches a host that can't read it.
+    """Check that a new configuration reaches a host that the store refuses.
 
-    Symptom: a key that was taken away is still accepted at one entry host.
-    Sequence: the store turns that host away and serves the others, and the operator
+    Symptom: a key that was removed is still accepted by one entry host.
+    Sequence: the store refuses that host and serves the others, and the operator
     publishes a configuration.
-    Cause: each host knew only what it had read itself.
+    Cause: each host used only configurations that it had read from the store itself.
     """
     zone.start_host("e1")
-    away = zone.start_host("e2", door="side-door")
-    away.process.wait_for_event("peer_heard")
-    assert away.call("/look/1", request_id="i1").status_code == 200
+    refused = zone.start_host("e2", door="side-door")
+    refused.process.wait_for_event("peer_heard")
+    assert refused.call("/look/1", request_id="i1").status_code == 200
     zone.control(side_door={"refuse": True})
-    away.process.wait_for_event("store_lost")
+    refused.process.wait_for_event("store_lost")
     zone.control(configuration={"version": 3, "tenants": []})
     wait_until(
-        lambda: away.call("/look/1", request_id="i2").status_code == 401,
+        lambda: refused.call("/look/1", request_id="i2").status_code == 401,
         what="the key is refused",
     )
-    in_force = away.process.events("configuration_in_force")[-1]
+    in_force = refused.process.events("configuration_in_force")[-1]
     assert in_force["version"] == 3
 
 
-def test_a_host_that_is_started_anew_without_the_store_serves(zone: RelayZone) -> None:
-    """Show that hosts which are restarted while the store is away serve.
+def test_host_restarted_while_the_store_is_unreachable_serves(zone: RelayZone) -> None:
+    """Check that a host that is restarted while the store is unreachable serves.
 
-    Symptom: a restarted host refuses its callers for as long as the store is away.
-    Sequence: the store goes away, a host is killed and started again; the hosts
-    around it still tell it where they are, and serve.
+    Symptom: a restarted host refuses its callers until the store is reachable again.
+    Sequence: the store becomes unreachable, a host is killed and started again; its
+    peers still send it their addresses, and serve.
     Cause: configuration and backend servers could come from the store only.
     """
     first = zone.start_host("e1")
@@ -130,23 +130,23 @@
     zone.head_of(2)
     wait_until(
         lambda: first.chat(request_id="s0").status_code == 200,
-        what="the first host knows the group",
+        what="the first host can send to the group",
     )
     killed.process.kill()
     zone.control(store={"refuse": True})
     first.process.wait_for_event("store_lost")
-    again = zone.start_host("e2", **place)
-    assert again.call("/look/1", request_id="i1").status_code == 200
-    assert again.chat(request_id="s1").text == events_of_stream(5)
+    restarted = zone.start_host("e2", **place)
+    assert restarted.call("/look/1", request_id="i1").status_code == 200
+    assert restarted.chat(request_id="s1").text == events_of_stream(5)
 
 
-def test_a_stopping_host_takes_nothing_that_it_cannot_finish(zone: RelayZone) -> None:
-    """Show that requests that come late in a shutdown aren't taken and cut off.
+def test_stopping_host_refuses_requests_that_it_cannot_finish(zone: RelayZone) -> None:
+    """Check that late requests during a shutdown are refused, not accepted and cut off.
 
     Symptom: a stream that began six seconds after the signal is cut off.
-    Sequence: a caller keeps a connection idle through the shutdown, and uses it
-    shortly before the process ends.
-    Cause: the host took whatever came until its last moment.
+    Sequence: a caller keeps an idle connection open during the shutdown, and sends a
+    request on it shortly before the process ends.
+    Cause: the host accepted requests until its process ended.
     """
     host = zone.start_host("e1", grace=6)
     head = zone.head_of(2)
@@ -157,7 +157,7 @@
     ):
         headers = HEADERS | {"Request-Id": "i1"}
         assert caller.get("/look/1", headers=headers).status_code == 200
-        # What runs keeps the process until it has ended.
+        # The process does not end before this running stream has ended.
         running = threads.submit(host.chat, request_id="s1", Deadline_Ms="9000")
         wait_until(lambda: "s1" in zone.n_runs(), what="the stream runs")
         host.process.send(signal.SIGTERM)
@@ -178,20 +178,20 @@
         pytest.param({"cut_after": 6}, id="cut-in-mid-event"),
     ],
 )
-def test_a_stream_goes_on_at_another_group(
+def test_stream_resumes_at_another_group(
     zone: RelayZone, switches: dict[str, object]
 ) -> None:
-    """Show that a caller gets every event once when its group is lost.
+    """Check that a caller gets every event once when its group is lost.
 
-    Symptom: an answer that ends in the middle, or repeats itself.
-    Sequence: a group begins a stream, then a member is lost: nothing moves any more,
-    or the connection breaks in the middle of an event.
-    Cause: the second group must go on after the last whole event.
+    Symptom: an answer ends in the middle, or repeats events.
+    Sequence: a group begins a stream, then a member is lost: the stream stalls, or the
+    connection breaks in the middle of an event.
+    Cause: the second group must resume after the last complete event.
     """
     host = zone.start_host("e1")
     zone.head_of(1)
     zone.slow_engines(n_events=15, event_ms=20.0)
-    # Of idle groups the same one is chosen each time.
+    # The host selects the same group each time while all groups are idle.
     assert host.chat(request_id="s0", model="small").status_code == 200
     first = zone.server_that_runs("s0")
     zone.control(**{first.replace("-", "_"): switches})
@@ -201,7 +201,7 @@
     assert zone.server_that_runs("s1", other_than=first)
 
 
-def test_metrics_have_an_address_of_their_own(zone: RelayZone) -> None:
+def test_metrics_are_served_on_a_separate_address(zone: RelayZone) -> None:
     ip = own_address()
     host = zone.start_host("e1", ip=ip, metrics_port=9100)
     zone.head_of(2)
--- a/tests/test_system/test_repair.py
+++ b/tests/test_system/test_repair.py
@@ -1,4 +1,4 @@
-"""Test repair with real processes: what only signals can show."""
+"""Test the repair of groups after signals to real processes (SIGKILL, SIGSTOP)."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def zone(fleet: Fleet, request: pytest.FixtureRequest) -> Fleet:
     """Start one group, a spare host and two entry hosts.
 
-    The engines check fencing numbers unless a test asks for the other kind.
+    The engines check fencing tokens unless a test passes False as parameter.
     """
     fleet.start_platform()
     checks_fencing = getattr(request, "param", True)
@@ -34,22 +34,22 @@
     )
     for name in ("e1", "e2"):
         fleet.start_entry(name, zone="z", lease_term=3.0)
-    wait_until(lambda: _members(fleet), what="the group is whole everywhere")
+    wait_until(lambda: _members(fleet), what="the group is complete on all entry hosts")
     return fleet
 
 
 def _members(fleet: Fleet, *entries: EntryHost) -> tuple[str, ...]:
-    """Return the members of the one group that all entry hosts call whole."""
+    """Return the members of the only complete group; empty if entry hosts differ."""
     seen = set()
     for entry in entries or fleet.entries_by_name.values():
-        whole = [group for group in entry.dump()["groups"] if group["whole"]]
-        if len(whole) != 1:
+        complete = [group for group in entry.dump()["groups"] if group["whole"]]
+        if len(complete) != 1:
             return ()
-        seen.add(tuple(whole[0]["members"]))
+        seen.add(tuple(complete[0]["members"]))
     return seen.pop() if len(seen) == 1 else ()
 
 
-def _holder(fleet: Fleet) -> str:
+def _lease_holder(fleet: Fleet) -> str:
     lease = next(iter(fleet.entries_by_name.values())).dump()["leases"]["z"]
     return lease["holder"].partition("/")[0]
 
@@ -58,18 +58,18 @@
     return entry.dump()["hosts"]
 
 
-def test_killed_member_is_replaced_and_told_to_operators(zone: Fleet) -> None:
-    """Kill a member.
+def test_killed_member_is_replaced_and_reported_to_operators(zone: Fleet) -> None:
+    """Kill a member of the group.
 
-    Symptom: the group stays down.  Sequence: SIGKILL of one engine.  Cause: nobody
-    replaces it.
+    Symptom: the group stays down.  Sequence: SIGKILL of one engine.  Cause: no planner
+    replaces the killed member.
     """
     before = _members(zone)
     lost = before[2]
     zone.processes_by_name[lost].kill()
     members = wait_until(
         lambda: (now := _members(zone)) and lost not in now and now,
-        what="a spare host has taken the place",
+        what="a spare host has replaced the member",
     )
     assert set(members) == set(HOSTS) - {lost}
     for entry in zone.entries_by_name.values():
@@ -78,40 +78,42 @@
                 lost in line["cause"] and line["outcome"].startswith("serves since")
                 for line in entry.dump()["repairs"]
             ),
-            what="the repair is told with its outcome",
+            what="the dump shows the repair with its outcome",
         )
 
 
 @pytest.mark.parametrize("zone", [True, False], indirect=True)
-def test_paused_member_returns_and_is_not_counted(zone: Fleet) -> None:
-    """Pause a member until it is replaced, then let it go on.
+def test_resumed_member_leaves_its_former_group(zone: Fleet) -> None:
+    """Pause a member until it is replaced, then resume it.
 
-    Symptom: one host in two groups.  Sequence: SIGSTOP, replacement, SIGCONT; orders
-    and questions of the whole pause wait in its sockets.  Cause: the member goes on
-    as if nothing had happened.
+    Symptom: one host is in two groups.  Sequence: SIGSTOP, replacement, SIGCONT; orders
+    and polls sent during the pause wait in the member's sockets.  Cause: the resumed
+    member acts as if it still belonged to its former group.
     """
     lost = _members(zone)[1]
     zone.processes_by_name[lost].send(signal.SIGSTOP)
     members = wait_until(
         lambda: (now := _members(zone)) and lost not in now and now,
-        what="a spare host has taken the place",
+        what="a spare host has replaced the member",
     )
     zone.processes_by_name[lost].send(signal.SIGCONT)
     entry = next(iter(zone.entries_by_name.values()))
     wait_until(
-        lambda: _hosts(entry)[lost]["reported"] == "idle", what="the member has left"
+        lambda: _hosts(entry)[lost]["reported"] == "idle",
+        what="the resumed member has left its former group",
     )
     assert _members(zone) == members
 
 
-def test_paused_holder_does_nothing_on_waking(zone: Fleet) -> None:
-    """Pause the holder of the lease while a member dies.
+def test_resumed_lease_holder_sends_no_orders(zone: Fleet) -> None:
+    """Pause the planner that holds the lease while a member is killed.
 
-    Symptom: two planners order the same hosts.  Sequence: SIGSTOP of the holder,
-    SIGKILL of a member, the other one takes over and repairs, SIGCONT.  Cause: the
-    holder goes on with what it knew.
+    Symptom: two planners send orders to the same hosts.  Sequence: SIGSTOP of the
+    holder, SIGKILL of a member, the other planner takes the lease and repairs the
+    group, SIGCONT.  Cause: the resumed holder plans with its state from before the
+    pause.
     """
-    name = _holder(zone)
+    name = _lease_holder(zone)
     other = next(
         entry for known, entry in zone.entries_by_name.items() if known != name
     )
@@ -125,19 +127,21 @@
     )
     n_orders = len(paused.events("order_sent"))
     paused.send(signal.SIGCONT)
-    wait_until(lambda: _members(zone) == members, what="both agree again")
+    wait_until(lambda: _members(zone) == members, what="both entry hosts agree again")
     assert len(paused.events("order_sent")) == n_orders
     streams = other.dump()["streams"]["placement-z"]
     assert all("lease" in row["reason"] for row in streams["ignored"])
 
 
 def test_lease_is_returned_on_graceful_shutdown(zone: Fleet) -> None:
-    """Stop the holder in good order; the other one takes over at once."""
-    name = _holder(zone)
+    """Stop the lease holder gracefully; the other planner takes the lease at once."""
+    name = _lease_holder(zone)
     holder = zone.entries_by_name.pop(name)
     assert holder.process.stop() == 0
     assert holder.process.events("lease_given_back")
-    wait_until(lambda: _holder(zone) != name, what="the other planner holds the lease")
+    wait_until(
+        lambda: _lease_holder(zone) != name, what="the other planner holds the lease"
+    )
 
 
 @pytest.mark.parametrize(
@@ -146,22 +150,24 @@
         (True, 60_000, "new", "n_stale_orders"),
         (True, 100, "new", "n_expired_orders"),
         (False, 100, "new", "n_expired_orders"),
-        # Why the planner forms no new group before old orders have expired.
+        # An engine without fencing obeys the old order: the planner must form no new
+        # group of its host before orders sent earlier have expired.
         (False, 60_000, "old", None),
     ],
 )
-def test_order_that_lingers_before_an_engine(
+def test_delayed_join_order(
     fleet: Fleet,
     checks_fencing: bool,
     window_ms: int,
     obeyed: str,
     refused_as: str | None,
 ) -> None:
-    """Let an order to join arrive after the host has joined another group.
+    """Deliver a join order after its host has joined another group.
 
-    Symptom: a healthy host leaves its whole group.  Sequence: an order lingers on
-    its way, its group ends, the host joins another, the order arrives.  Cause: the
-    engine obeys what comes last, unless number or deadline tells.
+    Symptom: a healthy host leaves a complete group.  Sequence: an order is delayed on
+    its way, its group is dissolved, the host joins another group, the order arrives.
+    Cause: an engine obeys the order that arrives last, unless the fencing token or the
+    expiry time shows that the order is outdated.
     """
     flag = "--checks-fencing" if checks_fencing else "--no-checks-fencing"
     address = fleet.start_standin("h", "engine", "--host", "h", flag)
@@ -173,7 +179,9 @@
     new = _join(address, group="new", fencing=2)
     assert httpx.post(f"http://{address}/v1/orders", json=new).status_code == 200
     if refused_as:
-        wait_until(lambda: fleet.counts("h")[refused_as] == 1, what="it was refused")
+        wait_until(
+            lambda: fleet.counts("h")[refused_as] == 1, what="the old order is refused"
+        )
     wait_until(
         lambda: httpx.get(f"http://{address}/v1/report").json()["group"] == obeyed,
         what=f"the host is in {obeyed}",
--- a/tests/test_system/test_silent.py
+++ b/tests/test_system/test_silent.py
@@ -1,4 +1,4 @@
-"""Let connections go silent, break and stall."""
+"""Test entry hosts while connections are silent, broken or stalled."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 LEADERS = ("d0-0", "d1-0")
 
 
-def test_silent_connections_towards_engines(fleet: Fleet) -> None:
-    """Drop what is open towards every leader while new connections work.
+def test_silent_connections_to_engines(fleet: Fleet) -> None:
+    """Silence the open connections to every leader while new connections work.
 
-    Symptom: streams that hang until their deadline, and pooled connections that
-    swallow one request after the other.  Sequence: a device between the two ends
-    loses track of all its connections; nobody is told.  Cause: only the lack of
-    progress tells, and every other old connection to that peer is as dead.
+    Symptom: streams hang until their deadline, and one request after another gets no
+    answer on a pooled connection.  Sequence: a device between the two ends loses the
+    state of all its connections and notifies neither end.  Cause: only the lack of
+    progress shows the fault, which affects every other old connection to the same
+    peer as well.
     """
     fleet.start_world(n_groups=2, cut=LEADERS, progress_timeout=1.0)
 
@@ -39,12 +40,13 @@
     assert sum(fleet.counts(f"{name}-cut")["n_silenced"] for name in LEADERS) > 30
 
 
-def test_silent_connections_towards_the_log(fleet: Fleet) -> None:
-    """Drop what is open towards the log while new connections work.
+def test_silent_connections_to_the_log(fleet: Fleet) -> None:
+    """Silence the open connections to the log while new connections work.
 
-    Symptom: bookings are refused for as long as the old connections are believed
-    in.  Sequence: a booking's claim is appended over a connection that has gone
-    silent.  Cause: as towards engines; the append has to go over a new one.
+    Symptom: bookings are refused for as long as the entry host uses the old
+    connections.  Sequence: a booking's claim is appended over a connection that has
+    become silent.  Cause: only the lack of progress shows that the connection is dead;
+    the append has to be sent over a new one.
     """
     fleet.start_world(
         entries=("e1",), cut=("log",), progress_timeout=1.0, claim_timeout=PATIENCE
@@ -58,12 +60,13 @@
     assert fleet.n_runs() == [1, 1]
 
 
-def test_answers_cut_off_after_some_bytes(fleet: Fleet) -> None:
-    """Break connections in the middle of an answer, on the only group.
+def test_streams_resume_after_connections_break_in_mid_answer(fleet: Fleet) -> None:
+    """Break connections to the only group in the middle of an answer.
 
-    Symptom: an answer that just ends.  Sequence: three connections break after
-    some hundred bytes, with no other group to go on with.  Cause: the group itself
-    is well; after it has confirmed itself, the stream resumes there.
+    Symptom: an answer ends without an error or a terminal event.  Sequence: three
+    connections break after some hundred bytes, and no other group can resume the
+    streams.  Cause: a broken connection says nothing about the group, which is healthy:
+    the streams must resume there once the group has reported again.
     """
     fleet.start_world(
         entries=("e1",), cut=("d0-0",), report_max_age=1.0, report_interval=0.25
@@ -71,16 +74,16 @@
     entry = fleet.entries_by_name["e1"]
     caller = Caller(fleet)
     prompts = [f"cut {index}" for index in range(6)]
-    begun: set[str] = set()
+    begun_prompts: set[str] = set()
 
     async def run() -> list[Answer]:
-        # A caller that comes after the first break, while nothing confirms the
-        # group, is rightly refused: all are under way before.
+        # All streams begin before the first break: a request that arrives after it,
+        # before the group has reported again, is rightly refused.
         all_begun = asyncio.Event()
 
-        def note(prompt: str) -> None:
-            begun.add(prompt)
-            if len(begun) == len(prompts):
+        def record_begin(prompt: str) -> None:
+            begun_prompts.add(prompt)
+            if len(begun_prompts) == len(prompts):
                 all_begun.set()
 
         streams = [
@@ -89,7 +92,7 @@
                     entry,
                     prompt,
                     n_tokens=200,
-                    on_token=lambda prompt=prompt: note(prompt),
+                    on_token=lambda prompt=prompt: record_begin(prompt),
                 )
             )
             for prompt in prompts
@@ -103,7 +106,7 @@
     assert entry.process.events("attempt_failed")
 
 
-def _ask(fleet: Fleet, sock: socket.socket, *, n_tokens: int) -> None:
+def _send_request(fleet: Fleet, sock: socket.socket, *, n_tokens: int) -> None:
     body = json.dumps(
         {
             "model": "notes",
@@ -133,22 +136,22 @@
     return counts["n_running"] + counts["n_waiting"]
 
 
-def test_caller_that_stops_reading_is_cut_off(fleet: Fleet) -> None:
-    """Leave a long answer unread for good.
+def test_caller_that_stops_reading_is_disconnected(fleet: Fleet) -> None:
+    """Keep a connection open without ever reading its long answer.
 
-    Symptom: memory of the entry host, and a place in the engine's batch, are held
-    until the request's deadline.  Sequence: a caller asks for megabytes and reads
-    nothing, but keeps its connection open.  Cause: a paused connection makes no
-    progress, and nobody counts how long.
+    Symptom: memory of the entry host and a slot in the engine's batch stay occupied
+    until the request's deadline.  Sequence: a caller requests megabytes and reads
+    nothing, but keeps its connection open.  Cause: a connection whose writing is paused
+    makes no progress, and no limit applies to the length of the pause.
     """
     fleet.start_world(entries=("e1",), engine=("--step-ms", "1"), unread_timeout=1.0)
     fleet.control("d0-0", token_bytes=20_000)
     entry = fleet.entries_by_name["e1"]
     with contextlib.closing(_connect(fleet)) as sock:
-        _ask(fleet, sock, n_tokens=30_000)
+        _send_request(fleet, sock, n_tokens=30_000)
         wait_until(
             lambda: any(caller["stalled"] for caller in _callers(fleet)),
-            what="the caller is noticed to stall",
+            what="the caller is marked as stalled",
         )
         wait_until(lambda: not entry.dump()["requests"], what="the request ends")
         wait_until(lambda: not _n_busy(fleet), what="the engine stops")
@@ -163,16 +166,17 @@
 
 
 def test_cancel_reaches_an_engine_behind_a_silent_connection(fleet: Fleet) -> None:
-    """Leave while the connection to the engine is silent.
+    """Disconnect a caller while the connection to the engine is silent.
 
-    Symptom: an engine that generates to the end for nobody.  Sequence: the path to
-    the engine goes silent, the caller leaves, the entry host closes a connection
-    whose other end never hears of it.  Cause: closing is no message; the engine has
-    to be told over a new connection.
+    Symptom: an engine generates an answer to its end although no caller waits for it.
+    Sequence: the path to the engine becomes silent, the caller disconnects, the entry
+    host closes its connection to the engine, which never receives the close.  Cause:
+    closing a silent connection cancels nothing; the cancellation has to be sent over a
+    new connection.
     """
     fleet.start_world(entries=("e1",), cut=("d0-0",))
     with contextlib.closing(_connect(fleet)) as sock:
-        _ask(fleet, sock, n_tokens=30_000)
+        _send_request(fleet, sock, n_tokens=30_000)
         wait_until(lambda: _n_running_directly(fleet), what="the engine generates")
         fleet.control("d0-0-cut", silence=True)
     wait_until(lambda: not _n_running_directly(fleet), what="the engine stops")
--- a/tests/test_system/test_store_returns.py
+++ b/tests/test_system/test_store_returns.py
@@ -1,4 +1,4 @@
-"""Test entry hosts before a store that comes back from an older copy."""
+"""Test entry hosts while the keyed store is restored from an older copy."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
         yield running
 
 
-def _serving(zone: RelayZone) -> dict[int, str]:
-    """Return the heads of the groups that serve, by epoch."""
+def _serving_heads(zone: RelayZone) -> dict[int, str]:
+    """Return the heads of serving groups that the platform lists, by epoch."""
     servers = zone.servers()
     return {
         servers[head]["group"]["epoch"]: head
@@ -29,21 +29,21 @@
     }
 
 
-def _lose_a_head(zone: RelayZone) -> str:
-    """Lose the head of a large group; return it once a later group serves."""
-    before = _serving(zone)
+def _remove_a_head(zone: RelayZone) -> str:
+    """Remove the head of a large group; return its name once a later group serves."""
+    before = _serving_heads(zone)
     servers = zone.servers()
     lost = next(head for head in before.values() if len(servers[head]["members"]) == 2)
     zone.control(**{lost.replace("-", "_"): {"listed": False, "orders": "lost"}})
     wait_until(
-        lambda: max(_serving(zone), default=0) > max(before),
-        what="a later group serves",
+        lambda: max(_serving_heads(zone), default=0) > max(before),
+        what="a group of a later epoch serves",
     )
     return lost
 
 
-def _come_back(zone: RelayZone) -> None:
-    """Let the store come back from its copy, and the host read that."""
+def _restore_store_from_copy(zone: RelayZone) -> None:
+    """Restore the store from its copy and wait until the host has read the copy."""
 
     def n_reads() -> int:
         return zone.seen()["store"]["n_calls_by_topic"]["keyed.servers"]
@@ -54,7 +54,7 @@
 
 
 def _members_by_epoch(zone: RelayZone) -> dict[int, set[tuple[str, ...]]]:
-    """Return the lists of members that were told to join, by epoch."""
+    """Return the distinct member lists of all join orders, by epoch."""
     members: dict[int, set[tuple[str, ...]]] = defaultdict(set)
     for server in zone.servers().values():
         for order in server["orders"]:
@@ -63,21 +63,21 @@
     return members
 
 
-def test_groups_are_formed_after_the_store_came_back_from_a_copy(
+def test_groups_are_formed_after_the_store_is_restored_from_a_copy(
     zone: RelayZone,
 ) -> None:
-    """Guard against planners that append at an end which the store no longer has.
+    """Guard against planners that append at an offset beyond the restored store's end.
 
-    Also against epochs that are given out again.
+    Also guard against epochs that are assigned twice.
     """
     host = zone.start_host("e1")
-    wait_until(lambda: len(_serving(zone)) > 3, what="groups serve")
+    wait_until(lambda: len(_serving_heads(zone)) > 3, what="groups serve")
     zone.control(drill="copy")
-    lost = _lose_a_head(zone)
-    _come_back(zone)
+    lost = _remove_a_head(zone)
+    _restore_store_from_copy(zone)
     zone.control(drill="write-again")
     zone.control(**{lost.replace("-", "_"): {"restart": True, "orders": "taken"}})
-    _lose_a_head(zone)
+    _remove_a_head(zone)
     wait_until(
         lambda: host.chat(request_id="s1").status_code == 200,
         what="the new group takes requests",
@@ -85,8 +85,8 @@
     assert all(len(lists) == 1 for lists in _members_by_epoch(zone).values())
 
 
-def test_a_copy_makes_no_leaving_server_ready_again(zone: RelayZone) -> None:
-    """Guard against requests to a leaving server that an older entry shows as ready."""
+def test_restored_copy_does_not_make_a_leaving_server_ready(zone: RelayZone) -> None:
+    """Guard against requests to a leaving server that the older copy shows as ready."""
     host = zone.start_host("e1")
     zone.control(drill="copy")
     zone.control(plain_0={"state": "draining"})
@@ -96,7 +96,7 @@
         ),
         what="the host knows that the server is leaving",
     )
-    _come_back(zone)
+    _restore_store_from_copy(zone)
     for number in range(20):
         host.call("/look/1", request_id=f"i{number}")
     assert not zone.servers()["plain-0"]["n_runs"]
