--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Share fixtures among all tests."""
+"""Fixtures and pytest hooks for all tests."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from .known_red import KNOWN_RED, mark_known_red, read_known_red
 from .processes import Fleet, running_fleet
 
-# Every run draws the same cases, so that CI reaches the same verdict each time.
+# Every run generates the same examples, so that CI gives the same result each time.
 settings.register_profile("ci", derandomize=True, deadline=None, print_blob=True)
 settings.load_profile("ci")
 
 
 def pytest_report_header() -> list[str]:
-    """Print the failures that are known."""
+    """Return the lines that list the known failures in the report header."""
     known_red = read_known_red(KNOWN_RED)
     return [f"known red: {known.test}: {known.reason}" for known in known_red]
 
@@ -25,13 +25,13 @@
 def pytest_collection_modifyitems(
     config: pytest.Config, items: list[pytest.Item]
 ) -> None:
-    """Expect the failures that are known, and no others."""
+    """Mark the known failures as expected; all other failures fail the run."""
     whole_files = not any("::" in argument for argument in config.args)
     mark_known_red(items, whole_files=whole_files)
 
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Fleet]:
-    """Yield processes that are stopped after the test."""
+    """Yield a fleet whose processes are killed after the test."""
     with running_fleet(tmp_path) as running:
         yield running
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,7 @@
-"""Run stand-ins and entry hosts as processes, for system tests and the demo."""
+"""Start, control and stop stand-ins and entry hosts as processes.
+
+System tests, benchmarks and the demo use this module.
+"""
 
 from __future__ import annotations
 
@@ -23,27 +26,40 @@
 
 __all__ = ["Fleet", "Process", "running_fleet", "wait_until"]
 
-#: Seconds that a condition may take on a busy machine.
+#: Seconds after which waiting for a condition fails; ample also for a busy machine.
 PATIENCE = 30.0
 
 PEER_KEY = "peer-key-of-the-tests"
 OPERATOR_KEY = "operator-key-of-the-tests"
 
-#: A stand-in speaks no TLS, and aiohttp reads all of the machine's certificates while
-#: it is imported: a sixth of what starting a stand-in costs.
+#: Keeps aiohttp from reading all of the machine's certificates on import, which takes a
+#: sixth of the time to start a stand-in.  Stand-ins do not use TLS.
 STANDIN_ENVIRONMENT = {"SSL_CERT_FILE": os.devnull, "SSL_CERT_DIR": os.devnull}
 
-#: What the interpreter is given to run ryelever from its source.
+#: Arguments of the interpreter that run ryelever from its source.
 SOURCE_PROGRAM = ("-m", "ryelever")
 
 
 def wait_until(
     condition: Callable[[], Any], *, what: str, timeout: float = PATIENCE
 ) -> Any:
-    """Return the condition's first true value; fail with ``what`` otherwise."""
+    """Evaluate a condition every 0.02 s and return its first true value.
+
+    Parameters
+    ----------
+    what : str
+        Description of the condition, for the error message.
+    timeout : float
+        Seconds to wait.
+
+    Raises
+    ------
+    AssertionError
+        If the condition has no true value within the timeout.
+    """
     pause = threading.Event()
-    give_up_at = time.monotonic() + timeout
-    while time.monotonic() < give_up_at:
+    deadline = time.monotonic() + timeout
+    while time.monotonic() < deadline:
         value = condition()
         if value:
             return value
@@ -52,7 +68,7 @@
 
 
 class Process:
-    """Own one process that was started for a test."""
+    """Python process that was started for a test and writes its output to a file."""
 
     def __init__(
         self,
@@ -80,11 +96,11 @@
         return self._popen.pid
 
     def lines(self) -> list[str]:
-        """Return what the process has written so far."""
+        """Return the lines that the process has written so far."""
         return self.log.read_text(errors="replace").splitlines()
 
     def wait_for_line(self, start: str) -> str:
-        """Return the rest of the first line that starts with ``start``."""
+        """Wait for a line that starts with ``start`` and return its remainder."""
 
         def found() -> str | None:
             if self._popen.poll() is not None:
@@ -94,10 +110,10 @@
                     return line[len(start) :].strip()
             return None
 
-        return wait_until(found, what=f"{self.name} says {start!r}")
+        return wait_until(found, what=f"{self.name} prints {start!r}")
 
     def wait_for_event(self, event: str) -> dict[str, Any]:
-        """Return the first structured log line of an event."""
+        """Wait for a structured log line of an event and return the first one."""
 
         def found() -> dict[str, Any] | None:
             if self._popen.poll() is not None:
@@ -107,7 +123,7 @@
         return wait_until(found, what=f"{self.name} logs {event!r}")
 
     def events(self, event: str) -> list[dict[str, Any]]:
-        """Return the structured log lines of an event."""
+        """Return all structured log lines of an event so far."""
         found = []
         for line in self.lines():
             with contextlib.suppress(ValueError):
@@ -122,14 +138,14 @@
             os.kill(self.pid, signal_number)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process with SIGKILL, also if it is paused, and wait for its end."""
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
         self._popen.wait()
         self._stream.close()
 
     def stop(self) -> int:
-        """Ask the process to end and return its exit code."""
+        """Send SIGTERM, wait for the process to end and return its exit code."""
         self.send(signal.SIGTERM)
         return self.wait()
 
@@ -141,13 +157,13 @@
 
     @property
     def exit_code(self) -> int | None:
-        """Return the exit code, or None while it runs."""
+        """Return the exit code, or None while the process runs."""
         return self._popen.poll()
 
 
 @dataclass(slots=True, kw_only=True)
 class EntryHost:
-    """Hold a running entry host."""
+    """Entry host that was started as a process."""
 
     process: Process
     address: str
@@ -155,27 +171,29 @@
 
     @property
     def url(self) -> str:
-        """Return where callers reach it."""
+        """Return the base URL of the host's interface for callers."""
         return f"http://{self.address}"
 
     def dump(self) -> dict[str, Any]:
-        """Return its state dump."""
+        """Return the host's state dump."""
         headers = {"Authorization": f"Bearer {OPERATOR_KEY}"}
         return httpx.get(f"{self.url}/dump", headers=headers, timeout=5).json()
 
     def n_complete_groups(self) -> int:
-        """Return how many groups it holds for whole."""
+        """Return the number of groups that the host sees as complete."""
         return sum(group["whole"] for group in self.dump()["groups"])
 
 
 @dataclass(slots=True, kw_only=True)
 class Fleet:
-    """Start processes by need and stop whatever was started.
+    """Processes of one test: stand-ins and entry hosts, started on demand.
 
     Attributes
     ----------
     directory : Path
-        Where logs and settings files go.
+        Directory of the processes' output and settings files.
+    listed_by_name : dict of str to dict
+        Rows of the platform's list of hosts; ``publish_list`` sends them.
     """
 
     directory: Path
@@ -188,7 +206,7 @@
     # Stand-ins
 
     def launch_standin(self, name: str, module: str, *arguments: str) -> Process:
-        """Start a stand-in and don't wait for it."""
+        """Start a stand-in without waiting until it serves."""
         process = Process(
             name=name,
             arguments=["-m", f"tests.standins.{module}", *arguments],
@@ -199,18 +217,18 @@
         return process
 
     def await_standin(self, name: str) -> str:
-        """Wait for a launched stand-in and return its address."""
+        """Wait until a launched stand-in serves and return its address."""
         process = self.processes_by_name[name]
         self.addresses_by_name[name] = process.wait_for_line("listening ")
         return self.addresses_by_name[name]
 
     def start_standin(self, name: str, module: str, *arguments: str) -> str:
-        """Start a stand-in and return its address."""
+        """Start a stand-in, wait until it serves and return its address."""
         self.launch_standin(name, module, *arguments)
         return self.await_standin(name)
 
     def start_platform(self, *, list_lag: float = 0.0) -> None:
-        """Start the log service and the list of hosts."""
+        """Start the log service and the service of the list of hosts."""
         self.launch_standin("log", "log_service")
         self.launch_standin("list", "hosts_list", "--lag", str(list_lag))
         for name in ("log", "list"):
@@ -219,18 +237,18 @@
     def start_engines(
         self, *names: str, zone: str, domain: str, arguments: tuple[str, ...] = ()
     ) -> None:
-        """Start one engine a name, in one fabric domain, and list them."""
+        """Start one engine per name, all in one fabric domain, and publish the list."""
         self.launch_engines(*names, arguments=arguments)
         self.list_engines(*names, zone=zone, domain=domain)
         self.publish_list()
 
     def launch_engines(self, *names: str, arguments: tuple[str, ...] = ()) -> None:
-        """Start one engine a name and don't wait for them."""
+        """Start one engine per name without waiting until they serve."""
         for name in names:
             self.launch_standin(name, "engine", "--host", name, *arguments)
 
     def list_engines(self, *names: str, zone: str, domain: str) -> None:
-        """Wait for launched engines and take them into the list."""
+        """Wait until launched engines serve and add them to the list of hosts."""
         for name in names:
             self.listed_by_name[name] = {
                 "host": name,
@@ -243,13 +261,13 @@
             }
 
     def start_service(self, name: str, *, zone: str, service: str) -> None:
-        """Start a plain service and list it."""
+        """Start a plain service and publish the list with it."""
         self.launch_standin(name, "plain_service")
         self.list_service(name, zone=zone, service=service)
         self.publish_list()
 
     def list_service(self, name: str, *, zone: str, service: str) -> None:
-        """Wait for a launched service and take it into the list."""
+        """Wait until a launched service serves and add it to the list of hosts."""
         self.listed_by_name[name] = {
             "host": name,
             "address": self.await_standin(name),
@@ -259,15 +277,16 @@
             "state": "live",
         }
 
-    def start_cut(self, name: str) -> str:
-        """Put a forwarder before a stand-in and return the forwarder's address.
+    def start_forwarder(self, name: str) -> str:
+        """Start a forwarder to a stand-in and return the forwarder's address.
 
-        The stand-in's address becomes the forwarder's; its own is kept under
-        ``"<name>-direct"``, and the switches are those of ``"<name>-cut"``.
+        Afterwards ``addresses_by_name`` has the forwarder's address under the name of
+        the stand-in, the stand-in's own address under ``"<name>-direct"``, and the
+        address of the forwarder's switches under ``"<name>-cut"``.
         """
         direct = self.addresses_by_name[name]
         self.addresses_by_name[f"{name}-direct"] = direct
-        process = self.launch_standin(f"{name}-cut", "cut", "--target", direct)
+        process = self.launch_standin(f"{name}-cut", "forwarder", "--target", direct)
         self.await_standin(f"{name}-cut")
         address = process.wait_for_line("forwarding ")
         self.addresses_by_name[name] = address
@@ -284,17 +303,19 @@
         cut: tuple[str, ...] = (),
         **settings: Any,
     ) -> None:
-        """Start one availability zone with all that a request needs.
+        """Start a complete availability zone and wait until its groups are complete.
 
-        There are ``n_groups`` groups of four hosts ``d0-0`` to ``d0-3`` and so on,
-        the service ``bookings`` and the client account ``pawroute``.
+        The zone has ``n_groups`` groups of four hosts each (``d0-0`` to ``d0-3`` and so
+        on), the service ``bookings``, the client account ``pawroute`` and entry hosts.
 
         Parameters
         ----------
+        entries : tuple of str
+            Names of the entry hosts.
         engine : tuple of str
-            Arguments of the engines.
+            Command-line arguments of the engines.
         cut : tuple of str
-            Stand-ins behind a forwarder.
+            Names of the stand-ins that are reached through a forwarder.
         settings : dict
             Settings of the entry hosts.
         """
@@ -316,29 +337,29 @@
         }
         self.publish(document)
         for name in cut:
-            self.start_cut(name)
+            self.start_forwarder(name)
         self.publish_list()
         self.start_entries(*entries, zone="z", **settings)
-        self.wait_whole(n_groups)
+        self.wait_complete_groups(n_groups)
 
-    def wait_whole(self, n_groups: int) -> None:
-        """Wait until every entry host that runs holds so many groups for whole."""
+    def wait_complete_groups(self, n_groups: int) -> None:
+        """Wait until every running entry host sees ``n_groups`` complete groups."""
         wait_until(
             lambda: all(
                 entry.n_complete_groups() == n_groups
                 for entry in self.entries_by_name.values()
                 if entry.process.exit_code is None
             ),
-            what=f"{n_groups} groups are whole",
+            what=f"{n_groups} groups are complete",
         )
 
     def n_runs(self) -> list[int]:
-        """Return how often each booking has run."""
+        """Return the number of runs of each booking."""
         address = self.addresses_by_name["service"]
         return list(httpx.get(f"http://{address}/bookings").json().values())
 
     def publish_list(self) -> None:
-        """Tell the list of hosts what there is."""
+        """Send the rows of ``listed_by_name`` to the service of the list of hosts."""
         self.control("list", hosts=list(self.listed_by_name.values()))
 
     def control(self, name: str, **switches: Any) -> None:
@@ -347,14 +368,14 @@
         httpx.post(url, json=switches, timeout=5).raise_for_status()
 
     def counts(self, name: str) -> dict[str, Any]:
-        """Return what a stand-in has counted."""
+        """Return the counts and the state that a stand-in reports."""
         url = f"http://{self.addresses_by_name[name]}/control"
         return httpx.get(url, timeout=5).json()
 
     # Configuration
 
     def account(self, name: str, **fields: Any) -> dict[str, Any]:
-        """Return the declaration of a client account with a key of its own."""
+        """Return the declaration of a client account, and record a new key for it."""
         key = f"{name}.secret-of-the-tests-{name}"
         self.keys_by_account[name] = key
         return {"key_hash": hash_key(key)} | fields
@@ -362,7 +383,7 @@
     def publish(
         self, document: dict[str, Any], *, base_version: int = -1, author: str = "ana"
     ) -> None:
-        """Append a publication to the log, as the console does."""
+        """Append a publication of a configuration to the log, as the console does."""
         body = {"base_version": base_version, "author": author, "document": document}
         record = {"id": uuid.uuid4().hex, "kind": "Publication", "body": body}
         url = f"http://{self.addresses_by_name['log']}/v1/streams/configuration/records"
@@ -379,12 +400,21 @@
         program: tuple[str, ...] = SOURCE_PROGRAM,
         **settings: Any,
     ) -> EntryHost:
-        """Start an entry host on a free port, also from another program file."""
+        """Start an entry host on a free port and wait until it has started.
+
+        Parameters
+        ----------
+        program : tuple of str
+            Arguments of the interpreter that run ryelever, such as the path of the
+            archive.
+        settings : dict
+            Settings in addition to, or instead of, those that every test uses.
+        """
         self._launch_entry(name, zone=zone, settings=settings, program=program)
         return self._await_entry(name, zone=zone)
 
     def start_entries(self, *names: str, zone: str, **settings: Any) -> list[EntryHost]:
-        """Start several entry hosts at the same time."""
+        """Start several entry hosts at the same time and wait for all of them."""
         for name in names:
             self._launch_entry(name, zone=zone, settings=settings)
         return [self._await_entry(name, zone=zone) for name in names]
@@ -428,14 +458,14 @@
         return entry
 
     def stop_all(self) -> None:
-        """End every process."""
+        """Kill every process."""
         for process in self.processes_by_name.values():
             process.kill()
 
 
 @contextlib.contextmanager
 def running_fleet(directory: Path) -> Iterator[Fleet]:
-    """Yield a fleet and stop all that it started."""
+    """Yield a fleet, and afterwards kill all processes that it started."""
     fleet = Fleet(directory=directory)
     try:
         yield fleet
@@ -444,7 +474,7 @@
 
 
 def free_udp_addresses(n_addresses: int) -> list[str]:
-    """Return addresses that are free for UDP right now."""
+    """Return distinct loopback addresses whose UDP ports are free at the moment."""
     socks = [
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(n_addresses)
     ]
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Stand in for the outside systems; docs/INTERFACES.md describes each interface.
+"""Stand-ins for the external systems whose interfaces docs/INTERFACES.md describes.
 
-Each module runs as a process of its own: ``python -m tests.standins.engine``.  It
-prints ``listening ADDRESS`` once it serves.  ``POST /control`` sets its switches.
+A stand-in runs as a separate process, such as ``python -m tests.standins.engine``.
+It prints ``listening ADDRESS`` once it serves.  ``POST /control`` sets its switches.
 """
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand in for the model engine of one host of a replica group."""
+"""Stand-in for the model engine of one host of a replica group."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 #: A request that contains this crashes the engine that runs it.
 POISON = "crash-the-engine"
 
-#: Prefixes kept in the cache.
+#: Maximum number of prefixes in the cache.
 MAX_CACHED = 64
 
-#: Words that are cached together.
-BLOCK = 4
+#: Number of words by which cached prefixes grow.
+WORDS_PER_BLOCK = 4
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class _Job:
-    """Hold one generation."""
+    """One generation, with the queue of items to stream."""
 
     attempt: str
     seed: str
@@ -44,7 +44,7 @@
 
 
 class Engine:
-    """Batch continuously, cache prefixes, obey orders."""
+    """Engine that batches requests continuously, caches prefixes and applies orders."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         self.cache: OrderedDict[str, int] = OrderedDict()
         self.cache_events: list[dict] = []
         self.n_generated = 0
-        self.n_asked = 0
+        self.n_generate_calls = 0
         self.n_cancelled = 0
         self.token_bytes = 0
         self.order_delay = 0.0
@@ -85,7 +85,7 @@
         self.tokens_per_event = 1
         self.reported_load = (0, 0)
         self._tasks: set[asyncio.Task] = set()
-        self._ring: asyncio.Task | None = None
+        self._group_task: asyncio.Task | None = None
 
     def app(self) -> web.Application:
         """Return the HTTP application."""
@@ -104,7 +104,7 @@
         return app
 
     async def _start(self, app: web.Application) -> None:
-        self._spawn(self._steps())
+        self._spawn(self._run_steps())
         self._spawn(self._report_load())
 
     def _spawn(self, coroutine: object) -> asyncio.Task:
@@ -143,24 +143,25 @@
         return web.json_response(self._report())
 
     async def order(self, request: web.Request) -> web.Response:
-        """Obey an order, unless its fencing number is old and this engine checks.
+        """Apply an order, unless it has expired or its fencing token is outdated.
 
-        No engine begins to obey an order after ``expires_ms`` on its own clock.
+        An order has expired once the engine's own clock is past ``expires_ms``.  Only
+        an engine with ``checks_fencing`` checks fencing tokens.
         """
         order = await request.json()
         if self.order_delay:
-            # Lingers unseen, as in the queue of a slow connection, and goes on
-            # although the sender has given up: the answer is of no use then.
+            # The order is delayed, as in the queue of a slow connection, and is
+            # applied although its sender has timed out and gets no answer any more.
             delay, self.order_delay = self.order_delay, 0.0
-            self._spawn(self._obey_later(order, delay))
+            self._spawn(self._apply_order_later(order, delay))
             return web.json_response({"error": "timeout"}, status=504)
-        return self._obey(order)
+        return self._apply_order(order)
 
-    async def _obey_later(self, order: dict, delay: float) -> None:
+    async def _apply_order_later(self, order: dict, delay: float) -> None:
         await asyncio.sleep(delay)
-        self._obey(order)
+        self._apply_order(order)
 
-    def _obey(self, order: dict) -> web.Response:
+    def _apply_order(self, order: dict) -> web.Response:
         if 0 < order.get("expires_ms", 0) < _clock_ms():
             self.n_expired_orders += 1
             body = {"error": "expired"} | self._report()
@@ -177,8 +178,8 @@
         return web.json_response(self._report())
 
     def _join(self, order: dict) -> None:
-        same = order["group"] == self.group and order["fencing"] == self.fencing
-        if same and self.state != "broken":
+        is_same = order["group"] == self.group and order["fencing"] == self.fencing
+        if is_same and self.state != "broken":
             return
         self._leave()
         self.group = order["group"]
@@ -189,12 +190,12 @@
         self.version = order["version"]
         self.adapters = tuple(order["adapters"])
         self.state = "loading"
-        self._ring = self._spawn(self._load_and_watch(self.group, self.fencing))
+        self._group_task = self._spawn(self._load_and_watch(self.group, self.fencing))
 
     def _leave(self) -> None:
-        if self._ring is not None:
-            self._ring.cancel()
-            self._ring = None
+        if self._group_task is not None:
+            self._group_task.cancel()
+            self._group_task = None
         self._abort_all("the host left its group")
         self.state = "idle"
         self.group = ""
@@ -215,11 +216,14 @@
                     await answer.read()
             await asyncio.sleep(self.load)
             self.state = "ready"
-            own = self.rank
-            others = [member for rank, member in enumerate(self.members) if rank != own]
-            watches = [self._watch(session, member) for member in others]
+            own_rank = self.rank
+            other_members = [
+                member for rank, member in enumerate(self.members) if rank != own_rank
+            ]
+            watches = [self._watch(session, member) for member in other_members]
             done, pending = await asyncio.wait(
-                [self._spawn(watch) for watch in watches] or [self._spawn(_never())],
+                [self._spawn(watch) for watch in watches]
+                or [self._spawn(_wait_forever())],
                 return_when=asyncio.FIRST_COMPLETED,
             )
             for task in pending:
@@ -228,6 +232,7 @@
         self.state = "broken"
 
     async def _watch(self, session: aiohttp.ClientSession, member: str) -> None:
+        """Return once the connection to a member of the group has ended."""
         with contextlib.suppress(aiohttp.ClientError, OSError):
             timeout = aiohttp.ClientTimeout(total=None)
             url = f"http://{member}/v1/ring"
@@ -236,7 +241,7 @@
                     pass
 
     async def ring(self, request: web.Request) -> web.StreamResponse:
-        """Stay open for as long as this host lives."""
+        """Keep the connection of another member open until this engine ends."""
         answer = web.StreamResponse()
         await answer.prepare(request)
         await asyncio.Event().wait()
@@ -245,11 +250,11 @@
     # Generation
 
     async def generate(self, request: web.Request) -> web.StreamResponse:
-        """Stream tokens as server-sent events."""
-        self.n_asked += 1
+        """Stream the tokens of a generation as server-sent events."""
+        self.n_generate_calls += 1
         body = await request.json()
-        wrong = body["group"] != self.group or body["fencing"] != self.fencing
-        if wrong or self.rank != 0 or self.state != "ready":
+        is_other = body["group"] != self.group or body["fencing"] != self.fencing
+        if is_other or self.rank != 0 or self.state != "ready":
             return web.json_response({"error": "not this group"}, status=409)
         job = self._admit(body)
         answer = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
@@ -275,7 +280,7 @@
         if POISON in text:
             os._exit(86)
         words = text.split()
-        n_cached = self._cached(words)
+        n_cached = self._n_cached_words(words)
         seed = hashlib.sha256(f"{body['model']}{text}".encode()).hexdigest()[:6]
         job = _Job(
             attempt=body["attempt"],
@@ -291,25 +296,26 @@
         self.waiting.sort(key=lambda waiting: -waiting.priority)
         return job
 
-    def _cached(self, words: list[str]) -> int:
+    def _n_cached_words(self, words: list[str]) -> int:
+        """Return the length of the longest cached prefix; cache the missing ones."""
         n_cached = 0
-        for end in range(BLOCK, len(words) + 1, BLOCK):
+        for end in range(WORDS_PER_BLOCK, len(words) + 1, WORDS_PER_BLOCK):
             prefix = hashlib.sha256(" ".join(words[:end]).encode()).hexdigest()[:16]
             if prefix in self.cache:
                 n_cached = end
                 self.cache.move_to_end(prefix)
-            elif end <= 16 * BLOCK:
-                self._cache(prefix, end)
+            elif end <= 16 * WORDS_PER_BLOCK:
+                self._cache_prefix(prefix, end)
         return n_cached
 
-    def _cache(self, prefix: str, n_words: int) -> None:
+    def _cache_prefix(self, prefix: str, n_words: int) -> None:
         self.cache[prefix] = n_words
-        self._cache_event("stored", prefix)
+        self._add_cache_event("stored", prefix)
         while len(self.cache) > MAX_CACHED:
             evicted, _ = self.cache.popitem(last=False)
-            self._cache_event("evicted", evicted)
+            self._add_cache_event("evicted", evicted)
 
-    def _cache_event(self, kind: str, prefix: str) -> None:
+    def _add_cache_event(self, kind: str, prefix: str) -> None:
         sequence = len(self.cache_events)
         self.cache_events.append({"sequence": sequence, "kind": kind, "prefix": prefix})
 
@@ -318,12 +324,12 @@
             if job in jobs:
                 jobs.remove(job)
 
-    async def _steps(self) -> None:
+    async def _run_steps(self) -> None:
         loop = asyncio.get_running_loop()
         due_at = loop.time()
         while True:
-            # A step begins a fixed time after the one before began, so that the rate
-            # holds however long a step takes.
+            # A step begins a fixed time after the beginning of the previous one, so
+            # that the rate of steps does not depend on how long a step takes.
             due_at = max(due_at + self.step, loop.time())
             await asyncio.sleep(due_at - loop.time())
             while self.waiting and len(self.running) < self.max_batch:
@@ -358,7 +364,7 @@
         self.n_generated += len(tokens)
 
     async def cancel(self, request: web.Request) -> web.Response:
-        """Stop a generation by its attempt."""
+        """Stop the generation of an attempt."""
         attempt = (await request.json())["attempt"]
         for job in self.running + self.waiting:
             if job.attempt == attempt:
@@ -370,7 +376,10 @@
     # The cache
 
     async def read_cache_events(self, request: web.Request) -> web.Response:
-        """Return cache events; every tenth is lost and the newest are late."""
+        """Return cache events, without every tenth one and without the newest two.
+
+        The omissions simulate events that are lost and events that arrive late.
+        """
         start = int(request.query.get("from", "0"))
         events = [
             event
@@ -380,22 +389,22 @@
         return web.json_response({"events": events})
 
     async def export_kv(self, request: web.Request) -> web.Response:
-        """Return the cache of a prefix."""
+        """Return the cached prefix, or 404."""
         n_words = self.cache.get(request.match_info["prefix"])
         if n_words is None:
             raise web.HTTPNotFound(text="not cached")
         return web.json_response({"n_words": n_words})
 
     async def import_kv(self, request: web.Request) -> web.Response:
-        """Take the cache of a prefix."""
+        """Store a prefix in the cache."""
         body = await request.json()
-        self._cache(request.match_info["prefix"], body["n_words"])
+        self._cache_prefix(request.match_info["prefix"], body["n_words"])
         return web.json_response({})
 
     # Switches
 
     async def control(self, request: web.Request) -> web.Response:
-        """Set switches."""
+        """Set switches; ``leaving`` makes the host report that it leaves."""
         body = await request.json()
         self.step = body.get("step_ms", self.step * 1000) / 1000
         self.token_bytes = body.get("token_bytes", self.token_bytes)
@@ -406,11 +415,11 @@
         return web.json_response({})
 
     async def describe(self, request: web.Request) -> web.Response:
-        """Return counts."""
+        """Return counts of tokens, of requests by state and of refused orders."""
         return web.json_response(
             {
                 "n_generated": self.n_generated,
-                "n_asked": self.n_asked,
+                "n_asked": self.n_generate_calls,
                 "n_cancelled": self.n_cancelled,
                 "n_running": len(self.running),
                 "n_waiting": len(self.waiting),
@@ -424,7 +433,7 @@
     return int(time.monotonic() * 1000)
 
 
-async def _never() -> None:
+async def _wait_forever() -> None:
     await asyncio.Event().wait()
 
 
@@ -447,15 +456,15 @@
     port : int
         Port; 0 picks a free one.
     checks_fencing : bool
-        Refuse orders that carry an old fencing number.
+        Refuse orders with an outdated fencing token.
     step_ms : float
-        Milliseconds of one step of the batch.
+        Duration of one step of the batch in milliseconds.
     load_ms : float
         Milliseconds to load a model.
     weight_store : str
-        Address of the weight store; nothing loads without one.
+        Address of the weight store; if empty, no weights are fetched.
     max_batch : int
-        Requests in one batch.
+        Maximum number of requests in one batch.
     """
     engine = Engine(
         host=host,
--- a/tests/standins/cut.py
+++ b/tests/standins/forwarder.py
@@ -1,4 +1,4 @@
-"""Stand between two processes and cut, delay or silence what flows."""
+"""Forward TCP between two processes, and break, delay or silence connections."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 @dataclass(slots=True, kw_only=True)
 class Switches:
-    """Hold the faults that are switched on.
+    """Faults that are switched on.
 
     Attributes
     ----------
     refuse : bool
-        Close new connections at once.
+        Abort new connections at once.
     delay_ms : float
-        Wait before passing each piece on.
+        Milliseconds to wait before each chunk of data is forwarded.
     cut_after : int
-        Break a connection after this many bytes of answers; 0 never does.
+        Number of bytes of answers after which a connection is aborted; 0 aborts none.
     n_cuts : int
-        Connections that ``cut_after`` may still break.
+        Number of connections that ``cut_after`` may still abort.
     """
 
     refuse: bool = False
@@ -36,18 +36,18 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class _Link:
-    """Hold one connection with its two ends."""
+    """Forwarded connection with its two ends."""
 
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
     silent: bool = False
-    n_answered: int = 0
+    n_answer_bytes: int = 0
 
 
-class Cut:
-    """Forward TCP to one address.
+class Forwarder:
+    """TCP forwarder to one address.
 
-    A silenced connection stays open at both ends and passes nothing on, as when a
-    device in between has lost track of it; connections made later work.
+    A silenced connection stays open at both ends but carries no more data, as when a
+    device in between has lost its state; connections opened later work.
     """
 
     def __init__(self, *, target: str) -> None:
@@ -67,35 +67,41 @@
         return app
 
     async def _start(self, app: web.Application) -> None:
-        server = await asyncio.start_server(self._link, "127.0.0.1", 0)
+        server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
         app["server"] = server
         print(f"forwarding {host}:{port}", flush=True)
 
-    async def _link(
+    async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if self.switches.refuse:
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(self.host, self.port)
+            target_reader, target_writer = await asyncio.open_connection(
+                self.host, self.port
+            )
         except OSError:
             writer.transport.abort()
             return
-        link = _Link(writers=[writer, far_writer])
+        link = _Link(writers=[writer, target_writer])
         self.links.add(link)
         self.n_links += 1
         pipes = [
-            asyncio.ensure_future(self._pipe(link, reader, far_writer, answers=False)),
-            asyncio.ensure_future(self._pipe(link, far_reader, writer, answers=True)),
+            asyncio.ensure_future(
+                self._pipe(link, reader, target_writer, is_answer=False)
+            ),
+            asyncio.ensure_future(
+                self._pipe(link, target_reader, writer, is_answer=True)
+            ),
         ]
         await asyncio.wait(pipes, return_when=asyncio.FIRST_COMPLETED)
         if link.silent:
             await asyncio.wait(pipes)
         for pipe in pipes:
             pipe.cancel()
-        self._break(link)
+        self._abort(link)
 
     async def _pipe(
         self,
@@ -103,7 +109,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        answers: bool,
+        is_answer: bool,
     ) -> None:
         with contextlib.suppress(OSError):
             while True:
@@ -116,25 +122,26 @@
                     return
                 writer.write(data)
                 await writer.drain()
-                if answers and self._is_due(link, len(data)):
+                if is_answer and self._must_abort(link, len(data)):
                     return
 
-    def _is_due(self, link: _Link, n_bytes: int) -> bool:
-        link.n_answered += n_bytes
+    def _must_abort(self, link: _Link, n_bytes: int) -> bool:
+        """Count bytes of answers; return whether ``cut_after`` ends the connection."""
+        link.n_answer_bytes += n_bytes
         switches = self.switches
-        due = switches.n_cuts and switches.cut_after
-        if not due or link.n_answered < switches.cut_after:
+        may_abort = switches.n_cuts and switches.cut_after
+        if not may_abort or link.n_answer_bytes < switches.cut_after:
             return False
         switches.n_cuts -= 1
         return True
 
-    def _break(self, link: _Link) -> None:
+    def _abort(self, link: _Link) -> None:
         self.links.discard(link)
         for writer in link.writers:
             writer.transport.abort()
 
     async def control(self, request: web.Request) -> web.Response:
-        """Set switches; ``silence`` drops what is open now without a word."""
+        """Set switches; ``silence`` silences all connections that are open now."""
         for name, value in (await request.json()).items():
             if name == "silence":
                 for link in self.links:
@@ -145,22 +152,22 @@
         return web.json_response({})
 
     async def describe(self, request: web.Request) -> web.Response:
-        """Return counts."""
+        """Return the numbers of forwarded and of silenced connections."""
         counts = {"n_links": self.n_links, "n_silenced": self.n_silenced}
         return web.json_response(counts)
 
 
 def main(*, target: str, port: int = 0) -> None:
-    """Forward TCP to an address, and serve the switches.
+    """Run a TCP forwarder to an address, with an HTTP interface for its switches.
 
     Parameters
     ----------
     target : str
         Address to forward to.
     port : int
-        Port of the switches; 0 picks a free one.
+        Port of the HTTP interface; 0 picks a free one.
     """
-    run(Cut(target=target).app(), port=port)
+    run(Forwarder(target=target).app(), port=port)
 
 
 if __name__ == "__main__":
--- a/tests/standins/group_server.py
+++ b/tests/standins/group_server.py
@@ -1,4 +1,4 @@
-"""Stand in for backend servers: members of groups, and plain ones."""
+"""Stand-ins for backend servers: members of replica groups, and plain servers."""
 
 from __future__ import annotations
 
@@ -21,32 +21,34 @@
 
 @dataclass(slots=True, kw_only=True)
 class ServerSwitches:
-    """Hold the faults that are switched on.
+    """Faults that are switched on, and the size and pace of streams.
 
     Attributes
     ----------
     still : bool
-        Begin requests and write no event, as when a member is lost.
+        Begin requests but write no event, as when a member of the group is lost.
     still_after : int
-        Write no event after so many; 0 writes them all.
+        Number of the last event that is written before a stream stalls; 0 for none.
     reject : bool
         Refuse every request as not run.
     fail : bool
         Answer every request with 500.
     lose_answers : bool
-        Run requests and break the connection in place of an answer.
+        Run requests and abort the connection instead of answering.
     wrong_id : bool
-        Answer under another request's id.
+        Answer with another request's id.
     cut_after : int
-        Break a stream off in the middle of the event after so many; 0 never does.
+        Number of the event in the middle of which the connection is aborted; 0 for
+        none.
     orders : str
-        ``"taken"``, ``"unanswered"`` (carried out, no answer) or ``"lost"``.
+        ``"taken"`` (orders are applied and answered), ``"unanswered"`` (applied without
+        an answer) or ``"lost"`` (neither applied nor answered).
     limit : str
-        Rate limit that answers name; empty for none.
+        Rate limit that answers declare; empty for none.
     n_events : int
-        Events of a stream.
+        Number of events in a stream.
     event_ms : float
-        Milliseconds between two events.
+        Milliseconds between two events of a stream.
     """
 
     still: bool = False
@@ -64,20 +66,21 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class GroupServer:
-    """Hold one incarnation of a backend server.
+    """Backend server that keeps its entry in the store up to date.
 
     Attributes
     ----------
     register : callable
         Write the server's entry into the store.
-    witness : callable
-        Take what the server does, a word for it, to see whether it may.
+    observer : callable
+        Called with the name of an action and the server whenever the server joins or
+        leaves a group or runs a request.
     arrivals : list of (float, str)
         Monotonic times of requests, and their ids.
     states : list of (float, str)
-        Monotonic times from which each state of its entry holds.
+        Monotonic times at which the state of the entry was set, and the states.
     limits : list of (float, str)
-        The same of each rate limit that it names.
+        Monotonic times at which the declared rate limit was set, and the limits.
     """
 
     id: str
@@ -98,7 +101,7 @@
     heads: list[dict[str, str]] = field(default_factory=list)
     orders: list[dict[str, Any]] = field(default_factory=list)
     is_listed: bool = True
-    witness: Callable[[str, GroupServer], None] = lambda did, server: None
+    observer: Callable[[str, GroupServer], None] = lambda action, server: None
     arrivals: list[tuple[float, str]] = field(default_factory=list)
     states: list[tuple[float, str]] = field(default_factory=list)
     limits: list[tuple[float, str]] = field(default_factory=list)
@@ -113,7 +116,7 @@
         return app
 
     def entry(self) -> dict[str, Any]:
-        """Return what the store shows of it."""
+        """Return the server's entry for the store, with the next sequence number."""
         entry: dict[str, Any] = {
             "service": self.service,
             "address": self.address,
@@ -135,23 +138,23 @@
         return entry
 
     def write(self) -> None:
-        """Write the entry anew."""
+        """Write the current entry into the store."""
         self.is_listed = True
         self.register(self.id, self.entry())
 
-    def leave_list(self) -> None:
-        """Take the entry out, as when the server is lost."""
+    def remove_entry(self) -> None:
+        """Remove the entry from the store, as when the server is lost."""
         self.is_listed = False
         self.register(self.id, None)
 
     # Orders
 
     async def report(self, request: web.Request) -> web.StreamResponse:
-        """Say in which group the server is; that it is alive shows too."""
+        """Return the server's group; any answer shows that the server is alive."""
         return web.json_response({"busy": False, "group": self.group})
 
     async def order(self, request: web.Request) -> web.StreamResponse:
-        """Take an order."""
+        """Apply an order, unless it is for another instance or the switches lose it."""
         body = await request.json()
         self.orders.append(body)
         if request.headers.get("Target-Instance", self.id) != self.id:
@@ -159,22 +162,22 @@
         if self.switches.orders == "lost":
             request.transport.abort()
             return web.Response(status=500)
-        status = self._carry_out(body)
+        status = self._apply_order(body)
         self.write()
         if self.switches.orders == "unanswered":
             request.transport.abort()
         return web.Response(status=status)
 
-    def _carry_out(self, body: dict[str, Any]) -> int:
+    def _apply_order(self, body: dict[str, Any]) -> int:
         if body["op"] == "stage":
             self.staged = [body["model"]]
             return 202
         if body["op"] == "join":
             return self._join(body)
-        named = self.group is not None and (
+        is_own_group = self.group is not None and (
             (self.group["name"], self.group["epoch"]) == (body["group"], body["epoch"])
         )
-        if not named:
+        if not is_own_group:
             return 409
         if body["op"] == "leave":
             self.group = None
@@ -191,7 +194,7 @@
             return 412
         if body["epoch"] == self.highest_epoch:
             return 200 if tuple(body["members"]) == self.members else 412
-        self.witness("leaves", self)
+        self.observer("leaves", self)
         self.highest_epoch = body["epoch"]
         self.members = tuple(body["members"])
         self.model = body["model"]
@@ -203,13 +206,13 @@
             "rank": rank,
             "state": "ready",
         }
-        self.witness("joined", self)
+        self.observer("joined", self)
         return 202
 
     # Requests
 
     async def run(self, request: web.Request) -> web.StreamResponse:
-        """Run a request, or fail it as the switches say."""
+        """Run a request, or refuse or fail it as the switches demand."""
         request_id = request.headers.get("Request-Id", "")
         self.heads.append(
             {name.lower(): text for name, text in request.headers.items()}
@@ -223,7 +226,7 @@
             headers |= self._limit_header()
             return web.Response(status=503, headers=headers)
         self.n_runs_by_request[request_id] += 1
-        self.witness("runs", self)
+        self.observer("runs", self)
         headers = {
             "Request-Id": "another" if self.switches.wrong_id else request_id,
             "Response-Seal": f"{SIGNATURE}-{self.id}",
@@ -266,7 +269,8 @@
     def set(self, switches: dict[str, Any]) -> None:
         """Set switches; ``state`` and ``listed`` change the entry in the store.
 
-        ``restart`` starts it again under its id.
+        ``restart`` restarts the server with its former id: it is in no group afterwards
+        and has lost its model and the highest epoch that it received.
         """
         if switches.pop("restart", False):
             self.group = None
@@ -282,12 +286,12 @@
         self.states.append((now, self.state))
         self.limits.append((now, self.switches.limit))
         if listed is False:
-            self.leave_list()
+            self.remove_entry()
         else:
             self.write()
 
     def describe(self) -> dict[str, Any]:
-        """Return what it has seen."""
+        """Return the server's state and history, with the latest 20 request heads."""
         return {
             "listed": self.is_listed,
             "group": self.group,
@@ -302,5 +306,5 @@
 
 
 def entry_bytes(entry: dict[str, Any] | None) -> bytes:
-    """Return an entry as it lies in the store; nothing takes it out."""
+    """Return the stored form of an entry; empty bytes remove the entry."""
     return b"" if entry is None else json.dumps(entry).encode()
--- a/tests/standins/hosts_list.py
+++ b/tests/standins/hosts_list.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's lagging list of live and leaving hosts."""
+"""Stand-in for the platform's lagging list of live and leaving hosts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class HostsListService:
-    """Serve the hosts as they were ``lag`` seconds ago."""
+    """Serve the list of hosts as set ``lag`` seconds ago."""
 
     def __init__(self, *, lag: float) -> None:
         self.lag = lag
@@ -32,11 +32,11 @@
         return app
 
     async def hosts(self, request: web.Request) -> web.Response:
-        """Return the list."""
+        """Return the list of hosts, or 304 if its tag has not changed."""
         if self.outage:
             raise web.HTTPServiceUnavailable(text="outage")
-        seen_at = time.monotonic() - self.lag
-        visible = [hosts for at, hosts in self._versions if at <= seen_at]
+        visible_at = time.monotonic() - self.lag
+        visible = [hosts for at, hosts in self._versions if at <= visible_at]
         tag = f'"{len(visible)}-{self.boot}"'
         self.n_read += 1
         if self.tagged and request.headers.get("If-None-Match") == tag:
@@ -46,13 +46,13 @@
         return web.json_response({"hosts": visible[-1]}, headers=headers)
 
     async def describe(self, request: web.Request) -> web.Response:
-        """Return counts."""
+        """Return the number of reads, and of reads that were answered with 304."""
         return web.json_response(
             {"n_read": self.n_read, "n_not_modified": self.n_not_modified}
         )
 
     async def control(self, request: web.Request) -> web.Response:
-        """Set the hosts, the lag, an outage, or whether answers have tags."""
+        """Set the hosts, the lag, an outage, or whether answers bear an ``ETag``."""
         body = await request.json()
         if "lag" in body:
             self.lag = body["lag"]
@@ -66,14 +66,14 @@
 
 
 def main(*, port: int = 0, lag: float = 0.0) -> None:
-    """Run the list of hosts.
+    """Run the service that returns the list of hosts.
 
     Parameters
     ----------
     port : int
         Port; 0 picks a free one.
     lag : float
-        Seconds by which the list lags.
+        Seconds by which the list lags behind changes.
     """
     run(HostsListService(lag=lag).app(), port=port)
 
--- a/tests/standins/idle_engines.py
+++ b/tests/standins/idle_engines.py
@@ -1,4 +1,4 @@
-"""Stand in for the engines of many hosts that answer questions and do no work."""
+"""Stand-in for the engines of many hosts that answer polls but run no requests."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class IdleEngines:
-    """Answer for each port as one host; obey every order at once."""
+    """Engines of many hosts, one on each port, that apply every order at once."""
 
     def __init__(self, *, n_hosts: int, zone: str) -> None:
         self.n_hosts = n_hosts
         self.zone = zone
         self.reports_by_port: dict[int, dict] = {}
-        self.n_questions = 0
+        self.n_calls = 0
 
     async def serve(self) -> None:
-        """Listen on one port a host and say which."""
+        """Listen on one port per host and print the ports."""
         app = web.Application()
         app.router.add_get("/v1/report", self.report)
         app.router.add_post("/v1/orders", self.order)
@@ -41,7 +41,7 @@
         await asyncio.Event().wait()
 
     def _report(self, request: web.Request) -> dict:
-        self.n_questions += 1
+        self.n_calls += 1
         port = request.transport.get_extra_info("sockname")[1]
         return self.reports_by_port[port]
 
@@ -50,7 +50,7 @@
         return web.json_response(self._report(request))
 
     async def order(self, request: web.Request) -> web.Response:
-        """Join or leave without loading anything."""
+        """Join or leave a group without loading a model."""
         order = await request.json()
         report = self._report(request)
         joins = order["kind"] == "join"
@@ -61,8 +61,8 @@
         return web.json_response(report)
 
     async def describe(self, request: web.Request) -> web.Response:
-        """Return counts."""
-        return web.json_response({"n_questions": self.n_questions})
+        """Return the number of polls and orders received."""
+        return web.json_response({"n_questions": self.n_calls})
 
 
 def main(*, n_hosts: int, zone: str) -> None:
@@ -71,9 +71,9 @@
     Parameters
     ----------
     n_hosts : int
-        Hosts, one port each.
+        Number of hosts, each of which listens on a port of its own.
     zone : str
-        Availability zone, which begins the hosts' names.
+        Availability zone, used as the prefix of the hosts' names.
     """
     asyncio.run(IdleEngines(n_hosts=n_hosts, zone=zone).serve())
 
--- a/tests/standins/log_service.py
+++ b/tests/standins/log_service.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's append-only log service."""
+"""Stand-in for the platform's append-only log service."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from .runner import run
 
-#: Seconds between two looks at whether reads are still held.
+#: Seconds between two checks of whether ``hold_reads`` is still on.
 HOLD_CHECK = 0.02
 
 
@@ -29,20 +29,20 @@
 
 @dataclass(slots=True, kw_only=True)
 class Switches:
-    """Hold the faults that are switched on.
+    """Faults that are switched on.
 
     Attributes
     ----------
     outage : bool
-        Refuse every call.
+        Refuse every call with 503.
     delay_ms : float
-        Wait before each answer.
+        Milliseconds to wait before each call is processed.
     lose_append_answers : bool
-        Take appends and break the connection in place of an answer.
+        Apply appends and abort the connection instead of answering.
     hold_reads : bool
-        Answer no read until it is switched off again.
+        Delay the answers to all reads until the switch is off again.
     retention : int
-        Records kept in each stream; 0 keeps all.
+        Number of newest records kept in each stream; 0 keeps all.
     """
 
     outage: bool = False
@@ -53,7 +53,7 @@
 
 
 class LogService:
-    """Hold the streams in memory."""
+    """Log service that keeps its streams in memory."""
 
     def __init__(self) -> None:
         self.streams_by_name: dict[str, _Stream] = {}
@@ -73,15 +73,15 @@
     def _stream(self, request: web.Request) -> _Stream:
         return self.streams_by_name.setdefault(request.match_info["name"], _Stream())
 
-    async def _fault(self) -> None:
+    async def _apply_fault(self) -> None:
         if self.switches.delay_ms:
             await asyncio.sleep(self.switches.delay_ms / 1000)
         if self.switches.outage:
             raise web.HTTPServiceUnavailable(text="outage")
 
     async def append(self, request: web.Request) -> web.StreamResponse:
-        """Append records and answer their offsets."""
-        await self._fault()
+        """Append records and return their offsets."""
+        await self._apply_fault()
         stream = self._stream(request)
         raw = await request.read()
         items = (await request.json())["records"]
@@ -104,8 +104,8 @@
         return offset
 
     async def read(self, request: web.Request) -> web.Response:
-        """Return records from an offset, waiting for one if there is none."""
-        await self._fault()
+        """Return records from an offset; wait up to ``wait_ms`` if there are none."""
+        await self._apply_fault()
         stream = self._stream(request)
         offset = int(request.query["from"])
         limit = int(request.query.get("limit", "1000"))
@@ -118,7 +118,7 @@
                 await asyncio.wait_for(stream.grown.wait(), wait)
         while self.switches.hold_reads:
             await asyncio.sleep(HOLD_CHECK)
-        await self._fault()
+        await self._apply_fault()
         start = max(0, offset - stream.first)
         page = stream.entries[start : start + limit]
         body = {"first": stream.first, "next": stream.next, "records": page}
@@ -131,7 +131,7 @@
         return web.json_response({})
 
     async def describe(self, request: web.Request) -> web.Response:
-        """Return counts."""
+        """Return the ends of the streams, and counts of appends and their bytes."""
         streams = {
             name: {"first": stream.first, "next": stream.next}
             for name, stream in self.streams_by_name.items()
--- a/tests/standins/plain_service.py
+++ b/tests/standins/plain_service.py
@@ -1,4 +1,4 @@
-"""Stand in for a plain service with a call that must not be repeated."""
+"""Stand-in for a plain service with a non-repeatable call."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PlainService:
-    """Count how often each booking ran."""
+    """Plain service that takes bookings and counts how often each one ran."""
 
     def __init__(self) -> None:
         self.n_runs_by_key: Counter[str] = Counter()
@@ -30,7 +30,7 @@
         return app
 
     async def book(self, request: web.Request) -> web.Response:
-        """Book once more each time it is called: repetition is not noticed here."""
+        """Run a booking and count the run; repeated bookings are not detected."""
         key = request.headers.get("Idempotency-Key", "")
         body = await request.json()
         self.n_runs_by_key[key] += 1
@@ -46,7 +46,7 @@
         return web.json_response(dict(self.n_runs_by_key))
 
     async def control(self, request: web.Request) -> web.Response:
-        """Set switches; ``hold_answers`` keeps answers back until it is taken off."""
+        """Set switches; ``hold_answers`` delays answers until it is switched off."""
         body = await request.json()
         if "hold_answers" in body:
             (self.released.clear if body["hold_answers"] else self.released.set)()
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand in for the whole platform of one availability zone, in one process."""
+"""Stand-in for the complete platform of one availability zone, in one process."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 import defopt
 from aiohttp import web
 
+from .group_monitor import GroupMonitor
 from .group_server import GroupServer, entry_bytes
-from .group_witness import GroupWitness
 from .platform_store import PlatformStore
 
-#: Two models of the engine service: groups of two members and of one.
+#: Models of the engine service: "large" has groups of two members, "small" of one.
 MODELS = [
     {"name": "large", "size": 2, "share": 0.67, "load_s": 1.0, "warm_s": 0.5},
     {"name": "small", "size": 1, "share": 0.33, "load_s": 1.0, "warm_s": 0.5},
@@ -43,7 +43,7 @@
 
 
 def configuration(version: int, **changes: Any) -> dict[str, Any]:
-    """Return the operator's configuration."""
+    """Return the operator's configuration, with ``changes`` to its top-level fields."""
     routes = [
         {
             "host": "calls.example",
@@ -77,23 +77,29 @@
 
 
 class Platform:
-    """Run the store and the backend servers of one zone."""
+    """Store and backend servers of one availability zone."""
 
     def __init__(self) -> None:
         self.store = PlatformStore()
         self.servers_by_id: dict[str, GroupServer] = {}
         self.configuration: dict[str, Any] = {}
-        self.witness = GroupWitness(servers_by_id=self.servers_by_id)
+        self.monitor = GroupMonitor(servers_by_id=self.servers_by_id)
 
     def register(self, server_id: str, entry: dict[str, Any] | None) -> None:
-        """Write a server's entry into the store."""
+        """Write a server's entry into the store; None removes the entry."""
         self.store.put("keyed.servers", server_id, entry_bytes(entry))
 
     async def start(self, n_engines: int, n_plain: int) -> dict[str, str]:
-        """Start everything and return the addresses by name."""
+        """Start the store, the control interface and the servers; return addresses.
+
+        Returns
+        -------
+        dict of str to str
+            Addresses of both endpoints of the store and of the control interface.
+        """
         addresses = {
-            door: await _listen(self.store.app(door=door))
-            for door in ("store", "side-door")
+            endpoint: await _listen(self.store.app(endpoint=endpoint))
+            for endpoint in ("store", "side-door")
         }
         addresses["control"] = await _listen(self._control_app())
         self.put_configuration(configuration(1))
@@ -104,7 +110,7 @@
         return addresses
 
     def put_configuration(self, document: dict[str, Any]) -> None:
-        """Write a configuration as the operator does."""
+        """Write a configuration into the store, as the operator does."""
         self.configuration = document
         self.store.put("keyed.op", "config", json.dumps(document).encode())
 
@@ -116,7 +122,7 @@
             domain="d0",
             is_engine=is_engine,
             register=self.register,
-            witness=self.witness.saw,
+            observer=self.monitor.record,
         )
         server.address = await _listen(server.app())
         self.servers_by_id[server_id] = server
@@ -134,11 +140,11 @@
         for name, switches in body.items():
             if name == "drill":
                 self._drill(switches)
-            elif name in self.store.switches_by_door:
+            elif name in self.store.switches_by_endpoint:
                 if switches.pop("forget", False):
-                    self.store.forget("keyed.servers")
+                    self.store.drop_history("keyed.servers")
                 for switch, value in switches.items():
-                    setattr(self.store.switches_by_door[name], switch, value)
+                    setattr(self.store.switches_by_endpoint[name], switch, value)
             elif name == "configuration":
                 self.put_configuration(configuration(**switches))
             else:
@@ -146,11 +152,11 @@
         return web.json_response({})
 
     def _drill(self, step: str) -> None:
-        """Take a copy of the store, come back from it, or write entries anew."""
+        """Copy the store, restore it from its copy, or write all entries again."""
         if step == "copy":
             self.store.take_copy()
         elif step == "come-back":
-            self.store.come_back()
+            self.store.restore_copy()
         elif step == "write-again":
             self.put_configuration(self.configuration)
             for server in self.servers_by_id.values():
@@ -158,13 +164,13 @@
                     server.write()
 
     async def describe(self, request: web.Request) -> web.Response:
-        """Return what each server has seen, and how often the store was called."""
+        """Return the state of each server, the store's call counts and group faults."""
         servers = {
             name: server.describe() for name, server in self.servers_by_id.items()
         }
         store = {"n_calls": self.store.n_calls, "n_appends": self.store.n_appends}
         store["n_calls_by_topic"] = dict(self.store.n_calls_by_topic)
-        faults = self.witness.faults
+        faults = self.monitor.faults
         return web.json_response(
             {"servers": servers, "store": store, "group_faults": faults}
         )
@@ -186,14 +192,14 @@
 
 
 def main(*, n_engines: int = 4, n_plain: int = 2) -> None:
-    """Run the platform.
+    """Run the platform of one availability zone.
 
     Parameters
     ----------
     n_engines : int
-        Members of groups.
+        Number of engines, which can become members of groups.
     n_plain : int
-        Plain backend servers.
+        Number of plain backend servers.
     """
     asyncio.run(_run(n_engines, n_plain))
 
--- a/tests/standins/platform_store.py
+++ b/tests/standins/platform_store.py
@@ -1,4 +1,7 @@
-"""Stand in for the platform's store: a log of topics, some with the newest by key."""
+"""Stand-in for the platform's keyed store: a log of topics and each key's newest value.
+
+Each topic has partitions of appended records.
+"""
 
 from __future__ import annotations
 
@@ -20,16 +23,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class StoreSwitches:
-    """Hold the faults that are switched on.
+    """Faults that are switched on.
 
     Attributes
     ----------
     refuse : bool
         Answer every call with 503.
     silent : bool
-        Answer no call at all.
+        Keep every call without an answer.
     lose_answers : bool
-        Carry appends out and break the connection in place of an answer.
+        Apply appends and abort the connection instead of answering.
     """
 
     refuse: bool = False
@@ -49,7 +52,7 @@
         return self.first + len(self.records)
 
     def copied(self) -> _Partition:
-        """Return a copy that later appends don't change."""
+        """Return a copy that later appends do not change."""
         return _Partition(
             first=self.first,
             records=list(self.records),
@@ -58,23 +61,23 @@
 
 
 class PlatformStore:
-    """Hold topics in memory."""
+    """Keyed store that keeps its topics in memory."""
 
     def __init__(self) -> None:
         self.partitions: dict[tuple[str, int], _Partition] = {}
-        self.switches_by_door: dict[str, StoreSwitches] = {}
+        self.switches_by_endpoint: dict[str, StoreSwitches] = {}
         self.n_calls = 0
         self.n_calls_by_topic: Counter[str] = Counter()
         self.n_appends = 0
         self.era = 1
         self._copy: dict[tuple[str, int], _Partition] = {}
 
-    def app(self, *, door: str = "store") -> web.Application:
-        """Return the HTTP application of one door, with switches of its own."""
+    def app(self, *, endpoint: str = "store") -> web.Application:
+        """Return the HTTP application of one endpoint, which has its own switches."""
         app = web.Application(client_max_size=4 << 20)
-        app["door"] = door
-        app.on_response_prepare.append(self._name_era)
-        self.switches_by_door[door] = StoreSwitches()
+        app["endpoint"] = endpoint
+        app.on_response_prepare.append(self._add_era_header)
+        self.switches_by_endpoint[endpoint] = StoreSwitches()
         app.router.add_post("/log-append", self.append)
         app.router.add_get("/log-read", self.read)
         app.router.add_get("/log-newest", self.newest)
@@ -85,9 +88,9 @@
         return self.partitions.setdefault(key, _Partition())
 
     def _switches(self, request: web.Request) -> StoreSwitches:
-        return self.switches_by_door[request.app["door"]]
+        return self.switches_by_endpoint[request.app["endpoint"]]
 
-    async def _fault(self, request: web.Request) -> None:
+    async def _apply_fault(self, request: web.Request) -> None:
         self.n_calls += 1
         self.n_calls_by_topic[request.query["topic"]] += 1
         if self._switches(request).silent:
@@ -96,38 +99,38 @@
             raise web.HTTPServiceUnavailable
 
     def put(self, topic: str, key: str, value: bytes) -> None:
-        """Append one record, as the operator or a backend server does."""
+        """Append a record to partition 0, as the operator or a backend server does."""
         partition = self.partitions.setdefault((topic, 0), _Partition())
         name = key.encode()
         self._append_one(partition, bytes([len(name)]) + name + value)
         self._wake(partition)
 
-    async def _name_era(
+    async def _add_era_header(
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
         response.headers["Store-Era"] = str(self.era)
 
     def take_copy(self) -> None:
-        """Copy everything, to come back from later."""
+        """Copy all partitions, for a later restore."""
         self._copy = {key: item.copied() for key, item in self.partitions.items()}
 
-    def come_back(self) -> None:
-        """Lose what was written since the copy was taken."""
+    def restore_copy(self) -> None:
+        """Restore the copy in a new era; records appended since the copy are lost."""
         lost = list(self.partitions.values())
         self.partitions = {key: item.copied() for key, item in self._copy.items()}
         self.era += 1
         for partition in lost:
             self._wake(partition)
 
-    def forget(self, topic: str) -> None:
-        """Drop the history of a topic; the newest record of each key stays."""
+    def drop_history(self, topic: str) -> None:
+        """Drop the records of a topic; the newest record of each key stays readable."""
         partition = self.partitions[topic, 0]
         partition.first = partition.end
         partition.records.clear()
 
     async def append(self, request: web.Request) -> web.StreamResponse:
-        """Append records, all or none."""
-        await self._fault(request)
+        """Append all records of a call, or none if ``at`` is not the end."""
+        await self._apply_fault(request)
         self.n_appends += 1
         partition = self._partition(request)
         body = await request.read()
@@ -161,8 +164,8 @@
         partition.grown = asyncio.Event()
 
     async def read(self, request: web.Request) -> web.Response:
-        """Return records from an offset, waiting for one if there is none."""
-        await self._fault(request)
+        """Return records from an offset; wait up to ``wait_ms`` if there are none."""
+        await self._apply_fault(request)
         partition = self._partition(request)
         offset = int(request.query["from"])
         wait = int(request.query.get("wait_ms", "0")) / 1000
@@ -171,7 +174,7 @@
         if offset >= partition.end and wait:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(partition.grown.wait(), wait)
-        await self._fault(request)
+        await self._apply_fault(request)
         partition = self._partition(request)
         if offset > partition.end:
             return web.json_response({"first": partition.first}, status=410)
@@ -180,8 +183,8 @@
         return web.Response(body=_ENDS.pack(partition.end, partition.first) + framed)
 
     async def newest(self, request: web.Request) -> web.Response:
-        """Return the newest record of each key, five hundred at once."""
-        await self._fault(request)
+        """Return the newest record of each key after ``after``, up to five hundred."""
+        await self._apply_fault(request)
         partition = self._partition(request)
         after = request.query.get("after", "")
         keys = sorted(key for key in partition.newest_by_key if key > after)
--- a/tests/standins/runner.py
+++ b/tests/standins/runner.py
@@ -1,4 +1,4 @@
-"""Run one stand-in as a process."""
+"""Serve the HTTP application of one stand-in."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def run(app: web.Application, *, port: int) -> None:
-    """Serve ``app`` on a free port, or the given one, and say which."""
+    """Serve ``app`` on ``port``, or on a free one for 0, and print the address."""
     asyncio.run(_serve(app, port))
 
 
--- a/tests/standins/weight_store.py
+++ b/tests/standins/weight_store.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's rate-limited weight store."""
+"""Stand-in for the platform's rate-limited weight store."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class WeightStore:
-    """Serve weights of a size, sharing one rate among all readers."""
+    """Serve weights of a fixed size at a rate that all readers share."""
 
     def __init__(self, *, rate: float, size: int) -> None:
         self.rate = rate
         self.size = size
         self.n_loads = 0
-        self._lane = asyncio.Lock()
+        self._transfer_lock = asyncio.Lock()
 
     def app(self) -> web.Application:
         """Return the HTTP application."""
@@ -27,14 +27,14 @@
         return app
 
     async def weights(self, request: web.Request) -> web.Response:
-        """Return weights as fast as the rate allows."""
-        async with self._lane:
+        """Return weights, one reader after another, as fast as the rate allows."""
+        async with self._transfer_lock:
             await asyncio.sleep(self.size / self.rate)
         self.n_loads += 1
         return web.Response(body=b"\0" * min(self.size, 1024))
 
     async def describe(self, request: web.Request) -> web.Response:
-        """Return counts."""
+        """Return the number of loads."""
         return web.json_response({"n_loads": self.n_loads})
 
 
@@ -46,9 +46,9 @@
     port : int
         Port; 0 picks a free one.
     rate : float
-        Bytes a second over all readers.
+        Bytes per second, shared by all readers.
     size : int
-        Bytes of one model's weights for one host.
+        Size in bytes of one model's weights for one host.
     """
     run(WeightStore(rate=rate, size=size).app(), port=port)
 
--- a/tests/test_system/test_faults.py
+++ b/tests/test_system/test_faults.py
@@ -173,7 +173,7 @@
     n_groups = 3 + len(entries)
     fleet.start_world(entries=(), n_groups=n_groups)
     hosts = _start_peers(fleet, entries)
-    fleet.wait_whole(n_groups)
+    fleet.wait_complete_groups(n_groups)
     caller = Caller(fleet)
     begun_indices: set[int] = set()
 
--- a/tests/test_system/test_leaving.py
+++ b/tests/test_system/test_leaving.py
@@ -55,7 +55,7 @@
     fleet.control("list", lag=LIST_LAG)
     for name, address in zip(ENTRIES, addresses, strict=True):
         fleet.start_entry(name, zone="z", peers_address=address, peers=addresses)
-    fleet.wait_whole(2)
+    fleet.wait_complete_groups(2)
     entry = next(iter(fleet.entries_by_name.values()))
     return entry.dump()["groups"][0]["members"]
 
--- a/tests/test_system/test_promises.py
+++ b/tests/test_system/test_promises.py
@@ -93,7 +93,7 @@
     fleet.start_world(entries=("e1",), cut=("log",), progress_timeout=1.0)
     direct = fleet.addresses_by_name["log-direct"]
     fleet.start_entry("e2", zone="z", log_address=direct)
-    fleet.wait_whole(1)
+    fleet.wait_complete_groups(1)
     cut, other = fleet.entries_by_name["e1"], fleet.entries_by_name["e2"]
     caller, before, during = Caller(fleet), new_key(), new_key()
     first = wait_until(lambda: _booked(caller, cut, before), what="booking A")
