--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,10 +1,10 @@
-"""Pass over the tests that KNOWN-RED.txt lists, and print them.
+"""Expect the failures that KNOWN-RED.txt lists, and print them.
 
-Each line of that file names a test, a cause and an issue, with commas between.  A
-listed test still runs, and its success fails the run: the line must then go.  So
-does a line that names no test, since it would excuse nothing and hide that its test
-was renamed or lost.  A cause that begins with "intermittent: " names a fault that shows
-in some runs only; such a test may pass.
+Each line of the file names a test, a cause and an issue, separated by commas.  A listed
+test still runs, and fails the run if it passes: its line must then be removed.  A line
+that names no existing test fails the run as well, because it would hide that its test
+was renamed or lost.  A cause that begins with "intermittent: " describes a fault that
+occurs in some runs only; such a test may pass.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 
 KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
 
-#: More than these must be mended before anything lands.
+#: Maximum number of listed tests; with more, some must be repaired before any merge.
 MAX_KNOWN_RED = 3
 
-#: Beginning of the cause of a fault that shows in some runs only.
+#: Prefix of the cause of a fault that occurs in some runs only.
 INTERMITTENT = "intermittent: "
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class KnownRed:
-    """Hold one line of the list.
+    """One line of the list of known failures.
 
     Attributes
     ----------
     test : str
         Node id as pytest prints it.
     reason : str
-        Cause and issue.
+        Cause and issue, separated by a comma.
     """
 
     test: str
@@ -42,17 +42,17 @@
 
     @property
     def is_intermittent(self) -> bool:
-        """Tell whether the fault shows in some runs only."""
+        """Return whether the fault occurs in some runs only."""
         return self.reason.startswith(INTERMITTENT)
 
 
 def read_known_red(path: Path) -> list[KnownRed]:
-    """Read the list; there may be none.
+    """Return the lines of the list; none if the file does not exist.
 
     Raises
     ------
     pytest.UsageError
-        If it has more than three lines, or a line without a cause and an issue.
+        If the file has more than three lines, or a line without a cause or an issue.
     """
     text = path.read_text() if path.exists() else ""
     known = [_known_red(line) for line in text.splitlines() if line.strip()]
@@ -69,7 +69,13 @@
     Parameters
     ----------
     whole_files : bool
-        Whole files were collected, so that a listed test of one must be there.
+        Whether complete files were collected, so that each listed test of a collected
+        file must exist.
+
+    Raises
+    ------
+    pytest.UsageError
+        If a listed test of a complete file does not exist.
     """
     items_by_test = {item.nodeid: item for item in items}
     files = {test.partition("::")[0] for test in items_by_test}
--- a/tests/smoke.py
+++ b/tests/smoke.py
@@ -1,8 +1,8 @@
-"""Try the one file that ships: ``make smoke``.
+"""Check the archive that is delivered to operators; run by ``make smoke``.
 
-Starts ``dist/ryelever.pyz`` as an operator would, beside small stand-ins, and
-checks that it answers, runs as one process, finds the files that it carries and
-stops gracefully.
+The checks start ``dist/ryelever.pyz`` as an operator would, together with small
+stand-ins, and require that the archive answers requests, runs as one process, contains
+its templates and schemas, and stops gracefully.
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
 ARCHIVE = Path(__file__).parents[1] / "dist" / "ryelever.pyz"
 MEMORY = Path("/dev/shm")
 
-#: Seconds until an entry host serves; ten times as many fail the check, so that a
-#: busy machine does not.
+#: Target for the seconds until an entry host serves.  The check fails only beyond ten
+#: times the target, so that a busy machine does not fail it.
 START_TARGET = 3.0
 START_LIMIT = 10 * START_TARGET
 
 
 def main() -> int:
-    """Run every check and return 0 only if all held."""
-    memory = MEMORY if MEMORY.is_dir() else None
+    """Run every check and return 0; the first failed check ends the program."""
+    memory_directory = MEMORY if MEMORY.is_dir() else None
     with (
-        tempfile.TemporaryDirectory(dir=memory) as unpacked,
+        tempfile.TemporaryDirectory(dir=memory_directory) as unpacked,
         tempfile.TemporaryDirectory() as directory,
         running_fleet(Path(directory)) as fleet,
     ):
         os.environ["SHIV_ROOT"] = unpacked
         _check_serving(fleet)
         _check_commands(Path(directory))
-        _check_carried_files(Path(unpacked))
-    print(f"{ARCHIVE.name}: {ARCHIVE.stat().st_size >> 20} MB; every check held")
+        _check_archived_files(Path(unpacked))
+    print(f"{ARCHIVE.name}: {ARCHIVE.stat().st_size >> 20} MB; every check passed")
     return 0
 
 
@@ -64,8 +64,11 @@
     _require(checked.returncode == 2, f"check found no fault: {checked}")
 
 
-def _check_carried_files(unpacked: Path) -> None:
-    """Find every template and schema of the source in the unpacked program."""
+def _check_archived_files(unpacked: Path) -> None:
+    """Require that the archive contains every template and schema of the source.
+
+    Also require that the running program was unpacked into ``unpacked``.
+    """
     source = Path(__file__).parents[1] / "ryelever"
     with zipfile.ZipFile(ARCHIVE) as archive:
         names = {name.removeprefix("site-packages/") for name in archive.namelist()}
@@ -89,29 +92,29 @@
     )
     entry = fleet.start_entry("e1", zone="z", program=(str(ARCHIVE),))
     started = entry.process.events("started")[0]["time"] - entry.process.started_at
-    print(
-        f"served {started:.2f} s after its first call, with unpacking; "
-        f"target {START_TARGET:g} s"
-    )
-    _require(started < START_LIMIT, "it took far too long to start")
-    wait_until(lambda: entry.n_complete_groups() == 1, what="the group is whole")
+    print(f"started in {started:.2f} s, including unpacking; target {START_TARGET:g} s")
+    _require(started < START_LIMIT, "the entry host started too slowly")
+    wait_until(lambda: entry.n_complete_groups() == 1, what="the group is complete")
     children = Path(f"/proc/{entry.process.pid}/task").glob("*/children")
-    _require(not any(path.read_text() for path in children), "it started a process")
+    _require(
+        not any(path.read_text() for path in children),
+        "the entry host started a child process",
+    )
     headers = {"Authorization": f"Bearer {fleet.keys_by_account['pawroute']}"}
-    question = {"model": "notes", "messages": [{"role": "user", "content": "Rex?"}]}
+    body = {"model": "notes", "messages": [{"role": "user", "content": "Rex?"}]}
     answer = httpx.post(
         f"{entry.url}/v1/chat/completions",
         headers=headers,
-        json=question | {"max_tokens": 3},
+        json=body | {"max_tokens": 3},
         timeout=30,
     )
     _require(answer.status_code == 200, answer.text)
     _require(json.loads(answer.content)["usage"]["completion_tokens"] == 3, answer.text)
-    _require(entry.process.stop() == 0, "it did not stop gracefully")
+    _require(entry.process.stop() == 0, "the entry host did not stop gracefully")
 
 
-def _require(held: object, message: object) -> None:
-    if not held:
+def _require(passed: object, message: object) -> None:
+    if not passed:
         raise SystemExit(f"smoke test failed: {message}")
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Test that KNOWN-RED.txt excuses the listed failures and nothing else."""
+"""Test that only the failures listed in KNOWN-RED.txt are expected."""
 
 from __future__ import annotations
 
@@ -51,19 +51,19 @@
         (["test_suite.py::test_red, no issue"], "", 4, "*a cause or an issue lacks*"),
     ],
 )
-def test_known_red(
+def test_only_listed_failures_are_expected(
     pytester: pytest.Pytester,
     lines: list[str],
     selected: str,
     exit_code: int,
     printed: str,
 ) -> None:
-    """Excuse and print what is listed; fail for all else, and for a stale list.
+    """Expect and print listed failures; fail for other failures and for stale lines.
 
-    Symptom: a run passes though a test fails that nobody knows of, or a mended fault
-    stays on the list.  Sequence: a line is added for one test; later the test is
-    mended, renamed, or another one fails.  Cause: the list excused by a wrong name,
-    or for ever.
+    Symptom: a run passes although a test fails that is not listed, or a repaired test
+    stays on the list.  Sequence: a line is added for one test; later that test is
+    repaired or renamed, or another one fails.  Cause: a line applies to tests that it
+    does not name, or remains valid after the repair.
     """
     pytester.makeconftest(CONFTEST)
     pytester.makepyfile(test_suite=SUITE)
--- a/tests/write_reference.py
+++ b/tests/write_reference.py
@@ -1,4 +1,4 @@
-"""Write the generated table of docs/OPERATIONS.md: ``make reference``."""
+"""Generate the table of settings in docs/OPERATIONS.md; run by ``make reference``."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def main() -> None:
-    """Replace the table between its two marks."""
+    """Replace the table between the two comments that mark its beginning and end."""
     text = re.sub(
         r"(<!-- settings -->\n).*?(<!-- end of settings -->)",
-        lambda found: f"{found[1]}{reference()}{found[2]}",
+        lambda match: f"{match[1]}{reference()}{match[2]}",
         OPERATIONS.read_text(),
         flags=re.S,
     )
