--- a/tests/bad_requests.py
+++ b/tests/bad_requests.py
@@ -1,4 +1,4 @@
-"""Hold requests that no callers' interface may take."""
+"""Malformed or oversized requests that every interface for callers must refuse."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def head_of(*lines: str, start: str = "POST /v1/chat/completions HTTP/1.1") -> bytes:
-    """Return a request head."""
+    """Return a request head of a start line, a Host header and header lines."""
     return "\r\n".join((start, "Host: e", *lines, "", "")).encode()
 
 
@@ -16,8 +16,8 @@
 LONG_PATH = head_of(start=f"GET /{'a' * 40_000} HTTP/1.1")
 LONG_CHUNK = CHUNKED + b"200000\r\n" + b"a" * 0x200000
 
-#: Requests that never get past the guard: name, bytes, status, and the code that the
-#: OpenAI interface gives.
+#: Requests that the guard of an interface refuses: name, bytes, status, and the error
+#: code of the OpenAI interface.
 REFUSED = [
     ("not HTTP", b"\x16\x03\x01\x02\x00\x01\r\n\r\n", 400, "bad_request"),
     ("no version", b"GET /healthz\r\n\r\n", 400, "bad_request"),
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Build the entries and records that many tests need, with defaults."""
+"""Build log entries, records and groups with defaults, for use by many tests."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
     "new_publication",
 ]
 
-#: What a group of the tests serves.
+#: Model, version and configuration that groups of the tests serve by default.
 GROUP = {"model": "m", "version": "v1", "adapters": (), "configuration_version": 0}
 
 
 def declared(
     version: str = "v1", *, model: str = "m", **fields: object
 ) -> Configuration:
-    """Return a configuration with one model."""
+    """Return a configuration that declares one model."""
     return Configuration(models={model: Model(version=version, **fields)})
 
 
 def new_entry(offset: int, record: Record, *, time: float = 0.0, id: str = "") -> Entry:
-    """Return an entry of the log; its id names its offset if none is given."""
+    """Return an entry of the log, with an id made of its offset if none is given."""
     return Entry(offset=offset, time=time, id=id or f"id{offset}", record=record)
 
 
 def new_publication(
     base: int, version: str = "v1", *, author: str = "ana", **fields: object
 ) -> Publication:
-    """Return a publication of the model "m" in a version."""
+    """Return a publication of a configuration with a version of the model "m"."""
     return Publication(
         base_version=base, author=author, document=declared(version), **fields
     )
@@ -49,16 +49,16 @@
 
 
 def formed(group: str, *members: str, **fields: object) -> GroupFormed:
-    """Return the forming of a group that serves the model "m"."""
+    """Return the record that a group of the model "m" was formed."""
     return GroupFormed(group=group, members=members, **GROUP | {"lease": 0} | fields)
 
 
 def new_group(name: str, *members: str, **fields: object) -> Group:
-    """Return a group that serves the model "m" and holds all its members."""
+    """Return a group that serves the model "m" and has released no member."""
     defaults = {"reason": "", "unreleased": set(members)} | GROUP
     return Group(name=name, members=members, **defaults | fields)
 
 
 def named(rows: list[tuple]) -> list:
-    """Return the parameters of a table whose rows begin with their names."""
+    """Return pytest parameters from rows whose first item is the parameter set's id."""
     return [pytest.param(*row[1:], id=row[0]) for row in rows]
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Call entry hosts and keep what came back."""
+"""Send requests to entry hosts and record the answers."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 
 __all__ = ["Call", "Callers", "Kind"]
 
-#: Seconds for which a caller waits, and tells the host that it does.
+#: Deadline in seconds that a caller sends with each request.  The caller itself waits
+#: twice as long on its connection.
 PATIENCE = 4.0
 
-#: Seconds between two requests of one caller, at most.
+#: Maximum number of seconds between two requests of one caller.
 PAUSE = 0.08
 
-#: Paths by the kind of request.
+#: Path of each kind of request.
 PATH_BY_KIND = {"stream": "/chat/1", "once": "/once/1", "look": "/look/1"}
 
 Kind = str
@@ -27,18 +28,20 @@
 
 @dataclass(slots=True, kw_only=True)
 class Call:
-    """Hold one request and what came of it.
+    """One request and its answer.
 
     Attributes
     ----------
     sent_at, ended_at : float
         Monotonic times.
     status : int
-        0 where no head of an answer came.
+        Status of the answer; 0 if no head of an answer was received.
     seal : str
         Signature of the backend server; empty for the host's own answers.
+    answered_id : str
+        Request id that the answer bears.
     is_complete : bool
-        True where the answer ended in order.
+        Whether the answer was received to its regular end.
     """
 
     id: str
@@ -55,12 +58,12 @@
 
 
 class Callers:
-    """Run callers of all kinds of requests against some hosts.
+    """Threads that send requests of all kinds to entry hosts.
 
     Parameters
     ----------
     address_of : callable
-        Return where a host takes callers now.
+        Return the current address of a host for callers.
     """
 
     def __init__(
@@ -74,30 +77,30 @@
         self._threads: list[threading.Thread] = []
         self.calls: list[Call] = []
 
-    def start(self, *, n_a_host: int) -> None:
-        """Start callers, each of which keeps a connection to its host."""
-        for index in range(n_a_host * len(self._hosts)):
+    def start(self, *, n_per_host: int) -> None:
+        """Start callers, each of which keeps a connection open to one host."""
+        for index in range(n_per_host * len(self._hosts)):
             host = self._hosts[index % len(self._hosts)]
             thread = threading.Thread(target=self._run, args=(host, index), daemon=True)
             self._threads.append(thread)
             thread.start()
 
     def stop(self) -> None:
-        """Let callers end what they have begun."""
+        """Stop all callers after the requests in flight have ended."""
         self._stopping.set()
         for thread in self._threads:
             thread.join(PATIENCE * 4)
 
     def _run(self, host: str, index: int) -> None:
-        draws = random.Random(self._seed * 1000 + index)
+        generator = random.Random(self._seed * 1000 + index)
         connection: http.client.HTTPConnection | None = None
         address = ""
-        while not self._stopping.wait(draws.uniform(0.0, PAUSE)):
-            now_at = self._address_of(host)
-            if connection is None or (connection.sock is None and now_at != address):
-                address = now_at
+        while not self._stopping.wait(generator.uniform(0.0, PAUSE)):
+            current = self._address_of(host)
+            if connection is None or (connection.sock is None and current != address):
+                address = current
                 connection = http.client.HTTPConnection(address, timeout=2 * PATIENCE)
-            call = self._call(host, draws)
+            call = self._new_call(host, generator)
             try:
                 _exchange(connection, call)
             except (OSError, http.client.HTTPException):
@@ -106,9 +109,9 @@
             call.ended_at = time.monotonic()
             self.calls.append(call)
 
-    def _call(self, host: str, draws: random.Random) -> Call:
-        kind = draws.choice(list(PATH_BY_KIND))
-        model = draws.choice(["large", "small"]) if kind == "stream" else ""
+    def _new_call(self, host: str, generator: random.Random) -> Call:
+        kind = generator.choice(list(PATH_BY_KIND))
+        model = generator.choice(["large", "small"]) if kind == "stream" else ""
         return Call(
             id=f"{host}.{next(self._numbers)}",
             host=host,
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Draw faults and inject them from outside the entry hosts."""
+"""Generate random faults and inject them from outside the entry hosts."""
 
 from __future__ import annotations
 
@@ -13,23 +13,24 @@
 from ..relay_zone import RelayZone
 from .proxy import LoopbackProxy, ProxyMode
 
-__all__ = ["STORE", "Faults", "Harm", "KeyChange"]
+__all__ = ["STORE", "Disturbance", "Faults", "KeyChange"]
 
-#: Seconds between two faults, and for which one lasts.
+#: Ranges of the seconds between two faults, and of the seconds that one fault lasts.
 PAUSES = (0.3, 1.2)
-LASTING = (0.5, 3.0)
+DURATIONS = (0.5, 3.0)
 
-#: Times as long pauses, drawn for each run: bounds in time bind hosts only where
-#: nothing has befallen them for some seconds.
-PACES = (1.0, 4.0)
+#: Factors by which pauses are stretched; one is selected for each run.  Longer pauses
+#: are needed because time limits apply only to hosts that were undisturbed for some
+#: seconds.
+PAUSE_FACTORS = (1.0, 4.0)
 
-#: Seconds between two looks at what is to end.
-LOOK = 0.05
+#: Seconds between two checks for faults that are due to end.
+END_CHECK_INTERVAL = 0.05
 
-#: Whom a harm concerns, beside hosts by their names.
+#: Name of the store in disturbances; hosts and servers have their own names.
 STORE = "store"
 
-#: What a backend server may do wrong, by the switches that let it.
+#: Switches that make a backend server fail.
 SERVER_SWITCHES = (
     {"reject": True},
     {"fail": True},
@@ -41,21 +42,22 @@
     {"orders": "lost"},
 )
 
-#: What a server names as its rate limit, and for how many seconds.
+#: Rate limits that a server declares, and the minimum number of seconds for which it
+#: declares the same limit.
 LIMITS = ("1", "2.5", "0")
 LIMITED_FOR = 9.0
 
 
 @dataclass(slots=True, kw_only=True)
-class Harm:
-    """Say that a host, or the store, was harmed for a while.
+class Disturbance:
+    """Fault that was injected, with its start and end in monotonic time.
 
     Attributes
     ----------
     who : str
-        Name of the host, or ``"store"``.
+        Name of the host or backend server, ``"store"``, or ``"key"`` for a revoked key.
     kind : str
-        What befell it.
+        Kind of the fault.
     """
 
     who: str
@@ -66,33 +68,33 @@
 
 @dataclass(slots=True, kw_only=True)
 class KeyChange:
-    """Say when the callers' key was taken away, and when it was given back."""
+    """Monotonic times at which the callers' key was revoked and restored."""
 
-    taken_at: float
-    given_at: float = float("inf")
+    revoked_at: float
+    restored_at: float = float("inf")
 
 
 @dataclass(slots=True, kw_only=True)
 class Faults:
-    """Inject faults, each of which ends by itself.
+    """Injector of random faults, each of which is ended after its duration.
 
     Parameters
     ----------
     zone : RelayZone
-        The processes; only they are stopped, paused or killed.
+        Processes under test; no other processes are stopped, paused or killed.
     proxies_by_host : dict of str to LoopbackProxy
-        What stands between each host and the store.
+        Proxies between each host and the store.
 
     Attributes
     ----------
     lines : list of str
-        What was done, with its moment.
+        Injected faults with the seconds since the start.
     """
 
     zone: RelayZone
     proxies_by_host: dict[str, LoopbackProxy]
     seed: int
-    harms: list[Harm] = field(default_factory=list)
+    disturbances: list[Disturbance] = field(default_factory=list)
     key_changes: list[KeyChange] = field(default_factory=list)
     lines: list[str] = field(default_factory=list)
     n_by_kind: Counter[str] = field(default_factory=Counter)
@@ -103,161 +105,173 @@
     _started_at: float = field(default_factory=time.monotonic)
 
     def run(self, *, seconds: float) -> None:
-        """Inject faults for some time, then end those that last."""
-        draws = random.Random(self.seed)
+        """Inject faults for some time, then wait until all of them have ended."""
+        generator = random.Random(self.seed)
         kinds = [
             self._pause,
             self._kill,
             self._terminate,
             self._cut_from_store,
-            self._harm_store,
-            self._bring_store_back,
-            self._harm_server,
+            self._disturb_store,
+            self._restore_store_from_copy,
+            self._disturb_server,
             self._limit_server,
             self._restart_server,
-            self._let_server_leave,
-            self._take_key,
+            self._drain_server,
+            self._revoke_key,
         ]
         end = time.monotonic() + seconds
         wait = threading.Event()
-        pace = draws.choice(PACES)
+        pace = generator.choice(PAUSE_FACTORS)
         while time.monotonic() < end:
-            self._wait_ending_due(wait, pace * draws.uniform(*PAUSES))
-            draws.choice(kinds)(draws, draws.uniform(*LASTING))
+            self._wait_and_end_due(wait, pace * generator.uniform(*PAUSES))
+            generator.choice(kinds)(generator, generator.uniform(*DURATIONS))
         while self._due or any(thread.is_alive() for thread in self._threads):
-            self._wait_ending_due(wait, LOOK)
+            self._wait_and_end_due(wait, END_CHECK_INTERVAL)
 
-    def _wait_ending_due(self, wait: threading.Event, seconds: float) -> None:
-        """Wait, and end what is to end meanwhile."""
+    def _wait_and_end_due(self, wait: threading.Event, seconds: float) -> None:
+        """Wait, and end the faults whose end is due in the meantime."""
         until = time.monotonic() + seconds
         while (left := until - time.monotonic()) > 0:
-            wait.wait(min(left, LOOK))
+            wait.wait(min(left, END_CHECK_INTERVAL))
             self._end_due()
 
-    # One fault each
+    # Kinds of faults: each method injects one fault
 
-    def _pause(self, draws: random.Random, lasting: float) -> None:
-        host = self._free_host(draws)
+    def _pause(self, generator: random.Random, duration: float) -> None:
+        host = self._free_host(generator)
         if host is None:
             return
         process = self.zone.hosts_by_name[host].process
-        harm = self._began(host, "pause")
+        disturbance = self._record_begin(host, "pause")
         process.send(signal.SIGSTOP)
-        self._later(lasting, lambda: process.send(signal.SIGCONT), harm)
+        self._end_after(duration, lambda: process.send(signal.SIGCONT), disturbance)
 
-    def _kill(self, draws: random.Random, lasting: float) -> None:
-        host = self._free_host(draws)
+    def _kill(self, generator: random.Random, duration: float) -> None:
+        host = self._free_host(generator)
         if host is None:
             return
-        harm = self._began(host, "kill")
+        disturbance = self._record_begin(host, "kill")
         self.zone.hosts_by_name[host].process.kill()
-        self._start_again(host, harm)
+        self._start_again(host, disturbance)
 
-    def _terminate(self, draws: random.Random, lasting: float) -> None:
-        host = self._free_host(draws)
+    def _terminate(self, generator: random.Random, duration: float) -> None:
+        host = self._free_host(generator)
         if host is None:
             return
-        harm = self._began(host, "terminate")
+        disturbance = self._record_begin(host, "terminate")
         process = self.zone.hosts_by_name[host].process
 
         def stop() -> None:
             process.stop()
-            self._start_again(host, harm)
+            self._start_again(host, disturbance)
 
         thread = threading.Thread(target=stop, daemon=True)
         self._threads.append(thread)
         thread.start()
 
-    def _start_again(self, host: str, harm: Harm) -> None:
+    def _start_again(self, host: str, disturbance: Disturbance) -> None:
         self.zone.start_host(host, wait=False, door=f"proxy-{host}")
-        self._ended(harm)
+        self._record_end(disturbance)
 
-    def _cut_from_store(self, draws: random.Random, lasting: float) -> None:
-        host = self._free_host(draws)
+    def _cut_from_store(self, generator: random.Random, duration: float) -> None:
+        host = self._free_host(generator)
         if host is None:
             return
         modes = [mode for mode in ProxyMode if mode is not ProxyMode.PASS]
-        mode = draws.choice(modes)
+        mode = generator.choice(modes)
         proxy = self.proxies_by_host[host]
-        harm = self._began(host, f"store {mode.value}")
+        disturbance = self._record_begin(host, f"store {mode.value}")
         proxy.set(mode)
-        self._later(lasting, lambda: proxy.set(ProxyMode.PASS), harm)
+        self._end_after(duration, lambda: proxy.set(ProxyMode.PASS), disturbance)
 
-    def _harm_store(self, draws: random.Random, lasting: float) -> None:
+    def _disturb_store(self, generator: random.Random, duration: float) -> None:
         if STORE in self._busy:
             return
-        switch = draws.choice(["refuse", "silent", "lose_answers"])
-        harm = self._began(STORE, switch)
+        switch = generator.choice(["refuse", "silent", "lose_answers"])
+        disturbance = self._record_begin(STORE, switch)
         self.zone.control(store={switch: True})
-        self._later(lasting, lambda: self.zone.control(store={switch: False}), harm)
+        self._end_after(
+            duration, lambda: self.zone.control(store={switch: False}), disturbance
+        )
 
-    def _bring_store_back(self, draws: random.Random, lasting: float) -> None:
+    def _restore_store_from_copy(
+        self, generator: random.Random, duration: float
+    ) -> None:
         if STORE in self._busy:
             return
-        harm = self._began(STORE, "older copy")
+        disturbance = self._record_begin(STORE, "older copy")
         self.zone.control(drill="copy")
 
-        def come_back() -> None:
+        def restore_copy() -> None:
             self.zone.control(drill="come-back")
-            self._later(0.5, lambda: self.zone.control(drill="write-again"), harm)
+            self._end_after(
+                0.5, lambda: self.zone.control(drill="write-again"), disturbance
+            )
 
-        self._due.append((time.monotonic() + lasting, come_back))
+        self._due.append((time.monotonic() + duration, restore_copy))
 
-    def _harm_server(self, draws: random.Random, lasting: float) -> None:
-        server = self._free_server(draws)
+    def _disturb_server(self, generator: random.Random, duration: float) -> None:
+        server = self._free_server(generator)
         if server is None:
             return
-        switches = draws.choice(SERVER_SWITCHES)
+        switches = generator.choice(SERVER_SWITCHES)
         [(name, value)] = switches.items()
         usual = {"orders": "taken", "cut_after": 0}.get(name, False)
-        harm = self._began(server, f"{name} {value}")
+        disturbance = self._record_begin(server, f"{name} {value}")
         key = server.replace("-", "_")
         self.zone.control(**{key: dict(switches)})
-        self._later(lasting, lambda: self.zone.control(**{key: {name: usual}}), harm)
+        self._end_after(
+            duration, lambda: self.zone.control(**{key: {name: usual}}), disturbance
+        )
 
-    def _limit_server(self, draws: random.Random, lasting: float) -> None:
-        server = self._free_server(draws)
+    def _limit_server(self, generator: random.Random, duration: float) -> None:
+        server = self._free_server(generator)
         if server is None:
             return
-        limit = draws.choice(LIMITS)
-        harm = self._began(server, f"limit {limit}")
+        limit = generator.choice(LIMITS)
+        disturbance = self._record_begin(server, f"limit {limit}")
         key = server.replace("-", "_")
         self.zone.control(**{key: {"limit": limit}})
-        end = LIMITED_FOR + lasting
-        self._later(end, lambda: self.zone.control(**{key: {"limit": ""}}), harm)
+        end = LIMITED_FOR + duration
+        self._end_after(
+            end, lambda: self.zone.control(**{key: {"limit": ""}}), disturbance
+        )
 
-    def _restart_server(self, draws: random.Random, lasting: float) -> None:
-        server = self._free_server(draws)
+    def _restart_server(self, generator: random.Random, duration: float) -> None:
+        server = self._free_server(generator)
         if server is None or not server.startswith("engine"):
             return
-        harm = self._began(server, "restart")
+        disturbance = self._record_begin(server, "restart")
         self.zone.control(**{server.replace("-", "_"): {"restart": True}})
-        self._later(0.0, lambda: None, harm)
+        self._end_after(0.0, lambda: None, disturbance)
 
-    def _let_server_leave(self, draws: random.Random, lasting: float) -> None:
-        server = self._free_server(draws)
+    def _drain_server(self, generator: random.Random, duration: float) -> None:
+        server = self._free_server(generator)
         if server is None:
             return
-        harm = self._began(server, "leave")
+        disturbance = self._record_begin(server, "leave")
         key = server.replace("-", "_")
         self.zone.control(**{key: {"state": "draining"}})
-        self._later(
-            lasting + 4.0, lambda: self.zone.control(**{key: {"state": "ready"}}), harm
+        self._end_after(
+            duration + 4.0,
+            lambda: self.zone.control(**{key: {"state": "ready"}}),
+            disturbance,
         )
 
-    def _take_key(self, draws: random.Random, lasting: float) -> None:
+    def _revoke_key(self, generator: random.Random, duration: float) -> None:
         if "key" in self._busy:
             return
-        harm = self._began("key", "taken away")
+        disturbance = self._record_begin("key", "taken away")
         self._publish(tenants=[])
-        change = KeyChange(taken_at=time.monotonic())
+        change = KeyChange(revoked_at=time.monotonic())
         self.key_changes.append(change)
 
-        def give() -> None:
-            change.given_at = time.monotonic()
+        def restore_key() -> None:
+            change.restored_at = time.monotonic()
             self._publish()
 
-        self._later(lasting + 2.0, give, harm)
+        self._end_after(duration + 2.0, restore_key, disturbance)
 
     def _publish(self, **changes: object) -> None:
         self._version += 1
@@ -265,31 +279,35 @@
 
     # Bookkeeping
 
-    def _free_host(self, draws: random.Random) -> str | None:
-        """Return a host that nothing befalls, if another one is there as well."""
+    def _free_host(self, generator: random.Random) -> str | None:
+        """Return a random undisturbed host if another one remains undisturbed."""
         free = [host for host in self.proxies_by_host if host not in self._busy]
-        return draws.choice(free) if len(free) > 1 else None
+        return generator.choice(free) if len(free) > 1 else None
 
-    def _free_server(self, draws: random.Random) -> str | None:
+    def _free_server(self, generator: random.Random) -> str | None:
         free = [name for name in sorted(self.zone.servers()) if name not in self._busy]
-        return draws.choice(free) if free else None
+        return generator.choice(free) if free else None
 
-    def _began(self, who: str, kind: str) -> Harm:
-        harm = Harm(who=who, kind=kind, start=time.monotonic())
-        self.harms.append(harm)
+    def _record_begin(self, who: str, kind: str) -> Disturbance:
+        disturbance = Disturbance(who=who, kind=kind, start=time.monotonic())
+        self.disturbances.append(disturbance)
         self._busy.add(who)
         self.n_by_kind[kind if who == STORE else kind.split()[0]] += 1
-        self.lines.append(f"{harm.start - self._started_at:8.2f} {who}: {kind}")
-        return harm
+        self.lines.append(f"{disturbance.start - self._started_at:8.2f} {who}: {kind}")
+        return disturbance
+
+    def _record_end(self, disturbance: Disturbance) -> None:
+        disturbance.end = time.monotonic()
+        self._busy.discard(disturbance.who)
 
-    def _ended(self, harm: Harm) -> None:
-        harm.end = time.monotonic()
-        self._busy.discard(harm.who)
+    def _end_after(
+        self, seconds: float, action: Callable[[], object], disturbance: Disturbance
+    ) -> None:
+        """Schedule an action that ends a disturbance."""
 
-    def _later(self, seconds: float, action: Callable[[], object], harm: Harm) -> None:
         def end() -> None:
             action()
-            self._ended(harm)
+            self._record_end(disturbance)
 
         self._due.append((time.monotonic() + seconds, end))
 
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Stand between processes on loopback, and harm what passes."""
+"""TCP proxy on loopback that delays, stalls or resets connections on demand."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 
 CHUNK = 65536
 
-#: Seconds by which a slow link holds up each piece.
+#: Seconds by which ``ProxyMode.DELAYED`` delays each chunk.
 DELAY = 0.3
 
 
 class ProxyMode(enum.Enum):
-    """Name what becomes of what passes.
+    """Treatment of the data of all connections.
 
-    ``NO_ANSWERS``: what is asked passes, and nothing comes back.
+    ``PASS`` forwards data, ``DELAYED`` forwards data late, ``SILENT`` forwards nothing,
+    ``NO_ANSWERS`` forwards requests but no answers, and ``RESET`` aborts connections.
     """
 
     PASS = "pass"
@@ -29,12 +30,12 @@
 
 
 class LoopbackProxy:
-    """Pass connections on to one address, in a thread of its own.
+    """TCP proxy to one address, which runs in a separate thread.
 
     Parameters
     ----------
     target : str
-        Address to which connections are passed on.
+        Address to which connections are forwarded.
     """
 
     def __init__(self, *, target: str) -> None:
@@ -50,13 +51,13 @@
         self._listening.wait()
 
     def set(self, mode: ProxyMode) -> None:
-        """Let what passes from now on meet a harm, or none."""
+        """Set the mode for all data from now on; ``RESET`` aborts open connections."""
         self.mode = mode
         if mode is ProxyMode.RESET:
             self._loop.call_soon_threadsafe(self._reset)
 
     def close(self) -> None:
-        """End the thread."""
+        """Stop the thread and wait for its end."""
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
 
@@ -64,11 +65,11 @@
         asyncio.set_event_loop(self._loop)
         self._loop.run_until_complete(self._listen())
         self._loop.run_forever()
-        open_ends = asyncio.all_tasks(self._loop)
-        for task in open_ends:
+        tasks = asyncio.all_tasks(self._loop)
+        for task in tasks:
             task.cancel()
-        ending = asyncio.gather(*open_ends, return_exceptions=True)
-        self._loop.run_until_complete(ending)
+        cancellation = asyncio.gather(*tasks, return_exceptions=True)
+        self._loop.run_until_complete(cancellation)
         self._loop.close()
 
     async def _listen(self) -> None:
@@ -88,19 +89,19 @@
             writer.transport.abort()
             return
         try:
-            far = await asyncio.open_connection(self._host, self._port)
+            target = await asyncio.open_connection(self._host, self._port)
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, far[1]}
+        self._writers |= {writer, target[1]}
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.gather(
-                self._pump(reader, far[1], is_answer=False),
-                self._pump(far[0], writer, is_answer=True),
+                self._forward(reader, target[1], is_answer=False),
+                self._forward(target[0], writer, is_answer=True),
             )
-        self._writers -= {writer, far[1]}
+        self._writers -= {writer, target[1]}
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -109,13 +110,13 @@
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK):
-                await self._harm(is_answer=is_answer)
+                await self._apply_mode(is_answer=is_answer)
                 writer.write(data)
                 await writer.drain()
         with contextlib.suppress(OSError):
             writer.close()
 
-    async def _harm(self, *, is_answer: bool) -> None:
+    async def _apply_mode(self, *, is_answer: bool) -> None:
         if self.mode is ProxyMode.DELAYED:
             await asyncio.sleep(DELAY)
         while self.mode is ProxyMode.SILENT or (
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""Start hosts, callers and faults, and hold what was seen against the promises."""
+"""Run hosts, callers and faults, and check the observations against the promises."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 
 __all__ = ["SoakReport", "run_soak"]
 
-#: Backend servers, and callers of each host.
+#: Numbers of engines, of plain backend servers, and of callers of each entry host.
 N_ENGINES = 6
 N_PLAIN = 3
 N_CALLERS = 4
 
-#: Milliseconds between two events: streams last long enough for something to befall
-#: their host meanwhile.
+#: Milliseconds between two events of a stream.  Streams have to last long enough for
+#: faults to affect their host in the meantime.
 EVENT_MS = 80.0
 
-#: Seconds after the last fault within which all must be served again.
+#: Seconds after the last fault within which all kinds of requests must be served again.
 RECOVERY = 12.0
 
 
 @dataclass(slots=True, kw_only=True)
 class SoakReport:
-    """Hold what one run saw and did.
+    """Verdict and statistics of one run.
 
     Attributes
     ----------
     lines : list of str
-        Faults in their order.
+        Injected faults in order of time.
     """
 
     verdict: Verdict
@@ -46,7 +46,7 @@
     lines: list[str]
 
     def summary(self) -> str:
-        """Return one line: requests, faults, tests of promises, breaks."""
+        """Return one line with counts of requests, faults, checks and violations."""
         tested = ", ".join(
             f"{promise} {count}"
             for promise, count in sorted(self.verdict.n_tested_by_promise.items())
@@ -54,12 +54,12 @@
         return (
             f"{self.n_calls} requests, {self.n_served} served, "
             f"{sum(self.n_by_fault.values())} faults {dict(self.n_by_fault)}, "
-            f"tested: {tested}; {len(self.verdict.breaks)} breaks"
+            f"tested: {tested}; {len(self.verdict.violations)} breaks"
         )
 
 
 def run_soak(*, directory: Path, seed: int, seconds: float, n_hosts: int) -> SoakReport:
-    """Run one soak; only processes that it starts are harmed, and all are ended."""
+    """Run one soak test; faults affect only processes that it starts and kills."""
     with running_relay_zone(directory) as zone:
         zone.start_platform(n_engines=N_ENGINES, n_plain=N_PLAIN)
         names = [f"e{index}" for index in range(1, n_hosts + 1)]
@@ -75,7 +75,7 @@
             address_of=lambda name: zone.hosts_by_name[name].callers_address,
             seed=seed,
         )
-        callers.start(n_a_host=N_CALLERS)
+        callers.start(n_per_host=N_CALLERS)
         faults = Faults(zone=zone, proxies_by_host=proxies, seed=seed)
         faults.run(seconds=seconds)
         unserved = _unserved_kinds(callers, since=time.monotonic())
@@ -83,7 +83,7 @@
         evidence = Evidence(
             calls=callers.calls,
             servers=zone.servers(),
-            harms=faults.harms,
+            disturbances=faults.disturbances,
             key_changes=faults.key_changes,
             group_faults=zone.seen()["group_faults"],
             unserved_kinds=unserved,
@@ -100,11 +100,14 @@
 
 
 def _unserved_kinds(callers: Callers, *, since: float) -> list[str]:
-    """Return the kinds of requests, by model, that aren't served in time."""
-    wanted = {("once", ""), ("look", ""), ("stream", "large"), ("stream", "small")}
+    """Return the kinds of requests, with models, that are not served within RECOVERY.
+
+    Only requests that were sent after ``since`` count.
+    """
+    required = {("once", ""), ("look", ""), ("stream", "large"), ("stream", "small")}
 
     def missing() -> set[tuple[str, str]]:
-        return wanted - {
+        return required - {
             (call.kind, call.model)
             for call in list(callers.calls)
             if call.sent_at > since and call.status == 200 and call.is_complete
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -1,4 +1,4 @@
-"""Test that the commands behind the figures of the pages run."""
+"""Test that the benchmarks that produce the figures of the documentation run."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 )
 
 
-def test_prints_every_role(capsys):
+def test_slopes_print_a_row_for_every_role(capsys):
     main(quick=True)
     table = capsys.readouterr().out
     rows = [line.split("|") for line in table.splitlines() if line.startswith("|")]
@@ -48,22 +48,24 @@
         ([(1, 1.0), (5, 100.0), (10, 2.0)], 2.0, False),
     ],
 )
-def test_line(points, at_size, is_line):
+def test_slope_is_extrapolated_and_marked_if_points_form_no_line(
+    points, at_size, is_line
+):
     slope = Slope(role="r", what="w", unit="ms", n_at=10, points=points)
     assert slope.at_size() == pytest.approx(at_size)
     assert ("(no line)" not in slope.row()) is is_line
 
 
 @pytest.mark.parametrize("name", [name for name in DAYS if "rushes" not in name])
-def test_a_quiet_day_finds_a_place_for_all_work(name: str) -> None:
-    """Play a day without losses: what is short then is short for another reason."""
+def test_day_without_losses_serves_all_demand(name: str) -> None:
+    """Play a day without losses: unserved demand then has a cause other than losses."""
     deployment, losses = DAYS[name]
     quiet = replace(losses, every=(100.0, 100.0), domain_at=float("inf"))
     served = play_day(deployment=deployment, losses=quiet, seed=1).served_by_model
     assert min(served.values()) > 1.0 - 1.0 / DAY
 
 
-def test_a_change_of_a_constant_is_named_when_it_is_wrong() -> None:
+def test_override_of_an_unknown_constant_is_an_error() -> None:
     with pytest.raises(SystemExit, match="forming has no NOTHING"):
         play("48 servers, calm", 1, ("forming.NOTHING=3",))
 
@@ -80,23 +82,23 @@
 """
 
 
-def test_variants_are_compared_in_pairs_and_days_played_once(
+def test_variants_are_compared_in_pairs_and_each_day_is_played_once(
     tmp_path, capsys, monkeypatch
 ) -> None:
     player = tmp_path / "player.py"
     player.write_text(PLAYER)
-    words = ["compare_days", "--results", str(tmp_path / "results")]
-    words += ["--player", f"{sys.executable} {player} {{day}} {{seed}} {{report}}"]
-    words += ["--deployment", str(tmp_path / "fleet.toml"), "--day", "calm"]
+    argv = ["compare_days", "--results", str(tmp_path / "results")]
+    argv += ["--player", f"{sys.executable} {player} {{day}} {{seed}} {{report}}"]
+    argv += ["--deployment", str(tmp_path / "fleet.toml"), "--day", "calm"]
     for variant in ("stands", "tried"):
         (tmp_path / variant).mkdir()
-        words += ["--variant", f"{variant}={tmp_path / variant}"]
-    monkeypatch.setattr(sys, "argv", [*words, "--seed", "1", "--seed", "2"])
+        argv += ["--variant", f"{variant}={tmp_path / variant}"]
+    monkeypatch.setattr(sys, "argv", [*argv, "--seed", "1", "--seed", "2"])
     compare_days.main()
     assert "| fleet | tried | 2 | 0.5350 | 0.6350 | +0.0200 ± 0.0000 | 0 |" in (
         capsys.readouterr().out
     )
-    monkeypatch.setattr(sys, "argv", [*words, "--seed", "2", "--seed", "3"])
+    monkeypatch.setattr(sys, "argv", [*argv, "--seed", "2", "--seed", "3"])
     compare_days.main()
     played = (tmp_path / "tried" / "played").read_text().split()
     assert sorted(played) == ["calm1", "calm2", "calm3"]
--- a/tests/test_families.py
+++ b/tests/test_families.py
@@ -1,4 +1,7 @@
-"""Hold the subpackages of decisions to their faces."""
+"""Check that subpackages of ryelever.coordination are used only by their interfaces.
+
+A subpackage is called a family; its interface is the ``__init__.py``.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 
 @functools.cache
 def _imports(path: Path) -> tuple[tuple[str, tuple[str, ...]], ...]:
-    """Return each module of the package that a file imports from, and the names."""
+    """Return the modules that a file imports from, each with the imported names."""
     package = ["ryelever", *path.relative_to(ROOT).parts[:-1]]
     found = []
     for node in ast.walk(ast.parse(path.read_text())):
@@ -30,8 +33,8 @@
 
 
 @pytest.mark.parametrize("family", FAMILIES)
-def test_others_use_the_face_only(family: str) -> None:
-    """Let nobody outside import what a family keeps to itself."""
+def test_other_modules_import_from_the_interface_only(family: str) -> None:
+    """Check that no module outside a family imports from the family's modules."""
     inside = COORDINATION / family
     for path in ROOT.rglob("*.py"):
         if inside in path.parents:
@@ -42,11 +45,11 @@
 
 
 @pytest.mark.parametrize("family", FAMILIES)
-def test_a_face_shows_what_others_use(family: str) -> None:
-    face = COORDINATION / family / "__init__.py"
+def test_interface_exports_exactly_the_names_in_use(family: str) -> None:
+    interface = COORDINATION / family / "__init__.py"
     declared = {
         element.value
-        for node in ast.walk(ast.parse(face.read_text()))
+        for node in ast.walk(ast.parse(interface.read_text()))
         if isinstance(node, ast.Assign)
         for element in node.value.elts
     }
@@ -61,7 +64,7 @@
 
 
 def _source_of(module: str, name: str) -> str:
-    """Return the module that a name comes from, where a face only shows it."""
+    """Return the module that defines a name, also if an interface re-exports it."""
     path = ROOT.joinpath(*module.split(".")[1:], "__init__.py")
     if not path.exists():
         return module
@@ -72,7 +75,7 @@
 
 
 def _imports_by_module() -> dict[str, set[str]]:
-    """Return which modules each module imports from, for types too."""
+    """Return the modules that each module imports from, also for type checking only."""
     paths = {
         ".".join(("ryelever", *path.relative_to(ROOT).with_suffix("").parts)): path
         for path in ROOT.rglob("*.py")
@@ -89,9 +92,9 @@
     }
 
 
-def _circles(imported: dict[str, set[str]]) -> set[str]:
-    """Return the names that import each other, directly or by way of others."""
-    left = {name: set(found) - {name} for name, found in imported.items()}
+def _in_cycles(imports_by_name: dict[str, set[str]]) -> set[str]:
+    """Return the names that are part of import cycles, or lie between two cycles."""
+    left = {name: set(found) - {name} for name, found in imports_by_name.items()}
     while True:
         used = set().union(*left.values()) if left else set()
         outside = {name for name, found in left.items() if not found} | (
@@ -105,21 +108,22 @@
 
 
 def _family_of(module: str) -> str:
+    """Return the name of a module's family, or an empty string outside families."""
     parts = module.split(".")
     return parts[2] if parts[1] == "coordination" and len(parts) > 3 else ""
 
 
-def test_no_modules_import_each_other() -> None:
-    """Find circles, imports for types and by way of faces included."""
-    assert _circles(_imports_by_module()) == set()
+def test_modules_have_no_import_cycles() -> None:
+    """Detect cycles, including imports for type checking and through interfaces."""
+    assert _in_cycles(_imports_by_module()) == set()
 
 
-def test_no_families_import_each_other() -> None:
-    """Find circles of families, imports for types included."""
-    imported: dict[str, set[str]] = {}
+def test_families_have_no_import_cycles() -> None:
+    """Detect cycles of families, including imports for type checking."""
+    imports_by_family: dict[str, set[str]] = {}
     for importer, modules in _imports_by_module().items():
         families = {_family_of(module) for module in modules} - {""}
         if family := _family_of(importer):
-            imported.setdefault(family, set()).update(families)
-    assert imported.keys() == set(FAMILIES)
-    assert _circles(imported) == set()
+            imports_by_family.setdefault(family, set()).update(families)
+    assert imports_by_family.keys() == set(FAMILIES)
+    assert _in_cycles(imports_by_family) == set()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Run a short soak of real processes with a fixed seed."""
+"""Run a short soak test of real processes with a fixed seed."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from .soak.run import run_soak
 
 
-def test_no_promise_is_broken_under_drawn_faults(tmp_path: Path) -> None:
-    """Guard against faults that break a promise only where they overlap."""
+def test_random_faults_break_no_promise(tmp_path: Path) -> None:
+    """Guard against faults that break a promise only in combination."""
     report = run_soak(directory=tmp_path, seed=14, seconds=15.0, n_hosts=3)
-    assert report.verdict.breaks == [], "\n".join(report.lines)
+    assert report.verdict.violations == [], "\n".join(report.lines)
     assert report.n_served > 0
     assert report.verdict.n_tested_by_promise["at most once"] > 0
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""Test that each check of the soak fails where a promise is broken."""
+"""Test that each check of the soak test reports the violation it is meant to find."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from .soak.callers import Call
 from .soak.checks import Evidence, check
-from .soak.faults import Harm, KeyChange
+from .soak.faults import Disturbance, KeyChange
 
 EVENTS = "".join(f"id: {number}\ndata: piece {number}\n\n" for number in range(1, 6))
 
@@ -38,76 +38,80 @@
     return Evidence(calls=list(calls), servers={"s": _server()}, **changes)
 
 
-def _ran_twice() -> Evidence:
-    found = _evidence(ONCE)
-    found.servers["s"]["n_runs"] = {"e1.1": 2}
-    return found
+def _request_ran_twice() -> Evidence:
+    evidence = _evidence(ONCE)
+    evidence.servers["s"]["n_runs"] = {"e1.1": 2}
+    return evidence
 
 
-def _refused_and_run() -> Evidence:
-    found = _evidence(REFUSED)
-    found.servers["s"]["n_runs"] = {"e1.1": 1}
-    return found
+def _refused_request_ran() -> Evidence:
+    evidence = _evidence(REFUSED)
+    evidence.servers["s"]["n_runs"] = {"e1.1": 1}
+    return evidence
 
 
-def _key_opens() -> Evidence:
-    return _evidence(ONCE, key_changes=[KeyChange(taken_at=7.5, given_at=20.0)])
+def _revoked_key_is_accepted() -> Evidence:
+    return _evidence(ONCE, key_changes=[KeyChange(revoked_at=7.5, restored_at=20.0)])
 
 
-def _stop_cuts() -> Evidence:
+def _stop_cuts_off_a_stream() -> Evidence:
     call = replace(STREAM, status=0, seal="", body="", is_complete=False)
-    harm = Harm(who="e1", kind="terminate", start=10.5, end=14.0)
-    return _evidence(call, harms=[harm])
+    disturbance = Disturbance(who="e1", kind="terminate", start=10.5, end=14.0)
+    return _evidence(call, disturbances=[disturbance])
 
 
-def _leaving_server_gets_more() -> Evidence:
-    found = _evidence()
-    found.servers["s"] = _server(
+def _leaving_server_gets_a_request() -> Evidence:
+    evidence = _evidence()
+    evidence.servers["s"] = _server(
         states=[(5.0, "draining"), (12.0, "ready")], arrivals=[(8.0, "e1.1")]
     )
-    return found
+    return evidence
 
 
 def _limit_is_exceeded() -> Evidence:
-    found = _evidence()
+    evidence = _evidence()
     arrivals = [(9.0 + index / 10, f"e1.{index}") for index in range(12)]
-    found.servers["s"] = _server(limits=[(5.0, "1")], arrivals=arrivals)
-    return found
+    evidence.servers["s"] = _server(limits=[(5.0, "1")], arrivals=arrivals)
+    return evidence
 
 
-BROKEN: dict[str, Callable[[], Evidence]] = {
+VIOLATIONS: dict[str, Callable[[], Evidence]] = {
     "events-missing": lambda: _evidence(replace(STREAM, body=EVENTS[24:])),
     "event-twice": lambda: _evidence(replace(STREAM, body=EVENTS + EVENTS[-24:])),
     "no-signature": lambda: _evidence(replace(ONCE, seal="")),
     "answer-of-another": lambda: _evidence(replace(ONCE, answered_id="e1.2")),
     "body-of-another": lambda: _evidence(replace(ONCE, body="POST /once/1 e2.7")),
-    "ran-twice": _ran_twice,
-    "refused-and-run": _refused_and_run,
-    "key-opens": _key_opens,
-    "stop-cuts-off": _stop_cuts,
-    "leaving-server": _leaving_server_gets_more,
+    "ran-twice": _request_ran_twice,
+    "refused-and-run": _refused_request_ran,
+    "key-opens": _revoked_key_is_accepted,
+    "stop-cuts-off": _stop_cuts_off_a_stream,
+    "leaving-server": _leaving_server_gets_a_request,
     "limit": _limit_is_exceeded,
     "group": lambda: _evidence(group_faults=["g runs without b"]),
     "unserved": lambda: _evidence(unserved_kinds=["look"]),
 }
 
 
-@pytest.mark.parametrize("broken", BROKEN.values(), ids=BROKEN)
-def test_a_break_is_seen(broken: Callable[[], Evidence]) -> None:
-    """Guard against a soak that passes whatever it sees."""
-    assert len(check(broken()).breaks) >= 1
+@pytest.mark.parametrize("violation", VIOLATIONS.values(), ids=VIOLATIONS)
+def test_violation_is_reported(violation: Callable[[], Evidence]) -> None:
+    """Guard against a soak test that passes in spite of a violation."""
+    assert len(check(violation()).violations) >= 1
 
 
 @pytest.mark.parametrize("call", [STREAM, ONCE, REFUSED], ids=lambda call: call.kind)
-def test_what_is_sound_passes(call: Call) -> None:
-    assert check(_evidence(call)).breaks == []
+def test_valid_call_is_no_violation(call: Call) -> None:
+    assert check(_evidence(call)).violations == []
 
 
-def test_bounds_in_time_bind_hosts_in_touch_only() -> None:
-    """Guard against breaks that the users' pages excuse."""
+def test_time_limits_apply_to_undisturbed_hosts_only() -> None:
+    """Guard against violations that the users' pages excuse.
+
+    A time limit does not apply at a host if the host or the store was disturbed within
+    the 3 s before.
+    """
     for who in ("e1", "store"):
-        found = _key_opens()
-        found.harms = [Harm(who=who, kind="pause", start=6.0, end=7.2)]
-        assert check(found).breaks == []
-    found.harms = [Harm(who="e2", kind="pause", start=6.0, end=7.2)]
-    assert check(found).breaks != []
+        evidence = _revoked_key_is_accepted()
+        evidence.disturbances = [Disturbance(who=who, kind="pause", start=6.0, end=7.2)]
+        assert check(evidence).violations == []
+    evidence.disturbances = [Disturbance(who="e2", kind="pause", start=6.0, end=7.2)]
+    assert check(evidence).violations != []
