--- a/benchmarks/group_days.py
+++ b/benchmarks/group_days.py
@@ -21,7 +21,7 @@
     Deployment,
     EmulatedModel,
     LossPattern,
-    play_day,
+    simulate_day,
 )
 
 
@@ -62,7 +62,7 @@
 DAYS = {
     "66 servers, calm": (
         _deployment(domain_size=11, sizes=(6, 3), demand=(3.3, 4.3)),
-        LossPattern(domain_at=11.0, domain_for=8.0),
+        LossPattern(domain_lost_at=11.0, domain_outage_time=8.0),
     ),
     "66 servers, loaded": (
         _deployment(domain_size=11, sizes=(6, 3), demand=(4.1, 5.3)),
@@ -70,33 +70,33 @@
     ),
     "66 servers, small model rushes": (
         _deployment(domain_size=11, sizes=(6, 3), demand=(3.5, 8.0)),
-        LossPattern(domain_at=11.0),
+        LossPattern(domain_lost_at=11.0),
     ),
     "48 servers, calm": (
         _deployment(domain_size=8, sizes=(4, 2), demand=(3.2, 3.6)),
-        LossPattern(domain_at=11.0),
+        LossPattern(domain_lost_at=11.0),
     ),
     "48 servers, loaded": (
         _deployment(domain_size=8, sizes=(4, 2), demand=(4.0, 5.0)),
-        LossPattern(n_at_once=2, every=(3.0, 5.0)),
+        LossPattern(n_lost_at_once=2, loss_interval=(3.0, 5.0)),
     ),
     "171 servers, small model asked for, calm": (
         _deployment(
             n_domains=3, domain_size=19, sizes=(8, 4), demand=(2.7, 11.9), share=0.5
         ),
-        LossPattern(n_at_once=2, domain_at=11.0, domain_for=8.0),
+        LossPattern(n_lost_at_once=2, domain_lost_at=11.0, domain_outage_time=8.0),
     ),
     "171 servers, small model asked for, loaded": (
         _deployment(
             n_domains=3, domain_size=19, sizes=(8, 4), demand=(3.3, 14.7), share=0.5
         ),
-        LossPattern(n_at_once=3),
+        LossPattern(n_lost_at_once=3),
     ),
     "36 servers, small model asked for, calm": (
         _deployment(
             n_domains=1, domain_size=12, sizes=(4, 2), demand=(0.7, 2.3), share=0.5
         ),
-        LossPattern(n_at_once=2, domain_at=11.0, domain_for=8.0),
+        LossPattern(n_lost_at_once=2, domain_lost_at=11.0, domain_outage_time=8.0),
     ),
 }
 
@@ -111,7 +111,7 @@
             raise SystemExit(f"--set {change}: {module_name} has no {constant}")
         setattr(module, constant, float(value))
     deployment, losses = DAYS[name]
-    return play_day(deployment=deployment, losses=losses, seed=seed)
+    return simulate_day(deployment=deployment, losses=losses, seed=seed)
 
 
 def main() -> None:
--- a/benchmarks/host_cost.py
+++ b/benchmarks/host_cost.py
@@ -29,7 +29,11 @@
 
 from aiohttp import web
 
-from ryelever.coordination.host_heartbeats import FREQUENT_HOSTS, READERS, HostHeartbeat
+from ryelever.coordination.host_heartbeats import (
+    MAX_HOSTS_AT_FULL_RATE,
+    READERS_PER_ZONE,
+    HostHeartbeat,
+)
 from ryelever.host_exchange import HEARTBEAT_INTERVAL, TICKS_PER_ZONE_HEARTBEAT
 from ryelever.protocol.host_messages import encode_heartbeat, encode_updates
 from ryelever.state.keyed_record import KeyedRecord, ServerUpdates
@@ -157,12 +161,12 @@
 
     async def _send_heartbeats(self) -> None:
         size = self._size
-        n_ticks = -(-size.n_near // FREQUENT_HOSTS)
+        n_ticks = -(-size.n_near // MAX_HOSTS_AT_FULL_RATE)
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL)
             self._sequence += 1
             for index in range(1, size.n_near):
-                if index <= READERS or (self._sequence + index) % n_ticks == 0:
+                if index <= READERS_PER_ZONE or (self._sequence + index) % n_ticks == 0:
                     self._send(self._heartbeat(f"h{index:03d}", "z0", n_ticks=n_ticks))
             if self._sequence % TICKS_PER_ZONE_HEARTBEAT == 0:
                 for zone in range(1, size.n_zones):
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -11,7 +11,11 @@
 
 import defopt
 
-from ryelever.coordination.limits.demand import FALL, SAMPLE, SETTLE
+from ryelever.coordination.limits.demand import (
+    DECAY_TIME,
+    SAMPLE_INTERVAL,
+    SETTLING_TIME,
+)
 from ryelever.coordination.limits.limits import AccountLimits
 from ryelever.state.observations import DemandRow
 
@@ -47,8 +51,12 @@
     seconds : float
         Simulated time of each run; the partition takes its second half.
     """
-    print(f"seed {seed}; limit {LIMIT:g}/s; bound exp({SETTLE:g}/{FALL:g}) = ", end="")
-    print(f"{math.exp(SETTLE / FALL):.3f}")
+    print(
+        f"seed {seed}; limit {LIMIT:g}/s; "
+        f"bound exp({SETTLING_TIME:g}/{DECAY_TIME:g}) = ",
+        end="",
+    )
+    print(f"{math.exp(SETTLING_TIME / DECAY_TIME):.3f}")
     print(
         f"{'hosts':>5} {'case':>10} {'loss':>5} {'parts max':>9} {'mean':>6} "
         f"{'admitted/limit':>14} {'even split':>10}"
@@ -102,7 +110,7 @@
     limits = AccountLimits(n_hosts=lambda: n)
     row_time = part_time = waiting_time = 0.0
     for index in range(n_rounds):
-        now = index * SAMPLE
+        now = index * SAMPLE_INTERVAL
         rows = [
             DemandRow(
                 client_account=name, rate=1.0 + index, n_in_flight=1, n_waiting=index
@@ -125,9 +133,10 @@
     n_asked = n_rounds * N_ACCOUNTS
     print(
         f"{n:5d} hosts, {N_ACCOUNTS} accounts: {part_time / n_asked * 1e6:.1f} us a "
-        f"part, {part_time / n_asked * N_ACCOUNTS / SAMPLE:.2%} of a core for all "
-        f"parts each {SAMPLE:g} s; {waiting_time / n_asked * 1e6:.1f} us for the "
-        f"hosts waiting; {row_time / n_asked / (n - 1) * 1e6:.1f} us to take a row"
+        f"part, {part_time / n_asked * N_ACCOUNTS / SAMPLE_INTERVAL:.2%} of a core for "
+        f"all parts each {SAMPLE_INTERVAL:g} s; "
+        f"{waiting_time / n_asked * 1e6:.1f} us for the hosts waiting; "
+        f"{row_time / n_asked / (n - 1) * 1e6:.1f} us to take a row"
     )
 
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -16,12 +16,16 @@
 
 from msgspec.structs import replace
 
-from ryelever.coordination.host_heartbeats import READERS, HostHeartbeat, HostHeartbeats
+from ryelever.coordination.host_heartbeats import (
+    READERS_PER_ZONE,
+    HostHeartbeat,
+    HostHeartbeats,
+)
 from ryelever.host_exchange import HEARTBEAT_INTERVAL, TICKS_PER_ZONE_HEARTBEAT
 from ryelever.log_stream import StreamWriter
 from ryelever.logs import JsonFormatter
 from ryelever.protocol.host_messages import decode_datagram, encode_heartbeat
-from ryelever.protocol.sse import EventCutter
+from ryelever.protocol.sse import RawEventSplitter
 from ryelever.state.routes import RouteKind
 from tests.test_coordination.test_relaying.relay_fakes import Relaying, head
 
@@ -54,7 +58,7 @@
         relaying.arrive(RouteKind.STREAM, number=number)
         attempt = relaying.sent[-1]
         relaying.requests.answer_head(attempt.id, head(f"r{number}"), now=0.1)
-        cutter = EventCutter()
+        cutter = RawEventSplitter()
         for index in range(n_events):
             for _, data in cutter.feed(event):
                 events = [(str(index + 1), data)]
@@ -90,12 +94,12 @@
     """Return what a host knows that hears its own zone and one host of each other."""
     heartbeats = HostHeartbeats(host="front-0", zone="z")
     for host in range(1, n_own):
-        heartbeats.take(_heartbeat(host, 1), address="10.0.0.1:7000", now=0.0)
+        heartbeats.record(_heartbeat(host, 1), address="10.0.0.1:7000", now=0.0)
     for zone in range(1, n_zones):
         heartbeat = replace(
             _heartbeat(n_own + zone, 1), availability_zone=f"z{zone}", for_zone=True
         )
-        heartbeats.take(heartbeat, address="10.0.0.1:7000", now=0.0)
+        heartbeats.record(heartbeat, address="10.0.0.1:7000", now=0.0)
     return heartbeats
 
 
@@ -103,7 +107,7 @@
     """Return how many words a host hears that neither reads nor speaks."""
     heartbeats = _heard(n_own, n_zones)
     seldom = HEARTBEAT_INTERVAL * heartbeats.ticks_between_heartbeats(now=0.0)
-    n_frequent = min(READERS, n_own - 1)
+    n_frequent = min(READERS_PER_ZONE, n_own - 1)
     near = n_frequent / HEARTBEAT_INTERVAL + (n_own - 1 - n_frequent) / seldom
     return near + (n_zones - 1) / (TICKS_PER_ZONE_HEARTBEAT * HEARTBEAT_INTERVAL)
 
@@ -117,7 +121,7 @@
     ]
     start = time.process_time()
     for datagram in data:
-        heartbeats.take(
+        heartbeats.record(
             decode_datagram(datagram, peer="front"), address="front", now=0.1
         )
         heartbeats.in_flight(now=0.1)
--- a/benchmarks/stale_balance.py
+++ b/benchmarks/stale_balance.py
@@ -15,7 +15,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from ryelever.coordination.host_heartbeats import FREQUENT_HOSTS
+from ryelever.coordination.host_heartbeats import MAX_HOSTS_AT_FULL_RATE
 from ryelever.coordination.relaying.balance import Balancer
 from ryelever.state.directory import BackendServer, Directory, GroupReport, GroupState
 
@@ -99,7 +99,7 @@
         self.told = [Counter() for _ in self.balancers]
         self.summaries = {zone: Counter() for zone in ZONES}
         self.per_zone = size.n_hosts // 3
-        self.ticks = -(-self.per_zone // FREQUENT_HOSTS)
+        self.ticks = -(-self.per_zone // MAX_HOSTS_AT_FULL_RATE)
         self.phases = [self._draws.randrange(60) for _ in self.balancers]
 
     @staticmethod
@@ -132,7 +132,7 @@
             if other != zone:
                 heard.update(self.summaries[other])
         balancer.peers_in_flight_by_id = heard
-        balancer.hear(
+        balancer.set_heartbeat_interval(
             interval=self.ticks * TICK,
             n_near=self.per_zone - 1,
             n_hosts=self.size.n_hosts,
@@ -172,7 +172,7 @@
             for item in group.advance(size.slots):
                 balancer = hosts.balancers[item.host]
                 balancer.ended(server_id)
-                balancer.took("engines", "m", now - item.since)
+                balancer.record_duration("engines", "m", now - item.since)
         n_new = draws.random() < size.rate * STEP % 1
         for _ in range(int(size.rate * STEP) + n_new):
             host = draws.randrange(size.n_hosts)
--- a/ryelever/application.py
+++ b/ryelever/application.py
@@ -48,12 +48,12 @@
 
 #: Seconds between two checks of the control components' deadlines, the shortest of
 #: which are 0.2 s.  Messages are processed as they arrive, without waiting for a tick.
-CONTROL_TICK = 0.1
+CONTROL_INTERVAL = 0.1
 
 #: Seconds between two checks of requests' deadlines, with and without requests in
 #: flight.
-SERVING_TICK = 0.05
-IDLE_SERVING_TICK = 0.1
+SERVING_INTERVAL = 0.05
+IDLE_SERVING_INTERVAL = 0.1
 
 #: Channels of the components that check their deadlines on the same tick.
 CONTROL_CHANNELS = ("streams", "fleet", "planning", "peering", "shutdown")
@@ -252,12 +252,12 @@
             part.register(self)
 
     def _serving_interval(self) -> float:
-        return SERVING_TICK if self.table.requests_by_id else IDLE_SERVING_TICK
+        return SERVING_INTERVAL if self.table.requests_by_id else IDLE_SERVING_INTERVAL
 
     @handler("started", channel="*")
     def _on_started(self, *args: object) -> None:
         timers = self.timers
-        timers.every(CONTROL_TICK, control_tick, *CONTROL_CHANNELS)
+        timers.every(CONTROL_INTERVAL, control_tick, *CONTROL_CHANNELS)
         timers.every(SWEEP_INTERVAL, control_tick, "console")
         timers.every(UPDATE_INTERVAL, control_tick, "fleet_history")
         timers.every(self._serving_interval, serving_tick, "serving")
--- a/ryelever/coordination/evacuations.py
+++ b/ryelever/coordination/evacuations.py
@@ -54,7 +54,7 @@
         self.zones: frozenset[str] = frozenset()
         self.as_of = OperatorPosition()
 
-    def listed(self, zones: Iterable[str], *, as_of: OperatorPosition) -> None:
+    def apply_listing(self, zones: Iterable[str], *, as_of: OperatorPosition) -> None:
         """Apply a listing of all evacuation requests in the store.
 
         A store that was restored from an older copy may lack requests until the
@@ -66,15 +66,17 @@
         known = self.zones if as_of.era != self.as_of.era else frozenset()
         self._set(known.union(zones), as_of=as_of)
 
-    def requested(self, zone: str, *, as_of: OperatorPosition) -> None:
+    def start(self, zone: str, *, as_of: OperatorPosition) -> None:
         """Apply a request to evacuate a zone."""
         self._set(self.zones | {zone}, as_of=as_of)
 
-    def ended(self, zone: str, *, as_of: OperatorPosition) -> None:
+    def end(self, zone: str, *, as_of: OperatorPosition) -> None:
         """Apply the end of a zone's evacuation."""
         self._set(self.zones - {zone}, as_of=as_of)
 
-    def heard(self, zones: Iterable[str], *, as_of: OperatorPosition) -> None:
+    def record_peer_zones(
+        self, zones: Iterable[str], *, as_of: OperatorPosition
+    ) -> None:
         """Apply the evacuated zones from another host's heartbeat unless out of date.
 
         Only a later position of the same era ends a known evacuation.  In a later
--- a/ryelever/coordination/fan_out.py
+++ b/ryelever/coordination/fan_out.py
@@ -25,25 +25,25 @@
     hosts: tuple[str, ...] = ()
 
 
-def fan_out(hosts: list[str], *, living: set[str], turn: int) -> list[Relayer]:
+def fan_out(hosts: list[str], *, live_hosts: set[str], rotation: int) -> list[Relayer]:
     """Return the direct receivers of a datagram, each with its forwarding targets.
 
     Parameters
     ----------
     hosts : list of str
         All hosts that are to receive the datagram.
-    living : set of str
+    live_hosts : set of str
         Hosts whose heartbeats are received.  The others may be lost, together with
         the datagrams that they were to forward, and are not chosen to forward.
-    turn : int
+    rotation : int
         Number that differs from datagram to datagram and selects other forwarding
         hosts each time.  A lost host that is not detected yet then costs the same
         receivers one datagram instead of all datagrams.
     """
     if len(hosts) <= MAX_RECEIVERS:
         return [Relayer(host=host) for host in hosts]
-    candidates = [host for host in hosts if host in living] or hosts
-    first = turn % len(candidates)
+    candidates = [host for host in hosts if host in live_hosts] or hosts
+    first = rotation % len(candidates)
     relayers = (candidates[first:] + candidates[:first])[:MAX_RECEIVERS]
     chosen = set(relayers)
     others = [host for host in hosts if host not in chosen]
--- a/ryelever/coordination/groups/managed_group.py
+++ b/ryelever/coordination/groups/managed_group.py
@@ -109,14 +109,19 @@
         return report.state if report.epoch == self.record.epoch else None
 
     def due_order(
-        self, kind: OrderKind, server_id: str, *, now: float, gently: bool = False
+        self,
+        kind: OrderKind,
+        server_id: str,
+        *,
+        now: float,
+        waits_for_requests: bool = False,
     ) -> list[GroupOrder]:
         """Return a list of one order, empty if it was sent less than a retry ago."""
         ordered_at = self.ordered_at.get((server_id, kind), float("-inf"))
         if now - ordered_at < ORDER_RETRY:
             return []
         self.ordered_at[server_id, kind] = now
-        return [self.order(kind, server_id, gently=gently)]
+        return [self.order(kind, server_id, waits_for_requests=waits_for_requests)]
 
     def due_probes(
         self, member_ids: tuple[str, ...], *, urgent: bool, now: float
@@ -128,7 +133,7 @@
         ]
 
     def order(
-        self, kind: OrderKind, server_id: str, *, gently: bool = False
+        self, kind: OrderKind, server_id: str, *, waits_for_requests: bool = False
     ) -> GroupOrder:
         """Create an order to one member."""
         record = self.record
@@ -143,5 +148,5 @@
             epoch=record.epoch,
             model=record.model,
             members=record.member_ids,
-            gently=gently,
+            waits_for_requests=waits_for_requests,
         )
--- a/ryelever/coordination/groups/manager.py
+++ b/ryelever/coordination/groups/manager.py
@@ -138,12 +138,14 @@
             return managed is not None and managed.phase is GroupPhase.FORMING
         return managed is not None or order.kind is not OrderKind.PROBE
 
-    def suspect(self, heads: set[str]) -> None:
+    def set_stalled_heads(self, heads: set[str]) -> None:
         """Mark the groups that some host sees stalled, given the ids of their heads."""
         for managed in self.managed_by_name.values():
             managed.suspected = managed.record.head.server_id in heads
 
-    def answered(self, order: GroupOrder, outcome: OrderOutcome, *, now: float) -> None:
+    def record_outcome(
+        self, order: GroupOrder, outcome: OrderOutcome, *, now: float
+    ) -> None:
         """Record the outcome of an order."""
         if outcome not in (OrderOutcome.UNKNOWN, OrderOutcome.WRONG_INSTANCE):
             self._directory.last_seen_at_by_id[order.server_id] = now
@@ -331,7 +333,9 @@
         if is_graceful and now - managed.ending_since < CLOSE_GRACE:
             if state is GroupState.CLOSING:
                 return []
-            return managed.due_order(OrderKind.CLOSE, head_id, now=now, gently=True)
+            return managed.due_order(
+                OrderKind.CLOSE, head_id, now=now, waits_for_requests=True
+            )
         return managed.due_order(OrderKind.LEAVE, head_id, now=now)
 
     def _handle_probe_outcome(
--- a/ryelever/coordination/groups/order_queue.py
+++ b/ryelever/coordination/groups/order_queue.py
@@ -49,7 +49,7 @@
         key = (order.server_id, order.group, order.epoch)
         self._waiting_by_kind[order.kind][key] = (zone, order)
 
-    def due(
+    def take_due(
         self, *, is_wanted: Callable[[str, GroupOrder], bool]
     ) -> list[tuple[str, GroupOrder]]:
         """Remove and return the orders to send now, each with its zone.
@@ -68,6 +68,6 @@
                     due.append((zone, order))
         return due
 
-    def ended(self) -> None:
+    def record_end(self) -> None:
         """Record that an order in flight was answered or has failed."""
         self._n_in_flight -= 1
--- a/ryelever/coordination/groups/orders.py
+++ b/ryelever/coordination/groups/orders.py
@@ -48,7 +48,7 @@
     ----------
     members : tuple of str
         Ids of all members, the head first; sent only with ``JOIN``.
-    gently : bool
+    waits_for_requests : bool
         True to close only after the running requests have ended.
     started_at : int or None
         Start time of the incarnation that joined the group, if known.  A probe that
@@ -62,5 +62,5 @@
     epoch: int = -1
     model: str = ""
     members: tuple[str, ...] = ()
-    gently: bool = False
+    waits_for_requests: bool = False
     started_at: int | None = None
--- a/ryelever/coordination/groups/zone_planner.py
+++ b/ryelever/coordination/groups/zone_planner.py
@@ -177,7 +177,7 @@
 
     # Records in the log
 
-    def listed(
+    def apply_full_list(
         self, records: list[GroupRecord], *, end: int, era: int = 0, now: float
     ) -> None:
         """Process a complete list of the records in the log.
@@ -199,10 +199,10 @@
         for name in self.manager.names() - names:
             self.manager.drop(name)
         for record in records:
-            self.recorded(record, end=end, now=now)
+            self.apply_record(record, end=end, now=now)
         self._advance_log_end(end)
 
-    def recorded(self, record: GroupRecord, *, end: int, now: float) -> None:
+    def apply_record(self, record: GroupRecord, *, end: int, now: float) -> None:
         """Process a record that was appended to the log.
 
         Parameters
@@ -218,12 +218,12 @@
             self.manager.put(record, now=now, decided_here=decided_here)
         self._advance_log_end(end)
 
-    def dropped(self, name: str, *, end: int) -> None:
+    def apply_removal(self, name: str, *, end: int) -> None:
         """Process the removal of a record from the log."""
         self.manager.drop(name)
         self._advance_log_end(end)
 
-    def appended(
+    def confirm_append(
         self, append: AppendGroups, *, end: int, era: int = 0, now: float
     ) -> None:
         """Process the confirmation of an append.
@@ -242,13 +242,13 @@
             self._pending_append = None
             return
         for record in (*append.formed, *append.restored):
-            self.recorded(record, end=end, now=now)
+            self.apply_record(record, end=end, now=now)
         for name in append.dropped:
             self.manager.forget(name)
         self._advance_log_end(end)
         self._pending_append = None
 
-    def append_failed(self, *, end: int | None) -> None:
+    def fail_append(self, *, end: int | None) -> None:
         """Process the failure of an append.
 
         An append without an answer may still be executed.  The same append is therefore
@@ -270,7 +270,9 @@
 
     # Decisions
 
-    def look(self, *, now: float) -> tuple[list[GroupOrder], AppendGroups | None]:
+    def run_planning_pass(
+        self, *, now: float
+    ) -> tuple[list[GroupOrder], AppendGroups | None]:
         """Run one planning pass; return the orders and the append that are due."""
         table = self._table()
         if table is None or self._log_end < 0 or now - self._since < START_DELAY:
--- a/ryelever/coordination/host_heartbeats.py
+++ b/ryelever/coordination/host_heartbeats.py
@@ -34,7 +34,7 @@
 #: In a larger zone each host sends less often, so that a host receives no more
 #: heartbeats than in a zone of this size: 70 a second, each of which takes a tenth of
 #: a millisecond to read.
-FREQUENT_HOSTS = 15
+MAX_HOSTS_AT_FULL_RATE = 15
 
 #: Seconds without a heartbeat from another zone after which the zone counts as
 #: unreachable.  Zone heartbeats arrive every 0.6 s, and 0.9 s later if the zone's
@@ -44,7 +44,7 @@
 #: Hosts of a zone that read rarely written records from the store.  If one of two
 #: readers is lost and not detected yet, the other one continues; more readers would
 #: only cost more calls.
-READERS = 2
+READERS_PER_ZONE = 2
 
 #: Seconds without a host in a zone after which hosts of other zones plan for the zone.
 #: Restarted hosts return sooner.
@@ -195,7 +195,7 @@
         self._host = host
         self._zone = zone
         self.addresses_by_host: dict[str, HostAddress] = {}
-        self._heard_by_host: dict[str, _Received] = {}
+        self._received_by_host: dict[str, _Received] = {}
         self._zone_received_at: dict[str, float] = {}
         self._zone_first_checked_at: dict[str, float] = {}
         self._representative_by_zone: dict[str, str] = {}
@@ -211,7 +211,7 @@
         # each of them would cost more than everything else.
         self._in_flight: Counter[str] = Counter()
 
-    def take(self, heartbeat: HostHeartbeat, *, address: str, now: float) -> bool:
+    def record(self, heartbeat: HostHeartbeat, *, address: str, now: float) -> bool:
         """Record a heartbeat and return whether it is newer than the recorded one.
 
         Parameters
@@ -223,7 +223,7 @@
         """
         if heartbeat.host == self._host:
             return False
-        received = self._heard_by_host.get(heartbeat.host)
+        received = self._received_by_host.get(heartbeat.host)
         is_same_boot = (
             received is not None and received.heartbeat.boot == heartbeat.boot
         )
@@ -233,7 +233,7 @@
         if heartbeat.for_zone:
             self._record_representative(heartbeat)
         received = _Received(heartbeat=heartbeat, received_at=now)
-        self._heard_by_host[heartbeat.host] = received
+        self._received_by_host[heartbeat.host] = received
         self._zone_heartbeats = None
         self._no_timeout_before = min(
             self._no_timeout_before, received.no_timeout_before
@@ -272,7 +272,7 @@
             if address.availability_zone == zone
         )
 
-    def near(self, *, now: float) -> list[HostHeartbeat]:
+    def of_own_zone(self, *, now: float) -> list[HostHeartbeat]:
         """Return the newest heartbeats of the other hosts of this zone.
 
         Hosts that have timed out are left out.  The caller must not change the list.
@@ -281,14 +281,14 @@
         if self._zone_heartbeats is None:
             self._zone_heartbeats = [
                 received.heartbeat
-                for received in self._heard_by_host.values()
+                for received in self._received_by_host.values()
                 if received.heartbeat.availability_zone == self._zone
             ]
         return self._zone_heartbeats
 
     def ticks_between_heartbeats(self, *, now: float) -> int:
         """Return the number of ticks between two heartbeats to hosts of this zone."""
-        return math.ceil((1 + len(self.near(now=now))) / FREQUENT_HOSTS)
+        return math.ceil((1 + len(self.of_own_zone(now=now))) / MAX_HOSTS_AT_FULL_RATE)
 
     def represents_zone(self, *, planning: bool, now: float) -> bool:
         """Return whether this host represents its zone to the other zones.
@@ -301,7 +301,7 @@
         planning : bool
             Whether this host plans for the zone.
         """
-        near = self.near(now=now)
+        near = self.of_own_zone(now=now)
         planners = [heartbeat for heartbeat in near if self._zone in heartbeat.plans]
         if planning or planners:
             return planning and all(
@@ -309,17 +309,17 @@
             )
         return all(self._host < heartbeat.host for heartbeat in near)
 
-    def living(self, *, now: float) -> list[HostHeartbeat]:
+    def live_heartbeats(self, *, now: float) -> list[HostHeartbeat]:
         """Return the newest heartbeats of all other hosts that have not timed out."""
         self._remove_silent(now=now)
-        return [received.heartbeat for received in self._heard_by_host.values()]
+        return [received.heartbeat for received in self._received_by_host.values()]
 
     def _remove_silent(self, *, now: float) -> None:
         """Remove the heartbeats of hosts that have timed out."""
         if now < self._no_timeout_before:
             return
         next_timeout = math.inf
-        for host, received in list(self._heard_by_host.items()):
+        for host, received in list(self._received_by_host.items()):
             if now - received.received_at > received.silence_timeout:
                 self._remove(host)
             else:
@@ -327,7 +327,7 @@
         self._no_timeout_before = next_timeout
 
     def _remove(self, host: str) -> None:
-        received = self._heard_by_host.pop(host, None)
+        received = self._received_by_host.pop(host, None)
         if received is None:
             return
         self._zone_heartbeats = None
@@ -342,7 +342,7 @@
         Hosts that are only unreachable continue to serve.  Hosts that the store lists
         therefore count even if no heartbeats are received from them.
         """
-        n_in_zone = 1 + len(self.near(now=now))
+        n_in_zone = 1 + len(self.of_own_zone(now=now))
         n_reported = n_in_zone + sum(self._n_hosts_by_zone.values())
         return max(len(self.addresses_by_host), n_reported)
 
@@ -357,20 +357,28 @@
     def demand(self, *, now: float) -> Counter[str]:
         """Return the work that arrives at the other hosts by model, in busy groups."""
         total: Counter[str] = Counter()
-        for heartbeat in self.living(now=now):
+        for heartbeat in self.live_heartbeats(now=now):
             total.update(heartbeat.demand_by_model)
         return total
 
     def still(self, *, now: float) -> set[str]:
         """Return the heads of groups that other hosts report as stalled."""
-        return {head for heartbeat in self.living(now=now) for head in heartbeat.still}
+        return {
+            head
+            for heartbeat in self.live_heartbeats(now=now)
+            for head in heartbeat.still
+        }
 
     def moving(self, *, now: float) -> set[str]:
         """Return the heads in doubt whose streams progress at other hosts.
 
         Heads in doubt are those that some host reported as stalled.
         """
-        return {head for heartbeat in self.living(now=now) for head in heartbeat.moving}
+        return {
+            head
+            for heartbeat in self.live_heartbeats(now=now)
+            for head in heartbeat.moving
+        }
 
     def unreachable_zones(self, *, now: float) -> set[str]:
         """Return the other zones from which heartbeats are no longer received."""
@@ -380,10 +388,12 @@
             if zone != self._zone and now - received_at > ZONE_TIMEOUT
         }
 
-    def reshaping(self, *, now: float) -> set[str]:
+    def reshaped_zones(self, *, now: float) -> set[str]:
         """Return the zones in which other planners disband groups, or want to."""
         return {
-            zone for heartbeat in self.living(now=now) for zone in heartbeat.reshapes
+            zone
+            for heartbeat in self.live_heartbeats(now=now)
+            for zone in heartbeat.reshapes
         }
 
     def reads_for_zone(self, *, reads_store: bool, now: float) -> bool:
@@ -398,24 +408,26 @@
         if not reads_store:
             return True
         return self._is_among_first(
-            heartbeat for heartbeat in self.near(now=now) if heartbeat.reads_store
+            heartbeat
+            for heartbeat in self.of_own_zone(now=now)
+            if heartbeat.reads_store
         )
 
     def is_among_first(self, *, now: float) -> bool:
         """Return whether this host is a reader when no host reaches the store."""
-        return self._is_among_first(self.near(now=now))
+        return self._is_among_first(self.of_own_zone(now=now))
 
     def _is_among_first(self, heartbeats: Iterable[HostHeartbeat]) -> bool:
-        """Return whether fewer than ``READERS`` hosts precede this one by name.
+        """Return whether fewer than ``READERS_PER_ZONE`` hosts precede this one.
 
-        Stopping hosts are not counted.
+        Hosts are ordered by name, and stopping hosts are not counted.
         """
         before = [
             heartbeat
             for heartbeat in heartbeats
             if not heartbeat.stopping and heartbeat.host < self._host
         ]
-        return len(before) < READERS
+        return len(before) < READERS_PER_ZONE
 
     def plans_for(
         self, zone: str, *, planning: bool, reads_store: bool, now: float
@@ -441,13 +453,13 @@
         """
         if not (reads_store or planning):
             return False
-        heartbeats = self.near(now=now)
+        heartbeats = self.of_own_zone(now=now)
         if zone != self._zone:
             first_checked_at = self._zone_first_checked_at.setdefault(zone, now)
             received_at = self._zone_received_at.get(zone, first_checked_at)
             if now - received_at < ORPHANED_ZONE_DELAY:
                 return False
-            heartbeats = self.living(now=now)
+            heartbeats = self.live_heartbeats(now=now)
         candidates = [
             heartbeat
             for heartbeat in heartbeats
--- a/ryelever/coordination/limits/__init__.py
+++ b/ryelever/coordination/limits/__init__.py
@@ -4,12 +4,12 @@
 """
 
 from .limits import AccountLimits
-from .peers import HEARTBEAT
+from .peers import LIVENESS_ACCOUNT
 from .view import FullLimits, LimitsView
 
 __all__ = [
     "AccountLimits",
-    "HEARTBEAT",
+    "LIVENESS_ACCOUNT",
     "LimitsView",
     "FullLimits",
 ]
--- a/ryelever/coordination/limits/demand.py
+++ b/ryelever/coordination/limits/demand.py
@@ -6,19 +6,19 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-__all__ = ["FALL", "SAMPLE", "SETTLE", "Demand", "LocalDemand"]
+__all__ = ["DECAY_TIME", "SAMPLE_INTERVAL", "SETTLING_TIME", "Demand", "LocalDemand"]
 
 #: Seconds after which a host's own demand counts for its own share.
-SETTLE = 2.0
+SETTLING_TIME = 2.0
 
 #: Minimum seconds in which an announced demand falls to 1/e.
-FALL = 5.0
+DECAY_TIME = 5.0
 
 #: Time constant of the average over arrivals, in seconds.
 AVERAGING_TIME = 1.0
 
 #: Seconds between two samples of the local demand.
-SAMPLE = 0.25
+SAMPLE_INTERVAL = 0.25
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
@@ -39,7 +39,7 @@
         Average arrivals a second, and the announced values, which fall slowly.
     samples : deque of (float, Demand)
         Announced values with their times, oldest first. The first is at least
-        ``SETTLE`` seconds old once samples reach back that far.
+        ``SETTLING_TIME`` seconds old once samples reach back that far.
     """
 
     at: float
@@ -60,33 +60,33 @@
         """Decay the averages up to ``now``."""
         elapsed = max(0.0, now - self.at)
         self.at = max(self.at, now)
-        decay_factor = math.exp(-elapsed / FALL)
+        decay_factor = math.exp(-elapsed / DECAY_TIME)
         self.average *= math.exp(-elapsed / AVERAGING_TIME)
         self.rate = max(self.average, self.rate * decay_factor)
         occupied = float(self.n_in_flight + self.n_waiting)
         self.n_requests = max(occupied, self.n_requests * decay_factor)
 
     def sample(self, now: float) -> None:
-        """Record the announced values, at most once in ``SAMPLE`` seconds."""
+        """Record the announced values, at most once in ``SAMPLE_INTERVAL`` seconds."""
         self.advance(now)
-        if self.samples and now - self.samples[-1][0] < SAMPLE:
+        if self.samples and now - self.samples[-1][0] < SAMPLE_INTERVAL:
             return
         announced = Demand(rate=self.rate, n_requests=self.n_requests)
         self.samples.append((now, announced))
-        while len(self.samples) > 1 and self.samples[1][0] <= now - SETTLE:
+        while len(self.samples) > 1 and self.samples[1][0] <= now - SETTLING_TIME:
             self.samples.popleft()
 
     def settled(self, now: float) -> Demand:
-        """Return the demand announced ``SETTLE`` seconds ago, or a decayed older one.
+        """Return the demand of ``SETTLING_TIME`` seconds ago, or a decayed older one.
 
         The result is zero if no sample is that old. A host that was paused has old
         samples only. Without the decay they would claim a share that the peers have
         divided among themselves since.
         """
-        if not self.samples or self.samples[0][0] > now - SETTLE:
+        if not self.samples or self.samples[0][0] > now - SETTLING_TIME:
             return Demand()
         at, announced = self.samples[0]
-        decay_factor = math.exp(-(now - SETTLE - at) / FALL)
+        decay_factor = math.exp(-(now - SETTLING_TIME - at) / DECAY_TIME)
         return Demand(
             rate=announced.rate * decay_factor,
             n_requests=announced.n_requests * decay_factor,
--- a/ryelever/coordination/limits/limits.py
+++ b/ryelever/coordination/limits/limits.py
@@ -2,12 +2,12 @@
 
 Every entry host announces its demand and computes its own share of each limit; no host
 assigns shares. Two rules bound the sum of all shares: a host counts its own demand only
-after ``SETTLE`` seconds, when its peers have had time to learn of it, and an announced
-demand falls by no more than ``exp(-t / FALL)``. A peer's value that is at most
-``SETTLE`` old is therefore at least ``exp(-SETTLE / FALL)`` of what that peer counts
-for itself, and the shares add up to at most ``exp(SETTLE / FALL)`` times the limit,
-however demand changes. docs/ADMISSION.md has the proof, and the effect of lost rows and
-partitions.
+after ``SETTLING_TIME`` seconds, when its peers have had time to learn of it, and an
+announced demand falls by no more than ``exp(-t / DECAY_TIME)``. A peer's value that is
+at most ``SETTLING_TIME`` old is therefore at least ``exp(-SETTLING_TIME / DECAY_TIME)``
+of what that peer counts for itself, and the shares add up to at most
+``exp(SETTLING_TIME / DECAY_TIME)`` times the limit, however demand changes.
+docs/ADMISSION.md has the proof, and the effect of lost rows and partitions.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from typing import TYPE_CHECKING
 
 from ...state.observations import DemandRow
-from .demand import SAMPLE, Demand, LocalDemand
-from .peers import HEARTBEAT, PeerDemands
+from .demand import SAMPLE_INTERVAL, Demand, LocalDemand
+from .peers import LIVENESS_ACCOUNT, PeerDemands
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -78,7 +78,9 @@
         True unless this host and its live peers are a majority of the known hosts.
     """
 
-    def __init__(self, *, n_hosts: Callable[[], int], refresh: float = SAMPLE) -> None:
+    def __init__(
+        self, *, n_hosts: Callable[[], int], refresh: float = SAMPLE_INTERVAL
+    ) -> None:
         self._n_hosts = n_hosts
         self._refresh = refresh
         self._local_by_account: dict[str, LocalDemand] = {}
@@ -115,7 +117,7 @@
         """
         rows: list[Observation] = [
             DemandRow(
-                client_account=HEARTBEAT,
+                client_account=LIVENESS_ACCOUNT,
                 rate=float(int(now) % 3600),
                 n_in_flight=0,
                 n_waiting=sum(
--- a/ryelever/coordination/limits/peers.py
+++ b/ryelever/coordination/limits/peers.py
@@ -11,10 +11,10 @@
 if TYPE_CHECKING:
     from ...state.observations import DemandRow
 
-__all__ = ["HEARTBEAT", "SILENT_AFTER", "PeerDemands"]
+__all__ = ["LIVENESS_ACCOUNT", "SILENT_AFTER", "PeerDemands"]
 
 #: Client account of the row that is sent even if there is no demand.
-HEARTBEAT = ""
+LIVENESS_ACCOUNT = ""
 
 #: Seconds without a row after which a peer counts as silent.
 SILENT_AFTER = 3.0
@@ -89,7 +89,7 @@
         known.last_seen_at = max(known.last_seen_at, observed_at)
         if not known.is_live and now - known.last_seen_at <= SILENT_AFTER:
             self._set_live(known, is_live=True)
-        if row.client_account == HEARTBEAT:
+        if row.client_account == LIVENESS_ACCOUNT:
             self._count_waiting(known, -1)
             known.n_waiting = row.n_waiting
             self._count_waiting(known, 1)
--- a/ryelever/coordination/listing_schedule.py
+++ b/ryelever/coordination/listing_schedule.py
@@ -7,19 +7,19 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-__all__ = ["LISTERS", "TURN", "UNANNOUNCED", "may_list"]
+__all__ = ["MAX_FIRST_LISTERS", "LISTING_INTERVAL", "UNLISTED_TIMEOUT", "may_list"]
 
 #: Hosts of a zone that list the servers immediately and provide the list to the other
 #: hosts.  A listing of 3,000 servers takes two megabytes, and the reads of all hosts
 #: share the store's rate.
-LISTERS = 4
+MAX_FIRST_LISTERS = 4
 
 #: Seconds after which one more host lists the servers if it hasn't received the list.
-TURN = 0.25
+LISTING_INTERVAL = 0.25
 
 #: Seconds during which a host waits until the store lists it among the zone's hosts.
 #: The wait is limited because the store may be unreachable.
-UNANNOUNCED = 1.0
+UNLISTED_TIMEOUT = 1.0
 
 
 def may_list(
@@ -43,7 +43,7 @@
         Monotonic time at which the host started.
     """
     if known_at is None:
-        return now - started_at >= UNANNOUNCED
+        return now - started_at >= UNLISTED_TIMEOUT
     n_before = sum(other < host for other in hosts_of_zone)
-    n_delays = max(0, n_before - LISTERS + 1)
-    return now - known_at >= TURN * n_delays
+    n_delays = max(0, n_before - MAX_FIRST_LISTERS + 1)
+    return now - known_at >= LISTING_INTERVAL * n_delays
--- a/ryelever/coordination/relaying/__init__.py
+++ b/ryelever/coordination/relaying/__init__.py
@@ -9,8 +9,8 @@
 from .crashes import CrashWatch
 from .demand import DemandMeter, time_in_batch
 from .messages import AnswerHead, Headers, NamedLimit, RelayArrival
-from .repeat_budget import RepeatBudget
 from .requests import RelayRequests
+from .retry_budget import RelayRetryBudget
 from .stall_watch import StallWatch
 
 __all__ = [
@@ -25,7 +25,7 @@
     "RelayMeasures",
     "RelayRefusal",
     "RelayRequests",
-    "RepeatBudget",
+    "RelayRetryBudget",
     "StallWatch",
     "time_in_batch",
 ]
--- a/ryelever/coordination/relaying/balance.py
+++ b/ryelever/coordination/relaying/balance.py
@@ -216,7 +216,9 @@
             total = allowance if total is None else total + allowance
         return total
 
-    def hear(self, *, interval: float, n_near: int, n_hosts: int) -> None:
+    def set_heartbeat_interval(
+        self, *, interval: float, n_near: int, n_hosts: int
+    ) -> None:
         """Set how often, and from how many hosts, heartbeats are received.
 
         Parameters
@@ -238,11 +240,11 @@
         if record is not None and record.in_flight > 0:
             record.in_flight -= 1
 
-    def took(self, service: str, model: str, seconds: float) -> None:
+    def record_duration(self, service: str, model: str, seconds: float) -> None:
         """Record for how many seconds a request was in flight."""
         self._unreported.record_duration((service, model), seconds)
 
-    def times_under_way(self) -> dict[str, float]:
+    def mean_durations(self) -> dict[str, float]:
         """Return the mean seconds that requests are in flight, by service and model."""
         return self._unreported.mean_durations()
 
--- a/ryelever/coordination/relaying/crashes.py
+++ b/ryelever/coordination/relaying/crashes.py
@@ -70,13 +70,15 @@
         """Clear a request that got its complete answer."""
         self._quarantine.completed(_fingerprint(request), now=now)
 
-    def told(self, *, now: float) -> tuple[SuspicionRow, ...]:
+    def recent_suspicions(self, *, now: float) -> tuple[SuspicionRow, ...]:
         """Return the suspicions that have changed recently, for the other hosts."""
         return tuple(
             self._quarantine.changes(since=now - ANNOUNCED_FOR)[:MAX_ANNOUNCED]
         )
 
-    def heard(self, rows: Iterable[SuspicionRow], *, host: str, now: float) -> None:
+    def record_suspicions(
+        self, rows: Iterable[SuspicionRow], *, host: str, now: float
+    ) -> None:
         """Record the suspicions that another host has announced."""
         for row in rows:
             self._quarantine.observed(row, peer=host, observed_at=now, now=now)
--- a/ryelever/coordination/relaying/rate_limits.py
+++ b/ryelever/coordination/relaying/rate_limits.py
@@ -35,7 +35,7 @@
 
 #: Seconds to add to the cold time that a server announces: its entry is read some
 #: tenths of a second after it was written.
-COLD_SLACK = 0.2
+COLD_GRACE = 0.2
 
 #: Seconds for which the end of a limit is announced to other hosts: several heartbeats
 #: to each zone.
@@ -147,11 +147,11 @@
         self._set(server_id, rate, reported_at=now, is_local=True)
         return has_changed
 
-    def heard(self, rows: Iterable[RateLimitRow], *, now: float) -> None:
+    def record_peer_limits(self, rows: Iterable[RateLimitRow], *, now: float) -> None:
         """Record the limits in another host's heartbeat."""
         for row in rows:
             server = self._directory.by_id.get(row.server_id)
-            if server is not None and not row.is_of(server):
+            if server is not None and not row.may_describe(server):
                 continue
             reported_at = now - row.age
             known = self._find_limit(row.server_id)
@@ -173,13 +173,13 @@
     def _rate_while_cold(self, server_id: str, *, now: float) -> float | None:
         """Return the requests a second that a cold server takes; None if warm."""
         cold_until = self._directory.cold_until_by_id.get(server_id)
-        if cold_until is None or now > cold_until + COLD_SLACK:
+        if cold_until is None or now > cold_until + COLD_GRACE:
             return None
         return self._cold_rate(self._directory.by_id[server_id].service)
 
     # Announcements to other hosts
 
-    def told(self, *, now: float) -> tuple[RateLimitRow, ...]:
+    def announced_limits(self, *, now: float) -> tuple[RateLimitRow, ...]:
         """Return the limits that this host learned from answers, the newest first.
 
         Limits received from other hosts are not announced again: their ages would be
@@ -204,7 +204,7 @@
             for reported_at, server_id, limit in local_limits
         )
 
-    def wanted(self, *, now: float) -> tuple[str, ...]:
+    def requested_servers(self, *, now: float) -> tuple[str, ...]:
         """Return the servers with a limit for which this host has requests, by id."""
         wanted = [
             server_id
@@ -215,7 +215,7 @@
 
     # This host's share
 
-    def share_out(
+    def update_shares(
         self, *, host: str, zone: str, heartbeats: list[HostHeartbeat], now: float
     ) -> None:
         """Set this host's share of each limit.
--- a/ryelever/coordination/relaying/request.py
+++ b/ryelever/coordination/relaying/request.py
@@ -122,7 +122,7 @@
     if route is None:
         return Error(Rejection(status=404, reason="no_route"))
     account: RouteAccount | None = None
-    if table.asks_for_keys and not route.public:
+    if table.requires_keys and not route.public:
         account = table.account_by_key.get(arrival.key or "")
         if account is None:
             return Error(Rejection(status=401, reason="unknown_key"))
--- a/ryelever/coordination/relaying/requests.py
+++ b/ryelever/coordination/relaying/requests.py
@@ -26,8 +26,8 @@
     from .balance import Balancer
     from .crashes import CrashWatch
     from .messages import AnswerHead, RelayArrival
-    from .repeat_budget import RepeatBudget
     from .request import RelayRequest
+    from .retry_budget import RelayRetryBudget
     from .stall_watch import StallWatch
 
 __all__ = ["RelayRequests"]
@@ -70,7 +70,7 @@
         *,
         table: Callable[[], RouteTable | None],
         balancer: Balancer,
-        budget: RepeatBudget,
+        budget: RelayRetryBudget,
         stall_watch: StallWatch,
         crashes: CrashWatch,
         outbox: RelayOutbox,
@@ -512,7 +512,9 @@
         self._balancer.succeeded(request.attempt.server_id)
         if request.n_sent == 1:
             duration = now - request.first_sent_at
-            self._balancer.took(request.service, request.arrival.model, duration)
+            self._balancer.record_duration(
+                request.service, request.arrival.model, duration
+            )
 
     def _time_out(self, request: RelayRequest, *, now: float) -> None:
         if request.phase is RequestPhase.ENDED:
--- a/ryelever/coordination/relaying/repeat_budget.py
+++ b/ryelever/coordination/relaying/retry_budget.py
@@ -8,14 +8,14 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ["RepeatBudget"]
+__all__ = ["RelayRetryBudget"]
 
 #: Share of the bound that is used. Entry hosts count independently, over time windows
 #: that differ from those in which the bound is checked, so the last tenth stays unused.
 USED_SHARE = 0.9
 
 
-class RepeatBudget:
+class RelayRetryBudget:
     """Allow retries up to a share of the requests, plus this host's share of a slack.
 
     When many backend servers fail, unlimited retries multiply the load that made them
--- a/ryelever/coordination/removals.py
+++ b/ryelever/coordination/removals.py
@@ -10,11 +10,11 @@
 __all__ = ["Removals"]
 
 #: Seconds after the store's return within which the entry of a live server is back.
-ENTRIES_BACK = 2.1
+RECORDS_RETURN_TIME = 2.1
 
 #: Minimum seconds without an answered read that count as an outage of the store
 #: instead of a single failure.
-OUTAGE = 1.0
+MIN_OUTAGE = 1.0
 
 #: Record renewals during which a server stays in the list after an undecodable entry
 #: with its id.  A live server writes its own entry again within one renewal interval.
@@ -26,17 +26,17 @@
 
     Parameters
     ----------
-    heartbeat_interval : float
+    renewal_interval : float
         Seconds between two entries that a live server writes.
     """
 
-    def __init__(self, *, heartbeat_interval: float) -> None:
-        self._unreadable_delay = UNREADABLE_RENEWALS * heartbeat_interval
+    def __init__(self, *, renewal_interval: float) -> None:
+        self._unreadable_delay = UNREADABLE_RENEWALS * renewal_interval
         self._due_at_by_id: dict[str, float] = {}
         self._answered_at = float("-inf")
         self._outage_until = float("-inf")
 
-    def note_reads(self, *, answered_at: float, failed_at: float) -> None:
+    def record_reads(self, *, answered_at: float, failed_at: float) -> None:
         """Record when a read was last answered and when a read last failed.
 
         An answer after an outage delays removals until entries are back.
@@ -44,13 +44,13 @@
         if answered_at <= self._answered_at:
             return
         failed_since = failed_at > self._answered_at > float("-inf")
-        if failed_since and answered_at - self._answered_at > OUTAGE:
-            self._outage_until = answered_at + ENTRIES_BACK
+        if failed_since and answered_at - self._answered_at > MIN_OUTAGE:
+            self._outage_until = answered_at + RECORDS_RETURN_TIME
         self._answered_at = answered_at
 
-    def note_return(self, returned_at: float) -> None:
+    def record_return(self, returned_at: float) -> None:
         """Record when the store returned without entries that it had before."""
-        self._outage_until = max(self._outage_until, returned_at + ENTRIES_BACK)
+        self._outage_until = max(self._outage_until, returned_at + RECORDS_RETURN_TIME)
 
     def add(self, server_id: str, *, now: float) -> None:
         """Record that a backend server's entry is gone."""
@@ -60,7 +60,7 @@
         """Record that a backend server's entry is undecodable and names no server."""
         self._due_at_by_id.setdefault(server_id, now + self._unreadable_delay)
 
-    def discard(self, server_id: str) -> bool:
+    def cancel(self, server_id: str) -> bool:
         """Record that a server's entry exists; return whether a removal was pending."""
         return self._due_at_by_id.pop(server_id, None) is not None
 
--- a/ryelever/coordination/reported_records.py
+++ b/ryelever/coordination/reported_records.py
@@ -15,12 +15,12 @@
 
     from ..state.directory import BackendServer
 
-__all__ = ["REPORTED_FOR", "ReportedRecords"]
+__all__ = ["REPORTED_PRECEDENCE", "ReportedRecords"]
 
 #: Seconds after the list is read again during which reported records keep precedence.
 #: Entries that are read first were written before the outage and are older; servers
 #: write their entries again within about two seconds of the store's return.
-REPORTED_FOR = 3.0
+REPORTED_PRECEDENCE = 3.0
 
 
 class ReportedRecords:
@@ -46,18 +46,18 @@
         self._list_resumed_at: float | None = None
 
     def add(
-        self, records: list[KeyedRecord], *, seen_by_id: Mapping[str, BackendServer]
+        self, records: list[KeyedRecord], *, known_by_id: Mapping[str, BackendServer]
     ) -> None:
         """Add reported records, which keep precedence until ``due`` releases the list.
 
         Parameters
         ----------
-        seen_by_id : Mapping of str to BackendServer
+        known_by_id : Mapping of str to BackendServer
             Servers as they were known before these records.
         """
         self._list_resumed_at = None
         for record in records:
-            seen = seen_by_id.get(record.key)
+            seen = known_by_id.get(record.key)
             if seen is not None:
                 self._listed_before_by_server.setdefault(record.key, seen)
             self._reported_by_server[record.key] = record.value
@@ -67,7 +67,7 @@
         """Return whether there are no reported records."""
         return not self._reported_by_server
 
-    def holds(self, server_id: str) -> bool:
+    def overrides(self, server_id: str) -> bool:
         """Return whether a server's reported record has precedence over its entry."""
         return server_id in self._reported_by_server
 
@@ -106,11 +106,11 @@
     def due(self, *, now: float) -> list[KeyedRecord]:
         """Return the records that were held back, once precedence has ended.
 
-        Precedence ends ``REPORTED_FOR`` after the list is read again, when all live
-        servers have written their entries again.
+        Precedence ends ``REPORTED_PRECEDENCE`` after the list is read again, when all
+        live servers have written their entries again.
         """
         since = self._list_resumed_at
-        if since is None or now - since < REPORTED_FOR:
+        if since is None or now - since < REPORTED_PRECEDENCE:
             return []
         held_back, self._held_back_by_server = self._held_back_by_server, {}
         self._reported_by_server.clear()
--- a/ryelever/coordination/server_reading.py
+++ b/ryelever/coordination/server_reading.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from .listing_schedule import UNANNOUNCED, may_list
+from .listing_schedule import UNLISTED_TIMEOUT, may_list
 
 if TYPE_CHECKING:
     from ..state.keyed_record import ServerUpdates
@@ -103,11 +103,11 @@
 
     # Listing
 
-    def begin(self) -> None:
-        """Defer listings until ``settle_listing`` allows them."""
+    def defer_listings(self) -> None:
+        """Defer listings until ``update_listings`` allows them."""
         self._hosts.defers_listing = self._servers.defers_listing = True
 
-    def settle_listing(self, *, acknowledged_at: float | None, now: float) -> None:
+    def update_listings(self, *, acknowledged_at: float | None, now: float) -> None:
         """Allow the listings of this host when they are due.
 
         Parameters
@@ -117,7 +117,7 @@
             None before that.
         """
         if self._hosts_known_at is None:
-            may_be_unlisted = now - self._started_at < UNANNOUNCED
+            may_be_unlisted = now - self._started_at < UNLISTED_TIMEOUT
             self._hosts.defers_listing = acknowledged_at is None and may_be_unlisted
             if acknowledged_at is not None and self._hosts.listed_at > acknowledged_at:
                 self._hosts_known_at = now
@@ -170,7 +170,7 @@
 
     # Missed updates
 
-    def note_missed(self, updates: ServerUpdates, *, now: float) -> None:
+    def record_missed(self, updates: ServerUpdates, *, now: float) -> None:
         """Record updates that show that this host missed earlier ones.
 
         The store could return them only together with all unchanged records.  A host
--- a/ryelever/coordination/soft_state/configuration.py
+++ b/ryelever/coordination/soft_state/configuration.py
@@ -77,7 +77,7 @@
         current = self._current()
         return current.version if current is not None else -1
 
-    def note_version(self, version: int, *, address: str, now: float) -> None:
+    def check_peer_version(self, version: int, *, address: str, now: float) -> None:
         """Record the version that a peer announces, and start to fetch a newer one."""
         self.versions_by_address[address] = version
         if version <= self.version or (version, address) in self._invalid_sources:
--- a/ryelever/coordination/soft_state/deliveries.py
+++ b/ryelever/coordination/soft_state/deliveries.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from ...state.observations import DemandRow, Observation
-from ..limits import HEARTBEAT
+from ..limits import LIVENESS_ACCOUNT
 from .messages import AliveRow, GoneRow, Member
 from .tables import ROW_EXPIRY
 
@@ -46,7 +46,9 @@
             or now - table_row.observed_at > ROW_EXPIRY
         ):
             continue
-        heartbeat = isinstance(row, DemandRow) and row.client_account == HEARTBEAT
+        heartbeat = (
+            isinstance(row, DemandRow) and row.client_account == LIVENESS_ACCOUNT
+        )
         if heartbeat and not single:
             found += _split_heartbeats(row, observer, observed_at=table_row.observed_at)
             continue
--- a/ryelever/coordination/soft_state/digest.py
+++ b/ryelever/coordination/soft_state/digest.py
@@ -12,7 +12,7 @@
     SuspicionRow,
     sum_suspicions,
 )
-from ..limits import HEARTBEAT
+from ..limits import LIVENESS_ACCOUNT
 from .tables import ROW_EXPIRY, TableRow, row_key
 
 if TYPE_CHECKING:
@@ -30,8 +30,8 @@
     """Return the rows that other zones need, each with its time of observation.
 
     Demand and crashes are added up; a sum is as old as its oldest addend.  Loads and
-    reports stay inside the zone.  In the sum of the ``HEARTBEAT`` rows, which hosts
-    send even without any demand, ``n_in_flight`` is the number of those hosts.
+    reports stay inside the zone.  In the sum of the ``LIVENESS_ACCOUNT`` rows, which
+    hosts send even without any demand, ``n_in_flight`` is the number of those hosts.
     """
     rows_by_key: dict[tuple[str, ...], tuple[SoftRow, float]] = {}
     for table in tables:
@@ -50,7 +50,10 @@
     rows_by_key: dict[tuple[str, ...], tuple[SoftRow, float]], table_row: TableRow
 ) -> None:
     added_row = table_row.row
-    if isinstance(added_row, DemandRow) and added_row.client_account == HEARTBEAT:
+    if (
+        isinstance(added_row, DemandRow)
+        and added_row.client_account == LIVENESS_ACCOUNT
+    ):
         added_row = replace(added_row, n_in_flight=1)
     key = row_key(added_row)
     known = rows_by_key.get(key)
--- a/ryelever/coordination/soft_state/exchange.py
+++ b/ryelever/coordination/soft_state/exchange.py
@@ -366,7 +366,9 @@
         self, message: Message, *, address: str, now: float, into: Received
     ) -> None:
         transfer = self.configuration
-        transfer.note_version(message.configuration_version, address=address, now=now)
+        transfer.check_peer_version(
+            message.configuration_version, address=address, now=now
+        )
         for piece in message.pieces:
             completed_row = transfer.add_piece(piece, address=address, now=now)
             into.configuration = completed_row or into.configuration
--- a/ryelever/coordination/superseded_records.py
+++ b/ryelever/coordination/superseded_records.py
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self._listed_offset_by_key: dict[str, int] = {}
 
-    def take_listing(self, records: Iterable[KeyedRecord], *, end: int) -> None:
+    def record_listing(self, records: Iterable[KeyedRecord], *, end: int) -> None:
         """Record a complete listing, which replaces the former one.
 
         Parameters
--- a/ryelever/coordination/topic.py
+++ b/ryelever/coordination/topic.py
@@ -11,9 +11,9 @@
 if TYPE_CHECKING:
     from ..errors import RyeleverError
     from ..protocol.keyed_log import (
+        HttpRequest,
         KeyedLogInterface,
         KeyedRecord,
-        LogCall,
         NewestPage,
         ReadPage,
     )
@@ -90,7 +90,7 @@
         Seconds during which a read waits for a record.
     suspended : bool
         True while other hosts send new records; the follower then reads only after a
-        call of ``poke`` or ``read_now``.
+        call of ``read_announced`` or ``read_now``.
     listed_at, answered_at, failed_at, asked_at : float
         Monotonic times of the last complete listing, valid answer, failure and call.
     defers_listing : bool
@@ -134,7 +134,7 @@
         """Return whether a listing has started and has pages left."""
         return bool(self._after_key)
 
-    def next_call(self, *, now: float) -> LogCall | None:
+    def next_call(self, *, now: float) -> HttpRequest | None:
         """Return the call that is due, or None."""
         if self.is_in_flight or now < self._due_at:
             return None
@@ -164,7 +164,7 @@
             wait_ms=round(self.wait * 1000),
         )
 
-    def poke(self, *, now: float) -> None:
+    def read_announced(self, *, now: float) -> None:
         """Read immediately, since another host announced newer records.
 
         A waiting read may hang on a silent connection and would time out only seconds
@@ -189,14 +189,14 @@
             return min(MAX_LISTING_TIMEOUT, LISTING_TIMEOUT * 2**self._n_failures)
         return self.wait + ANSWER_TIMEOUT
 
-    def list_again(self) -> None:
+    def restart_listing(self) -> None:
         """List the topic again, since the offset is no longer valid."""
         self._phase = _Phase.LISTING
         self._after_key = ""
         self._due_at = 0.0
 
     def advance(
-        self, *, start: int, end: int, era: int, yields: bool, now: float
+        self, *, start: int, end: int, era: int, reader_continues: bool, now: float
     ) -> bool:
         """Advance past a part of the topic that another host has read.
 
@@ -206,7 +206,7 @@
             Offset of the part's first record and offset after its last record.
         era : int
             Era of the store in which the part was read.
-        yields : bool
+        reader_continues : bool
             Whether the other host continues to read for this one.
 
         Returns
@@ -219,7 +219,7 @@
         follows = is_comparable and start <= self.offset <= end
         if follows:
             self.offset = end
-            if yields:
+            if reader_continues:
                 self.defer_reading(now=now)
         return follows
 
@@ -306,7 +306,7 @@
         if self._call_phase is _Phase.LISTING and not self._call_after:
             self.era = era
         if era > self.era:
-            self.list_again()
+            self.restart_listing()
         return era == self.era
 
     def failed(self, *, now: float) -> None:
--- a/ryelever/emulator/__init__.py
+++ b/ryelever/emulator/__init__.py
@@ -5,7 +5,7 @@
 not import this package.
 """
 
-from .day import DayResult, LossPattern, play_day
+from .day import DayResult, LossPattern, simulate_day
 from .deployment import Deployment, EmulatedModel
 from .fleet import Fleet
 
@@ -15,5 +15,5 @@
     "EmulatedModel",
     "Fleet",
     "LossPattern",
-    "play_day",
+    "simulate_day",
 ]
--- a/ryelever/emulator/day.py
+++ b/ryelever/emulator/day.py
@@ -8,10 +8,10 @@
 from .deployment import Deployment
 from .fleet import STEP, WARM_UP_TIME, Fleet
 
-__all__ = ["DayResult", "LossPattern", "play_day"]
+__all__ = ["DayResult", "LossPattern", "simulate_day"]
 
 #: Simulated seconds of a day, during which requests arrive.
-DAY = 34.0
+DAY_DURATION = 34.0
 
 #: Highest utilization of a group, the work that arrives divided by its capacity, at
 #: which no request is late: 60 in 100 of the group's slots are in use then.
@@ -28,11 +28,11 @@
 
     Attributes
     ----------
-    every : tuple of float
+    loss_interval : tuple of float
         Minimum and maximum seconds between two losses.
-    n_at_once : int
+    n_lost_at_once : int
         Members of groups that are lost permanently at each loss.
-    domain_at, domain_for : float
+    domain_lost_at, domain_outage_time : float
         Second at which all servers of one fabric domain are lost, and seconds until
         they restart.
     arrival_interval : tuple of float
@@ -40,10 +40,10 @@
         twelfth second on.
     """
 
-    every: tuple[float, float] = (2.4, 3.6)
-    n_at_once: int = 1
-    domain_at: float = float("inf")
-    domain_for: float = 6.0
+    loss_interval: tuple[float, float] = (2.4, 3.6)
+    n_lost_at_once: int = 1
+    domain_lost_at: float = float("inf")
+    domain_outage_time: float = 6.0
     arrival_interval: tuple[float, float] = (2.4, 4.0)
 
 
@@ -83,7 +83,9 @@
     return 0.5 * HALF_CREDIT_UTILIZATION / utilization
 
 
-def play_day(*, deployment: Deployment, losses: LossPattern, seed: int) -> DayResult:
+def simulate_day(
+    *, deployment: Deployment, losses: LossPattern, seed: int
+) -> DayResult:
     """Simulate one day.
 
     The same seed gives the same losses, whatever the policy of the planners.
@@ -91,19 +93,19 @@
     fleet = Fleet(deployment=deployment, seed=seed)
     rng = random.Random(seed)
     next_loss_at = rng.uniform(1.0, 4.0)
-    domain_at = losses.domain_at
+    domain_lost_at = losses.domain_lost_at
     next_arrival_at = 12.0
     result = DayResult(served_by_model=dict.fromkeys(deployment.models_by_name, 0.0))
     window: list[float] = []
     for _ in range(round(WARM_UP_TIME / STEP)):
         fleet.advance()
-    for _ in range(round(DAY / STEP)):
+    for _ in range(round(DAY_DURATION / STEP)):
         if fleet.now >= next_loss_at:
-            next_loss_at += rng.uniform(*losses.every)
-            _lose_members(fleet, rng, n=losses.n_at_once)
-        if fleet.now >= domain_at:
-            domain_at = float("inf")
-            _lose_domain(fleet, rng, seconds=losses.domain_for)
+            next_loss_at += rng.uniform(*losses.loss_interval)
+            _lose_members(fleet, rng, n=losses.n_lost_at_once)
+        if fleet.now >= domain_lost_at:
+            domain_lost_at = float("inf")
+            _lose_domain(fleet, rng, seconds=losses.domain_outage_time)
         if fleet.now >= next_arrival_at:
             next_arrival_at += rng.uniform(*losses.arrival_interval)
             zone = rng.choice(deployment.zones)
@@ -123,7 +125,7 @@
     total = 0.0
     for model, demand in fleet.deployment.demand.items():
         earned = credit(utilization=demand / n_open[model]) if n_open[model] else 0.0
-        result.served_by_model[model] += earned * STEP / DAY
+        result.served_by_model[model] += earned * STEP / DAY_DURATION
         total += earned
     return total / len(fleet.deployment.models_by_name)
 
@@ -131,11 +133,11 @@
 def _lose_members(fleet: Fleet, rng: random.Random, *, n: int) -> None:
     members = [server for server in fleet.living if server.entry.group is not None]
     for server in rng.sample(members, min(n, len(members))):
-        fleet.lose(server, back_after=None)
+        fleet.lose(server, restart_after=None)
 
 
 def _lose_domain(fleet: Fleet, rng: random.Random, *, seconds: float) -> None:
     domain = rng.choice(sorted({server.entry.domain for server in fleet.living}))
     for server in fleet.living:
         if server.entry.domain == domain:
-            fleet.lose(server, back_after=seconds)
+            fleet.lose(server, restart_after=seconds)
--- a/ryelever/emulator/fleet.py
+++ b/ryelever/emulator/fleet.py
@@ -83,7 +83,7 @@
             zone: self._new_planner(zone) for zone in deployment.zones
         }
         for planner in self.planners_by_zone.values():
-            planner.listed([], end=0, now=self.now)
+            planner.apply_full_list([], end=0, now=self.now)
 
     # Additions and losses
 
@@ -102,12 +102,12 @@
         )
         self.servers_by_id[server_id] = EmulatedServer(entry=entry)
 
-    def lose(self, server: EmulatedServer, *, back_after: float | None) -> None:
+    def lose(self, server: EmulatedServer, *, restart_after: float | None) -> None:
         """Lose a server permanently, or until it restarts with the same id."""
         if server.lost_at is None:
             server.lost_at = self.now
-            if back_after is not None:
-                server.restarts_at = self.now + back_after
+            if restart_after is not None:
+                server.restarts_at = self.now + restart_after
 
     @property
     def living(self) -> list[EmulatedServer]:
@@ -125,7 +125,7 @@
         pace = WARM_UP_LOAD_SPEED if self.now < 0 else pace
         for server in list(self.servers_by_id.values()):
             if server.lost_at is None:
-                server.advance(seconds=STEP, load_pace=pace, now=self.now)
+                server.advance(seconds=STEP, load_speed=pace, now=self.now)
             else:
                 self._advance_lost_server(server)
         for server in self.living:
@@ -155,7 +155,7 @@
 
     def _advance_lost_server(self, server: EmulatedServer) -> None:
         if self.now - server.lost_at >= LAPSE:
-            self.directory.remove(server.id, heard_at=server.lost_at)
+            self.directory.remove(server.id, last_renewed_at=server.lost_at)
             self._last_queued.pop(server.id, None)
             if server.restarts_at == float("inf"):
                 del self.servers_by_id[server.id]
@@ -177,11 +177,11 @@
 
     def _update_stall(self, head: EmulatedServer) -> None:
         if self.is_complete(head):
-            head.whole_until = float("inf")
+            head.stalled_since = float("inf")
             return
-        head.whole_until = min(head.whole_until, self.now)
-        if self.now - head.whole_until >= self.deployment.stall_time:
-            head.break_off()
+        head.stalled_since = min(head.stalled_since, self.now)
+        if self.now - head.stalled_since >= self.deployment.stall_time:
+            head.report_broken()
 
     def _update_list(self) -> None:
         """Show changed entries in the server list after ``LIST_LAG_STEPS`` steps."""
@@ -209,7 +209,7 @@
             routes_by_host={},
             services_by_name={SERVICE: service},
             account_by_key={},
-            asks_for_keys=False,
+            requires_keys=False,
         )
         return ZonePlanner(
             zone=zone,
@@ -236,10 +236,10 @@
     def _run_planners(self) -> None:
         suspects = self._suspects()
         for zone, planner in self.planners_by_zone.items():
-            planner.manager.suspect(suspects)
-            orders, append = planner.look(now=self.now)
+            planner.manager.set_stalled_heads(suspects)
+            orders, append = planner.run_planning_pass(now=self.now)
             for order in orders:
-                self._carry_out(zone, order)
+                self._execute_order(zone, order)
             if append is not None:
                 self._append(zone, append)
         due = [answer for answer in self._pending_outcomes if answer.step <= self._step]
@@ -249,18 +249,18 @@
         for answer in due:
             if answer.order.group:
                 manager = self.planners_by_zone[answer.zone].manager
-                manager.answered(answer.order, answer.outcome, now=self.now)
+                manager.record_outcome(answer.order, answer.outcome, now=self.now)
 
     def _append(self, zone: str, append: AppendGroups) -> None:
         planner = self.planners_by_zone[zone]
         if append.at != self._log_ends[zone]:
-            planner.append_failed(end=self._log_ends[zone])
+            planner.fail_append(end=self._log_ends[zone])
             return
         n_records = len(append.formed) + len(append.restored) + len(append.dropped)
         self._log_ends[zone] += n_records
-        planner.appended(append, end=self._log_ends[zone], now=self.now)
+        planner.confirm_append(append, end=self._log_ends[zone], now=self.now)
 
-    def _carry_out(self, zone: str, order: GroupOrder) -> None:
+    def _execute_order(self, zone: str, order: GroupOrder) -> None:
         server = self.servers_by_id.get(order.server_id)
         step = self._step + 1
         if server is None or server.lost_at is not None:
@@ -268,7 +268,7 @@
             step = self._step + ORDER_TIMEOUT_STEPS
         else:
             n_before = len(server.loads)
-            outcome = server.obey(order, engine=self._engine, now=self.now)
+            outcome = server.execute(order, engine=self._engine, now=self.now)
             is_load = order.kind in (OrderKind.STAGE, OrderKind.JOIN)
             if is_load and self.now >= 0:
                 self.n_loads += max(0, len(server.loads) - n_before)
@@ -286,6 +286,6 @@
             is_lost_for_long = (
                 server.lost_at is not None and server.lost_at <= detected_before
             )
-            if server.whole_until <= detected_before or is_lost_for_long:
+            if server.stalled_since <= detected_before or is_lost_for_long:
                 suspects.add(server.id)
         return suspects
--- a/ryelever/emulator/server.py
+++ b/ryelever/emulator/server.py
@@ -49,7 +49,7 @@
     restarts_at : float
         Simulated time at which a lost server restarts, empty except for the weights
         that its host has staged; infinite if the server does not restart.
-    whole_until : float
+    stalled_since : float
         Simulated time since which the group that this server heads is stalled because
         it is incomplete; infinite while the group is complete.
     newest_epoch : int
@@ -60,7 +60,7 @@
     last_model: str = ""
     lost_at: float | None = None
     restarts_at: float = float("inf")
-    whole_until: float = float("inf")
+    stalled_since: float = float("inf")
     newest_epoch: int = -1
     loads: list[Load] = field(default_factory=list)
     _scheduled_states: list[tuple[float, GroupState]] = field(default_factory=list)
@@ -81,18 +81,18 @@
             and report.state is GroupState.OPEN
         )
 
-    def advance(self, *, seconds: float, load_pace: float, now: float) -> None:
+    def advance(self, *, seconds: float, load_speed: float, now: float) -> None:
         """Advance the server's loads and scheduled group states.
 
         Parameters
         ----------
         seconds : float
             Simulated seconds to advance by.
-        load_pace : float
+        load_speed : float
             Seconds of loading that are completed in one simulated second.
         """
         for load in list(self.loads):
-            load.remaining -= seconds * load_pace
+            load.remaining -= seconds * load_speed
             if load.remaining <= 0:
                 self.loads.remove(load)
                 self._update_entry(staged=frozenset({load.model}))
@@ -105,7 +105,7 @@
             elif self.entry.group is not None:
                 self._set_group_state(scheduled[1])
 
-    def obey(
+    def execute(
         self, order: GroupOrder, *, engine: EngineProfile, now: float
     ) -> OrderOutcome:
         """Execute an order and return its outcome."""
@@ -137,7 +137,7 @@
             return OrderOutcome.APPLIED
         return OrderOutcome.IN_PROGRESS
 
-    def break_off(self) -> None:
+    def report_broken(self) -> None:
         """Report that the server's group was stalled for too long."""
         self._set_group_state(GroupState.BROKEN)
 
--- a/ryelever/fleet_directory.py
+++ b/ryelever/fleet_directory.py
@@ -116,7 +116,7 @@
         self._heartbeats = heartbeats
         self._evacuations = evacuations
         self._own_address = own_address
-        self._removals = Removals(heartbeat_interval=settings.heartbeat_interval)
+        self._removals = Removals(renewal_interval=settings.heartbeat_interval)
         self.table: RouteTable | None = None
         self.configuration = TopicFollower(log=log, topic=documents.operator_topic)
         self.servers = TopicFollower(
@@ -156,7 +156,7 @@
 
     @handler("started", channel="*")
     def _on_started(self, *args: object) -> None:
-        self._reading.begin()
+        self._reading.defer_listings()
         self._store.follow(self.configuration, self._apply_operator_updates)
         self._store.follow(self.servers, self._apply_server_updates)
         self._store.follow(self.hosts, self._apply_host_updates)
@@ -190,7 +190,7 @@
 
     def _update_listing_schedule(self, *, now: float) -> None:
         """Allow this host to list the backend servers when its scheduled time comes."""
-        self._reading.settle_listing(acknowledged_at=self._acknowledged_at, now=now)
+        self._reading.update_listings(acknowledged_at=self._acknowledged_at, now=now)
 
     @handler("store_returned")
     def _on_store_returned(self) -> None:
@@ -201,11 +201,11 @@
         knows are therefore ignored until the servers renew them.
         """
         self._newer_than_copy |= self._data_by_server.keys()
-        self.servers.list_again()
+        self.servers.restart_listing()
         if not self.configuration.suspended:
-            self.configuration.list_again()
+            self.configuration.restart_listing()
         if not self.hosts.suspended:
-            self.hosts.list_again()
+            self.hosts.restart_listing()
         # The store may have lost this host's address.
         self._acknowledged_at = None
         self._announced_at = float("-inf")
@@ -236,11 +236,11 @@
         )
 
     def _record_reads(self) -> None:
-        self._removals.note_reads(
+        self._removals.record_reads(
             answered_at=self._read_at,
             failed_at=max(self.servers.failed_at, self._reading.silent_at),
         )
-        self._removals.note_return(self._store.returned_at)
+        self._removals.record_return(self._store.returned_at)
 
     @property
     def _read_at(self) -> float:
@@ -259,7 +259,7 @@
                 self._documents.evacuated_zone(item.key) for item in updates.records
             ]
             as_of = OperatorPosition(follower.era, follower.offset)
-            self._evacuations.listed(filter(None, zones), as_of=as_of)
+            self._evacuations.apply_listing(filter(None, zones), as_of=as_of)
             return
         for record in updates.records:
             self._apply_evacuation_record(record)
@@ -271,9 +271,9 @@
         if zone is None or as_of <= self._evacuations.as_of:
             return
         if record.value:
-            self._evacuations.requested(zone, as_of=as_of)
+            self._evacuations.start(zone, as_of=as_of)
         else:
-            self._evacuations.ended(zone, as_of=as_of)
+            self._evacuations.end(zone, as_of=as_of)
 
     def apply_configuration(self, data: bytes, peer: str) -> None:
         """Apply a configuration unless the version in force is the same or newer."""
@@ -308,7 +308,7 @@
         """Return the configuration in force, encoded as in the store."""
         return self._document
 
-    def note_version(self, heartbeat: HostHeartbeat, *, now: float) -> None:
+    def check_peer_version(self, heartbeat: HostHeartbeat, *, now: float) -> None:
         """Fetch the configuration if another entry host has a newer version in force.
 
         A newer version binds all hosts, but the store may refuse this host's reads, or
@@ -322,7 +322,7 @@
         in_same_zone = heartbeat.availability_zone == self._settings.availability_zone
         is_small = heartbeat.configuration_size <= MAX_FETCHED_CONFIGURATION
         if overdue or not (self.configuration.suspended and is_small):
-            self.configuration.poke(now=now)
+            self.configuration.read_announced(now=now)
         if overdue or (self.configuration.suspended and is_small and in_same_zone):
             self.fetch.request_configuration(heartbeat.host, now=now)
 
@@ -385,7 +385,7 @@
             self._reading.caught_up()
             self.fire(server_updates(forwarded), "exchange")
         if updates.complete:
-            self._superseded.take_listing(updates.records, end=self.servers.offset)
+            self._superseded.record_listing(updates.records, end=self.servers.offset)
             listed = {record.key for record in updates.records}
             for server_id in set(self._directory.by_id) - listed:
                 self._removals.add(server_id, now=now)
@@ -419,23 +419,23 @@
             return
         self._store.record_era(updates.era, peer=updates.reader, now=now)
         if self.servers.is_behind(updates):
-            self._reading.note_missed(updates, now=now)
+            self._reading.record_missed(updates, now=now)
             self._store.record_peer_update(now=now)
             self._request_missed_changes(now=now)
             return
-        yields = updates.reader < self._settings.host
-        if self._apply_consecutive(updates, yields=yields, now=now):
+        reader_continues = updates.reader < self._settings.host
+        if self._apply_consecutive(updates, reader_continues=reader_continues, now=now):
             self._reading.caught_up()
             self._store.record_peer_update(now=now)
 
     def _apply_consecutive(
-        self, updates: ServerUpdates, *, yields: bool, now: float
+        self, updates: ServerUpdates, *, reader_continues: bool, now: float
     ) -> bool:
         """Apply another host's records if they continue from this host's position.
 
         Parameters
         ----------
-        yields : bool
+        reader_continues : bool
             Whether this host leaves the reading to the other host for a while.
 
         Returns
@@ -448,7 +448,7 @@
             start=updates.start,
             end=updates.end,
             era=updates.era,
-            yields=yields,
+            reader_continues=reader_continues,
             now=now,
         )
         if not follows:
@@ -474,7 +474,7 @@
         now = time.monotonic()
         self._store.record_era(updates.era, peer=updates.reader, now=now)
         former_offset = self.servers.offset
-        self._apply_consecutive(updates, yields=False, now=now)
+        self._apply_consecutive(updates, reader_continues=False, now=now)
         if self.servers.offset > former_offset:
             self._reading.caught_up()
 
@@ -531,7 +531,7 @@
 
         Precedence ends some seconds after the list is read again.
         """
-        self._reported.add(records, seen_by_id=self._directory.by_id)
+        self._reported.add(records, known_by_id=self._directory.by_id)
         return self._apply_records(records, now=now)
 
     def _apply_listed(
@@ -566,7 +566,7 @@
         return [
             record
             for record in records
-            if record.key in changed or self._reported.holds(record.key)
+            if record.key in changed or self._reported.overrides(record.key)
         ]
 
     def _merge_report(self, record: KeyedRecord, *, now: float) -> KeyedRecord:
@@ -626,7 +626,7 @@
             # Most servers renew their records unchanged, hundreds a second in a large
             # fleet, and decoding a record takes ten times as long as comparing it.
             self._unreadable.discard(server_id)
-            return self._removals.discard(server_id)
+            return self._removals.cancel(server_id)
         read = self._documents.server(
             server_id, data, peer=self._settings.store_address
         )
@@ -634,7 +634,7 @@
             self._removals.add_unreadable(server_id, now=now)
             return self._log_unreadable(server_id, read.error.message)
         self._unreadable.discard(server_id)
-        cancels_removal = self._removals.discard(server_id)
+        cancels_removal = self._removals.cancel(server_id)
         self._data_by_server[server_id] = data
         return self._directory.put(read.ok, now=now) or cancels_removal
 
@@ -674,7 +674,7 @@
         self._newer_than_copy.discard(server_id)
         self._data_by_server.pop(server_id, None)
         last_renewal_at = now - LAPSED_RENEWALS * self._settings.heartbeat_interval
-        if self._directory.remove(server_id, heard_at=last_renewal_at):
+        if self._directory.remove(server_id, last_renewed_at=last_renewal_at):
             log_event("server_gone", server=server_id)
             self.fire(directory_changed(), "relay")
 
--- a/ryelever/group_planning.py
+++ b/ryelever/group_planning.py
@@ -126,7 +126,7 @@
     @handler("store_returned")
     def _on_store_returned(self) -> None:
         for follower in self._followers_by_zone.values():
-            follower.list_again()
+            follower.restart_listing()
 
     @handler("control_tick")
     def _on_tick(self) -> None:
@@ -135,8 +135,8 @@
             self._update_planner(zone)
         still = self._get_stalled_heads() if self.planners_by_zone else set()
         for zone, planner in self.planners_by_zone.items():
-            planner.manager.suspect(still)
-            orders, append = planner.look(now=now)
+            planner.manager.set_stalled_heads(still)
+            orders, append = planner.run_planning_pass(now=now)
             for order in orders:
                 self._orders.add(zone, order)
             if append is not None:
@@ -182,13 +182,15 @@
         ]
         if updates.complete:
             groups = [group for _, group in read if group is not None]
-            planner.listed(groups, end=follower.offset, era=follower.era, now=now)
+            planner.apply_full_list(
+                groups, end=follower.offset, era=follower.era, now=now
+            )
             return
         for record, group in read:
             if group is None:
-                planner.dropped(record.key, end=record.offset + 1)
+                planner.apply_removal(record.key, end=record.offset + 1)
             else:
-                planner.recorded(group, end=record.offset + 1, now=now)
+                planner.apply_record(group, end=record.offset + 1, now=now)
 
     def _append(self, zone: str, append: AppendGroups) -> None:
         records = [
@@ -222,22 +224,24 @@
             return
         outcome = self._log.appended(store_answer.status, store_answer.body)
         if outcome.is_error():
-            planner.append_failed(end=None)
+            planner.fail_append(end=None)
             status = store_answer.status
             log_event("append_unanswered", zone=zone, at=append.at, status=status)
             return
         answer = outcome.ok
         if isinstance(answer, Appended):
             era = append.era if store_answer.era is None else store_answer.era
-            planner.appended(append, end=answer.end, era=era, now=time.monotonic())
+            planner.confirm_append(
+                append, end=answer.end, era=era, now=time.monotonic()
+            )
         else:
-            planner.append_failed(end=answer.end)
+            planner.fail_append(end=answer.end)
             log_event("append_refused", zone=zone, at=append.at, end=answer.end)
 
     # Orders
 
     def _send_due_orders(self) -> None:
-        for zone, order in self._orders.due(is_wanted=self._is_wanted):
+        for zone, order in self._orders.take_due(is_wanted=self._is_wanted):
             self._send_order(zone, order)
 
     def _is_wanted(self, zone: str, order: GroupOrder) -> bool:
@@ -284,7 +288,7 @@
 
     def _record_outcome(self, order_id: str, outcome: OrderOutcome) -> None:
         zone, order = self._orders_by_id.pop(order_id)
-        self._orders.ended()
+        self._orders.record_end()
         log_event(
             "order_answered",
             order=order.kind.value,
@@ -296,5 +300,5 @@
         )
         planner = self.planners_by_zone.get(zone)
         if planner is not None and order.group:
-            planner.manager.answered(order, outcome, now=time.monotonic())
+            planner.manager.record_outcome(order, outcome, now=time.monotonic())
         self._send_due_orders()
--- a/ryelever/host_exchange.py
+++ b/ryelever/host_exchange.py
@@ -125,9 +125,9 @@
             self._send_zone_heartbeat(heartbeat, now=now)
         self._balancer.peers_in_flight_by_id = self._heartbeats.in_flight(now=now)
         self._balancer.unreachable_zones = self._heartbeats.unreachable_zones(now=now)
-        self._balancer.hear(
+        self._balancer.set_heartbeat_interval(
             interval=HEARTBEAT_INTERVAL * usual_ticks,
-            n_near=len(self._heartbeats.near(now=now)),
+            n_near=len(self._heartbeats.of_own_zone(now=now)),
             n_hosts=self._heartbeats.n_hosts(now=now),
         )
         self._update_limit_shares(now=now)
@@ -137,10 +137,10 @@
         if self._balancer.limits.is_empty or now - self._started_at < DISCOVERY_TIME:
             # A host that has not yet received any heartbeats would claim a whole limit.
             return
-        self._balancer.limits.share_out(
+        self._balancer.limits.update_shares(
             host=self._settings.host,
             zone=self._settings.availability_zone,
-            heartbeats=self._heartbeats.living(now=now),
+            heartbeats=self._heartbeats.live_heartbeats(now=now),
             now=now,
         )
 
@@ -152,8 +152,8 @@
             boot=self._boot,
             sequence=self._sequence,
             interval=interval,
-            rate_limits=self._balancer.limits.told(now=now),
-            wanted_servers=self._balancer.limits.wanted(now=now),
+            rate_limits=self._balancer.limits.announced_limits(now=now),
+            wanted_servers=self._balancer.limits.requested_servers(now=now),
             in_flight_by_server={
                 server_id: record.in_flight
                 for server_id, record in self._balancer.records_by_id.items()
@@ -164,7 +164,7 @@
     def _send_zone_heartbeat(self, local: HostHeartbeat, *, now: float) -> None:
         """Send this zone's summary to the other zones if it is due or urgent."""
         summary = replace(
-            zone_summary(local, self._heartbeats.near(now=now)),
+            zone_summary(local, self._heartbeats.of_own_zone(now=now)),
             for_zone=True,
             interval=TICKS_PER_ZONE_HEARTBEAT * HEARTBEAT_INTERVAL,
         )
@@ -197,7 +197,7 @@
                 self._apply_updates(replace(message, provider=datagram.address))
             elif isinstance(message, RelayedDatagram):
                 log_event("word_unreadable", peer=datagram.address, why="relayed twice")
-            elif self._heartbeats.take(message, address=datagram.address, now=now):
+            elif self._heartbeats.record(message, address=datagram.address, now=now):
                 if message.for_zone and not message.passed_on:
                     # The other hosts of this zone get this heartbeat only from here.
                     self._broadcast_in_zone(
@@ -205,9 +205,11 @@
                     )
                 self._mark_stalled(message, now=now)
                 self._on_peer_heartbeat(message)
-                self._balancer.limits.heard(message.rate_limits, now=now)
+                self._balancer.limits.record_peer_limits(message.rate_limits, now=now)
                 if message.suspicions:
-                    self._crashes.heard(message.suspicions, host=message.host, now=now)
+                    self._crashes.record_suspicions(
+                        message.suspicions, host=message.host, now=now
+                    )
         self._balancer.peers_in_flight_by_id = self._heartbeats.in_flight(now=now)
         self._update_limit_shares(now=now)
 
@@ -266,10 +268,13 @@
         zone.
         """
         living = {
-            heartbeat.host for heartbeat in self._heartbeats.near(now=time.monotonic())
+            heartbeat.host
+            for heartbeat in self._heartbeats.of_own_zone(now=time.monotonic())
         }
         self._n_broadcasts += 1
-        relayers = fan_out(self._zone_peers(), living=living, turn=self._n_broadcasts)
+        relayers = fan_out(
+            self._zone_peers(), live_hosts=living, rotation=self._n_broadcasts
+        )
         self._send_datagrams(
             (
                 item.host,
@@ -304,7 +309,9 @@
                 self._balancer.mark_stalled(server_id, now=now)
 
     def _log_reachability_changes(self, *, now: float) -> None:
-        reachable = {heartbeat.host for heartbeat in self._heartbeats.near(now=now)}
+        reachable = {
+            heartbeat.host for heartbeat in self._heartbeats.of_own_zone(now=now)
+        }
         for host in reachable - self._reachable_peers:
             log_event("peer_heard", peer=host)
         for host in self._reachable_peers - reachable:
--- a/ryelever/host_fetch.py
+++ b/ryelever/host_fetch.py
@@ -120,8 +120,8 @@
         next call asks another host.
         """
         providers = self._addresses_knowing_servers(
-            self._heartbeats.near(now=now)
-        ) or self._addresses_knowing_servers(self._heartbeats.living(now=now))
+            self._heartbeats.of_own_zone(now=now)
+        ) or self._addresses_knowing_servers(self._heartbeats.live_heartbeats(now=now))
         if providers and not self._is_fetching_servers:
             self._is_fetching_servers = True
             self._send_request(SERVERS_PATH, self._pick_provider(providers))
@@ -136,7 +136,7 @@
             return
         providers = [
             address.address
-            for heartbeat in self._heartbeats.living(now=now)
+            for heartbeat in self._heartbeats.live_heartbeats(now=now)
             if heartbeat.configuration_version >= 0
             and (address := self._heartbeats.addresses_by_host.get(heartbeat.host))
             is not None
@@ -161,7 +161,7 @@
         pause = now - self._changes_requested_at
         if self._is_fetching_changes or pause < CHANGES_RETRY:
             return
-        others = self._addresses_knowing_servers(self._heartbeats.near(now=now))
+        others = self._addresses_knowing_servers(self._heartbeats.of_own_zone(now=now))
         self._n_changes_requests += 1
         if others and (not provider or self._n_changes_requests % 2 == 0):
             provider = self._pick_provider(others)
--- a/ryelever/platform/documents.py
+++ b/ryelever/platform/documents.py
@@ -244,7 +244,7 @@
             for account in accounts
             for key in account.api_keys
         },
-        asks_for_keys=found.tenants is not None,
+        requires_keys=found.tenants is not None,
         limits=ConnectionLimits(
             max_head=found.limits.max_header_bytes,
             max_body=found.limits.max_body_bytes,
--- a/ryelever/platform/messages.py
+++ b/ryelever/platform/messages.py
@@ -101,7 +101,7 @@
             headers=self._response_headers(headers),
         )
 
-    def refusal(
+    def answer_headers(
         self, request_id: str, *, retry_after: float | None
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers of an answer that the entry host composes itself."""
--- a/ryelever/platform/orders.py
+++ b/ryelever/platform/orders.py
@@ -7,7 +7,7 @@
 from ..coordination.groups import GroupOrder, OrderKind, OrderOutcome
 from ..logs import log_warning
 from ..protocol.json_codec import decode, encode
-from ..protocol.keyed_log import LogCall
+from ..protocol.keyed_log import HttpRequest
 from .documents import ReportedGroup
 from .wire_names import EXPECTED_SERVER
 
@@ -54,10 +54,10 @@
 class PlatformOrders:
     """``GroupInterface`` of the platform, which writes orders and reads answers."""
 
-    def order(self, order: GroupOrder) -> LogCall:
+    def order(self, order: GroupOrder) -> HttpRequest:
         """Return the call that sends an order to its backend server."""
         if order.kind is OrderKind.PROBE:
-            return LogCall(method="GET", path="/report")
+            return HttpRequest(method="GET", path="/report")
         body = _Body(op=_OPERATIONS[order.kind])
         if order.kind is not OrderKind.STAGE:
             body.group = order.group
@@ -67,8 +67,8 @@
         if order.kind is OrderKind.JOIN:
             body.members = list(order.members)
         if order.kind is OrderKind.CLOSE:
-            body.close_mode = "wait" if order.gently else "preempt"
-        return LogCall(method="POST", path="/order", body=encode(body))
+            body.close_mode = "wait" if order.waits_for_requests else "preempt"
+        return HttpRequest(method="POST", path="/order", body=encode(body))
 
     def order_headers(self, order: GroupOrder) -> tuple[tuple[str, str], ...]:
         """Return the headers that make any other incarnation refuse an order."""
--- a/ryelever/platform/store.py
+++ b/ryelever/platform/store.py
@@ -20,8 +20,8 @@
 from ..protocol.keyed_log import (
     Appended,
     AppendRefused,
+    HttpRequest,
     KeyedRecord,
-    LogCall,
     NewestPage,
     ReadPage,
 )
@@ -68,19 +68,21 @@
 
     address: str
 
-    def newest(self, topic: str, *, partition: int, after: str = "") -> LogCall:
+    def newest(self, topic: str, *, partition: int, after: str = "") -> HttpRequest:
         """Request the newest record of each key."""
         query = {"topic": topic, "part": partition}
         if after:
             query["after"] = after
-        return LogCall(method="GET", path=f"/log-newest?{urlencode(query)}")
+        return HttpRequest(method="GET", path=f"/log-newest?{urlencode(query)}")
 
-    def read(self, topic: str, *, partition: int, offset: int, wait_ms: int) -> LogCall:
+    def read(
+        self, topic: str, *, partition: int, offset: int, wait_ms: int
+    ) -> HttpRequest:
         """Request the records from an offset, or wait for the next record."""
         query = urlencode(
             {"topic": topic, "part": partition, "from": offset, "wait_ms": wait_ms}
         )
-        return LogCall(method="GET", path=f"/log-read?{query}")
+        return HttpRequest(method="GET", path=f"/log-read?{query}")
 
     def append(
         self,
@@ -89,13 +91,15 @@
         *,
         partition: int,
         at: int | None = None,
-    ) -> LogCall:
+    ) -> HttpRequest:
         """Append keyed records; with ``at``, only if the partition ends there."""
         query: dict[str, object] = {"topic": topic, "part": partition}
         if at is not None:
             query["at"] = at
         body = b"".join(_frame(key, value) for key, value in records)
-        return LogCall(method="POST", path=f"/log-append?{urlencode(query)}", body=body)
+        return HttpRequest(
+            method="POST", path=f"/log-append?{urlencode(query)}", body=body
+        )
 
     def era(self, headers: Mapping[str, str]) -> int | None:
         """Return the era in an answer's headers, or None without a valid one."""
--- a/ryelever/protocol/keyed_log.py
+++ b/ryelever/protocol/keyed_log.py
@@ -20,13 +20,13 @@
     "Appended",
     "KeyedLogInterface",
     "KeyedRecord",
-    "LogCall",
+    "HttpRequest",
     "NewestPage",
     "ReadPage",
 ]
 
 
-class LogCall(msgspec.Struct, kw_only=True, frozen=True):
+class HttpRequest(msgspec.Struct, kw_only=True, frozen=True):
     """Represent one HTTP request to the log."""
 
     method: str
@@ -98,10 +98,12 @@
 
     address: str
 
-    def newest(self, topic: str, *, partition: int, after: str = "") -> LogCall:
+    def newest(self, topic: str, *, partition: int, after: str = "") -> HttpRequest:
         """Request the newest record of each key that sorts after ``after``."""
 
-    def read(self, topic: str, *, partition: int, offset: int, wait_ms: int) -> LogCall:
+    def read(
+        self, topic: str, *, partition: int, offset: int, wait_ms: int
+    ) -> HttpRequest:
         """Request the records from an offset on.
 
         If there are none yet, the log waits up to ``wait_ms`` milliseconds.
@@ -114,7 +116,7 @@
         *,
         partition: int,
         at: int | None = None,
-    ) -> LogCall:
+    ) -> HttpRequest:
         """Append pairs of key and value; with ``at``, only if the partition ends there.
 
         Parameters
--- a/ryelever/protocol/relaying.py
+++ b/ryelever/protocol/relaying.py
@@ -35,5 +35,5 @@
     def answer_head(self, status: int, headers: Headers) -> AnswerHead:
         """Decode the status and headers of a backend server's answer."""
 
-    def refusal(self, request_id: str, *, retry_after: float | None) -> Headers:
+    def answer_headers(self, request_id: str, *, retry_after: float | None) -> Headers:
         """Return the headers of an answer that the entry host itself generates."""
--- a/ryelever/protocol/sse.py
+++ b/ryelever/protocol/sse.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["DONE", "EventCutter", "SseTooLongError", "SseSplitter", "sse_event"]
+__all__ = ["DONE", "RawEventSplitter", "SseTooLongError", "SseSplitter", "sse_event"]
 
 #: The event that ends an OpenAI stream.
 DONE = b"data: [DONE]\n\n"
@@ -41,7 +41,7 @@
         return [data for event in events if (data := _data_of(event))]
 
 
-class EventCutter:
+class RawEventSplitter:
     """Split a byte stream into complete, unchanged events with their ids.
 
     A relay must never forward a part of an event: after a failure, the stream may
--- a/ryelever/protocol/store_documents.py
+++ b/ryelever/protocol/store_documents.py
@@ -12,7 +12,7 @@
     from ..errors import RyeleverError
     from ..state.directory import BackendServer
     from ..state.routes import RouteTable
-    from .keyed_log import LogCall
+    from .keyed_log import HttpRequest
 
 __all__ = ["GroupInterface", "StoreDocuments"]
 
@@ -71,7 +71,7 @@
 class GroupInterface(Protocol):
     """Encode orders to the backend servers of a group and decode their answers."""
 
-    def order(self, order: GroupOrder) -> LogCall:
+    def order(self, order: GroupOrder) -> HttpRequest:
         """Return the HTTP request that sends an order."""
 
     def order_headers(self, order: GroupOrder) -> tuple[tuple[str, str], ...]:
--- a/ryelever/relay.py
+++ b/ryelever/relay.py
@@ -24,7 +24,7 @@
     outbound_send,
 )
 from .logs import log_event
-from .protocol.sse import EventCutter, SseTooLongError
+from .protocol.sse import RawEventSplitter, SseTooLongError
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -36,7 +36,7 @@
         RelayAttempt,
         RelayMeasures,
         RelayRefusal,
-        RepeatBudget,
+        RelayRetryBudget,
         StallWatch,
     )
     from .metrics import Metrics
@@ -77,7 +77,7 @@
         callers: RelayCallers,
         table: Callable[[], RouteTable | None],
         balancer: Balancer,
-        budget: RepeatBudget,
+        budget: RelayRetryBudget,
         stall_watch: StallWatch,
         crashes: CrashWatch,
         metrics: Metrics,
@@ -89,7 +89,7 @@
         self._table = table
         self._metrics = metrics
         self._received_by_number: dict[int, RelayedRequest] = {}
-        self._cutters_by_attempt: dict[str, EventCutter] = {}
+        self._cutters_by_attempt: dict[str, RawEventSplitter] = {}
         self.stall_watch = stall_watch
         self.balancer = balancer
         self.demand = DemandMeter()
@@ -157,7 +157,7 @@
         if not self.requests.is_streaming(message.id):
             self.requests.answer_body(message.id, message.data, now=now)
             return
-        cutter = self._cutters_by_attempt.setdefault(message.id, EventCutter())
+        cutter = self._cutters_by_attempt.setdefault(message.id, RawEventSplitter())
         try:
             events = cutter.feed(message.data)
         except SseTooLongError:
@@ -231,7 +231,7 @@
     def refuse(self, request_number: int, refusal: RelayRefusal) -> None:
         """Send the caller a refusal that this entry host creates."""
         self._received_by_number.pop(request_number, None)
-        headers = self._messages.refusal(
+        headers = self._messages.answer_headers(
             refusal.request_id, retry_after=refusal.retry_after
         )
         self._callers.answer(
--- a/ryelever/relay_application.py
+++ b/ryelever/relay_application.py
@@ -15,7 +15,7 @@
 from .coordination.relaying import (
     Balancer,
     CrashWatch,
-    RepeatBudget,
+    RelayRetryBudget,
     StallWatch,
 )
 from .events import (
@@ -178,7 +178,7 @@
             callers=self.callers,
             table=self._table,
             balancer=self.balancer,
-            budget=RepeatBudget(
+            budget=RelayRetryBudget(
                 ratio=settings.repeat_ratio,
                 slack=settings.repeat_slack,
                 window=settings.repeat_window,
@@ -306,7 +306,7 @@
     def _reshaping(self, zone: str) -> set[str]:
         """Return the zones other than the given one in which groups are disbanded."""
         local = set(self.planning.reshaped_zones())
-        return (local | self.heartbeats.reshaping(now=time.monotonic())) - {zone}
+        return (local | self.heartbeats.reshaped_zones(now=time.monotonic())) - {zone}
 
     def _demand(self) -> dict[str, float]:
         now = time.monotonic()
@@ -330,7 +330,7 @@
             knows_servers=self.fleet.servers.is_current,
             still=tuple(self.relay.stall_watch.still(now=now)),
             moving=self._progressing_heads(now=now),
-            suspicions=self.crashes.told(now=now),
+            suspicions=self.crashes.recent_suspicions(now=now),
             plans=tuple(self.planning.planners_by_zone),
             reshapes=self.planning.reshaped_zones(),
             demand_by_model=self.relay.demand.by_model(now=now),
@@ -339,10 +339,10 @@
     def _on_peer_heartbeat(self, heartbeat: HostHeartbeat) -> None:
         now = time.monotonic()
         self.store.record_era(heartbeat.store_era, peer=heartbeat.host, now=now)
-        self.evacuations.heard(
+        self.evacuations.record_peer_zones(
             heartbeat.evacuated_zones, as_of=heartbeat.operator_position
         )
-        self.fleet.note_version(heartbeat, now=now)
+        self.fleet.check_peer_version(heartbeat, now=now)
 
     # Readiness
 
--- a/ryelever/relay_metrics.py
+++ b/ryelever/relay_metrics.py
@@ -73,7 +73,7 @@
     metrics.gauge("configuration_version", lambda: float(fleet.version))
     metrics.gauge("configuration_age_seconds", fleet.configuration_age)
     metrics.gauge("peers_heard", lambda: float(exchange.n_reachable_peers))
-    metrics.labelled_gauge("time_under_way_seconds", balancer.times_under_way)
+    metrics.labelled_gauge("time_under_way_seconds", balancer.mean_durations)
     metrics.counter("groups", planning.n_groups_by_phase)
     metrics.counter("stranded_server_seconds", planning.stranded_seconds)
     metrics.counter("group_down_seconds", planning.down_seconds)
--- a/ryelever/state/directory.py
+++ b/ryelever/state/directory.py
@@ -143,12 +143,12 @@
         self.n_changes += 1
         return True
 
-    def remove(self, server_id: str, *, heard_at: float) -> bool:
+    def remove(self, server_id: str, *, last_renewed_at: float) -> bool:
         """Remove a backend server; return whether it was listed.
 
         Parameters
         ----------
-        heard_at : float
+        last_renewed_at : float
             Monotonic time at or before which the server last renewed its entry.
         """
         server = self.by_id.pop(server_id, None)
@@ -158,8 +158,8 @@
         del self.listed_since_by_id[server_id]
         self.cold_until_by_id.pop(server_id, None)
         self.served_by_id.pop(server_id, None)
-        known = self.last_seen_at_by_id.get(server_id, heard_at)
-        self.last_seen_at_by_id[server_id] = max(known, heard_at)
+        known = self.last_seen_at_by_id.get(server_id, last_renewed_at)
+        self.last_seen_at_by_id[server_id] = max(known, last_renewed_at)
         self.n_changes += 1
         return True
 
--- a/ryelever/state/observations.py
+++ b/ryelever/state/observations.py
@@ -64,7 +64,7 @@
     age: float
     started_at: int | None = None
 
-    def is_of(self, server: BackendServer) -> bool:
+    def may_describe(self, server: BackendServer) -> bool:
         """Return whether the row may be about this incarnation of the server.
 
         True also if the row or the server lacks a start time.
--- a/ryelever/state/routes.py
+++ b/ryelever/state/routes.py
@@ -192,7 +192,7 @@
     ----------
     routes_by_host : dict of str to list of Route
         Routes of each host, those with the longest path prefix first.
-    asks_for_keys : bool
+    requires_keys : bool
         True if the configuration declares client accounts; callers then need a key.
     """
 
@@ -200,7 +200,7 @@
     routes_by_host: dict[str, list[Route]]
     services_by_name: dict[str, RoutedService]
     account_by_key: dict[str, RouteAccount]
-    asks_for_keys: bool
+    requires_keys: bool
     limits: ConnectionLimits = msgspec.field(default_factory=ConnectionLimits)
 
     def engines(self) -> Iterator[tuple[str, EngineProfile]]:
--- a/ryelever/store_client.py
+++ b/ryelever/store_client.py
@@ -25,7 +25,7 @@
     from collections.abc import Callable, Mapping
 
     from .coordination.topic import TopicFollower, TopicUpdates
-    from .protocol.keyed_log import LogCall
+    from .protocol.keyed_log import HttpRequest
 
 __all__ = ["StoreAnswer", "StoreClient"]
 
@@ -139,7 +139,7 @@
             if followed.follower is follower:
                 self._send_due_call(followed, now=time.monotonic())
 
-    def call(self, call: LogCall, on_answer: Callable[[StoreAnswer], None]) -> None:
+    def call(self, call: HttpRequest, on_answer: Callable[[StoreAnswer], None]) -> None:
         """Send one call, and pass its answer to ``on_answer``.
 
         If the call fails, ``on_answer`` gets an answer of status 0.
@@ -188,7 +188,7 @@
         followed.call_id = call_id
         self._followed_by_call[call_id] = followed
 
-    def _send(self, call: LogCall, *, step: str, progress_timeout: float) -> str:
+    def _send(self, call: HttpRequest, *, step: str, progress_timeout: float) -> str:
         call_id = f"store-{next(self._ids)}"
         self.n_calls_by_step[step] += 1
         request = OutboundRequest(
@@ -272,7 +272,7 @@
         """
         for followed in self._followed:
             if followed is not silent:
-                followed.follower.poke(now=now)
+                followed.follower.read_announced(now=now)
 
     def _log_reachability(self) -> None:
         reachable = self.is_reachable
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -30,7 +30,7 @@
     "LimitedFleet",
     "LimitedServer",
     "SimulatedClock",
-    "most_within",
+    "max_within",
 ]
 
 MESSAGES = PlatformMessages()
@@ -48,7 +48,7 @@
 TICK = 0.05
 
 
-def most_within(times: list[float], *, window: float) -> int:
+def max_within(times: list[float], *, window: float) -> int:
     """Return the maximum number of sorted times that lie within one window."""
     first = 0
     n_max = 0
@@ -81,7 +81,7 @@
     arrivals: list[tuple[float, str]] = field(default_factory=list)
     limit_known_at_by_host: dict[str, float] = field(default_factory=dict)
 
-    def arrivals_of_told(self, *, after: float) -> list[float]:
+    def arrivals_from_informed_hosts(self, *, after: float) -> list[float]:
         """Return arrival times of requests from hosts that had known a limit for 0.5 s.
 
         Parameters
@@ -223,7 +223,7 @@
         """Schedule an action."""
         heapq.heappush(self._due, (when, next(self._order), action))
 
-    def come_back_cold(self, name: str, *, seconds: float) -> None:
+    def return_cold(self, name: str, *, seconds: float) -> None:
         """Return a lost server as cold; hosts read its record at different times.
 
         Parameters
@@ -245,7 +245,7 @@
     def lose(self, name: str) -> None:
         """Remove a server from the directories of all hosts."""
         for host in self.hosts.values():
-            host.directory.remove(name, heard_at=self.now)
+            host.directory.remove(name, last_renewed_at=self.now)
 
     def deliver(self, sender: _Host, datagram: Datagram) -> None:
         """Deliver a datagram to another host, unless it is lost."""
--- a/tests/relay_zone.py
+++ b/tests/relay_zone.py
@@ -113,7 +113,7 @@
         *,
         grace: float = 8,
         wait: bool = True,
-        door: str = "store",
+        store_endpoint: str = "store",
         ip: str = "127.0.0.1",
         peers_port: int = 0,
         metrics_port: int = 0,
@@ -122,7 +122,7 @@
 
         Parameters
         ----------
-        door : str
+        store_endpoint : str
             Address at which the host reaches the store: ``"store"`` or
             ``"side-door"``.
         ip : str
@@ -139,7 +139,7 @@
         path.write_text(
             SETTINGS.format(
                 name=name,
-                store=self.addresses[door],
+                store=self.addresses[store_endpoint],
                 grace=grace,
                 ip=ip,
                 peers_port=peers_port,
@@ -176,13 +176,13 @@
         body = {name.replace("_", "-"): value for name, value in switches.items()}
         httpx.post(url, json=body, timeout=5).raise_for_status()
 
-    def seen(self) -> dict[str, Any]:
+    def platform_state(self) -> dict[str, Any]:
         """Return the state that the simulated platform has recorded."""
         return httpx.get(f"http://{self.addresses['control']}/control").json()
 
     def servers(self) -> dict[str, Any]:
         """Return the recorded state of each backend server, by id."""
-        return self.seen()["servers"]
+        return self.platform_state()["servers"]
 
     def open_heads(self) -> list[str]:
         """Return the heads of the serving groups."""
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -169,7 +169,7 @@
         thread.start()
 
     def _start_again(self, host: str, harm: Harm) -> None:
-        self.zone.start_host(host, wait=False, door=f"proxy-{host}")
+        self.zone.start_host(host, wait=False, store_endpoint=f"proxy-{host}")
         self._ended(harm)
 
     def _cut_from_store(self, draws: random.Random, lasting: float) -> None:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -67,7 +67,7 @@
         proxies = {name: LoopbackProxy(target=store) for name in names}
         for name, proxy in proxies.items():
             zone.addresses[f"proxy-{name}"] = proxy.address
-            zone.start_host(name, door=f"proxy-{name}")
+            zone.start_host(name, store_endpoint=f"proxy-{name}")
         zone.head_of(2)
         zone.slow_engines(n_events=N_EVENTS, event_ms=EVENT_MS)
         callers = Callers(
@@ -85,7 +85,7 @@
             servers=zone.servers(),
             harms=faults.harms,
             key_changes=faults.key_changes,
-            group_faults=zone.seen()["group_faults"],
+            group_faults=zone.platform_state()["group_faults"],
             unserved_kinds=unserved,
         )
         for proxy in proxies.values():
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -11,8 +11,8 @@
 from benchmarks.group_days import DAYS, play
 from benchmarks.slopes import main
 from benchmarks.slopes_fit import Slope
-from ryelever.emulator import play_day
-from ryelever.emulator.day import DAY
+from ryelever.emulator import simulate_day
+from ryelever.emulator.day import DAY_DURATION
 
 ROLES = (
     "caller front",
@@ -58,9 +58,9 @@
 def test_a_quiet_day_finds_a_place_for_all_work(name: str) -> None:
     """Play a day without losses: what is short then is short for another reason."""
     deployment, losses = DAYS[name]
-    quiet = replace(losses, every=(100.0, 100.0), domain_at=float("inf"))
-    served = play_day(deployment=deployment, losses=quiet, seed=1).served_by_model
-    assert min(served.values()) > 1.0 - 1.0 / DAY
+    quiet = replace(losses, loss_interval=(100.0, 100.0), domain_lost_at=float("inf"))
+    served = simulate_day(deployment=deployment, losses=quiet, seed=1).served_by_model
+    assert min(served.values()) > 1.0 - 1.0 / DAY_DURATION
 
 
 def test_a_change_of_a_constant_is_named_when_it_is_wrong() -> None:
--- a/tests/test_coordination/test_fan_out.py
+++ b/tests/test_coordination/test_fan_out.py
@@ -12,22 +12,25 @@
 
 @given(
     n_hosts=st.integers(0, 200),
-    living=st.sets(st.sampled_from(HOSTS)),
-    turn=st.integers(0, 10_000),
+    live_hosts=st.sets(st.sampled_from(HOSTS)),
+    rotation=st.integers(0, 10_000),
 )
 def test_each_host_receives_a_datagram_once(
-    n_hosts: int, living: set[str], turn: int
+    n_hosts: int, live_hosts: set[str], rotation: int
 ) -> None:
     """Guard against hosts that receive a datagram not at all or several times."""
     hosts = HOSTS[:n_hosts]
-    relayers = fan_out(hosts, living=living, turn=turn)
+    relayers = fan_out(hosts, live_hosts=live_hosts, rotation=rotation)
     reached = [host for item in relayers for host in (item.host, *item.hosts)]
     assert sorted(reached) == hosts
     assert len(relayers) <= MAX_RECEIVERS
 
 
-@given(living=st.sets(st.sampled_from(HOSTS), min_size=1), turn=st.integers(0, 10_000))
-def test_only_live_hosts_forward_datagrams(living: set[str], turn: int) -> None:
+@given(
+    live_hosts=st.sets(st.sampled_from(HOSTS), min_size=1),
+    rotation=st.integers(0, 10_000),
+)
+def test_only_live_hosts_forward_datagrams(live_hosts: set[str], rotation: int) -> None:
     """Guard against a lost host that is to forward datagrams to other hosts."""
-    for relayer in fan_out(HOSTS, living=living, turn=turn):
-        assert not relayer.hosts or relayer.host in living
+    for relayer in fan_out(HOSTS, live_hosts=live_hosts, rotation=rotation):
+        assert not relayer.hosts or relayer.host in live_hosts
--- a/tests/test_coordination/test_groups/group_fakes.py
+++ b/tests/test_coordination/test_groups/group_fakes.py
@@ -126,7 +126,7 @@
     def lose(self, *server_ids: str, last_seen_at: float) -> None:
         """Remove servers from the list."""
         for server_id in server_ids:
-            self.directory.remove(server_id, heard_at=last_seen_at)
+            self.directory.remove(server_id, last_renewed_at=last_seen_at)
 
     def serve(self, group: GroupRecord, *, now: float = 0.0) -> None:
         """Put a group, list its members as ready and its head as open."""
@@ -141,4 +141,4 @@
     ) -> None:
         """Answer all orders with the same outcome."""
         for order in orders:
-            self.manager.answered(order, outcome, now=now)
+            self.manager.record_outcome(order, outcome, now=now)
--- a/tests/test_coordination/test_groups/test_group_manager.py
+++ b/tests/test_coordination/test_groups/test_group_manager.py
@@ -208,9 +208,9 @@
     members.lose("a", last_seen_at=10.0)
     orders = members.orders(13.0)
     # The head is cut off from the store only, and refuses with an unknown status.
-    members.manager.answered(orders[0], OrderOutcome.UNKNOWN, now=13.1)
+    members.manager.record_outcome(orders[0], OrderOutcome.UNKNOWN, now=13.1)
     probe = members.manager.managed_by_name[GROUP.name].order(PROBE, "a")
-    members.manager.answered(probe, OrderOutcome.APPLIED, now=16.0)
+    members.manager.record_outcome(probe, OrderOutcome.APPLIED, now=16.0)
     members.due(18.0)
     assert members.manager.occupied_ids() == {"a", "b", "c"}
 
@@ -298,7 +298,7 @@
     group.
     """
     members.serve(GROUP)
-    members.manager.suspect({"a"})
+    members.manager.set_stalled_heads({"a"})
     probes = members.orders(1.0)
     members.answer(probes[:2], OrderOutcome.APPLIED, now=1.0)
     members.answer(probes[2:], OrderOutcome.NOT_A_MEMBER, now=1.0)
@@ -350,7 +350,9 @@
     members.serve(GROUP)
     members.drain("c")
     orders = members.orders(1.0)
-    assert [(order.kind, order.gently) for order in orders] == [(CLOSE, True)]
+    assert [(order.kind, order.waits_for_requests) for order in orders] == [
+        (CLOSE, True)
+    ]
     members.report(GROUP, GroupState.CLOSING, "a")
     assert members.due(1.5) == []
     assert members.due(1.1 + CLOSE_GRACE) == [(LEAVE, "a")]
@@ -373,7 +375,7 @@
     3.6 s later.  Probes reveal the loss sooner.
     """
     members.serve(GROUP)
-    members.manager.suspect({"a"})
+    members.manager.set_stalled_heads({"a"})
     for now in (1.0, 1.5):
         probes = members.orders(now)
         assert {(order.kind, order.server_id) for order in probes} == {
@@ -384,7 +386,7 @@
         for probe in probes:
             lost = probe.server_id == "c"
             outcome = OrderOutcome.UNKNOWN if lost else OrderOutcome.APPLIED
-            members.manager.answered(probe, outcome, now=now + 0.4)
+            members.manager.record_outcome(probe, outcome, now=now + 0.4)
     assert members.due(2.0) == [(LEAVE, "a")]
     assert members.manager.is_presumed_lost("c", now=2.0)
     assert not members.manager.is_presumed_lost("b", now=2.0)
@@ -425,11 +427,11 @@
 
 def test_suspected_group_whose_members_answer_serves_on(members: Members) -> None:
     members.serve(GROUP)
-    members.manager.suspect({"a"})
+    members.manager.set_stalled_heads({"a"})
     for now in (1.0, 1.5, 2.0):
         members.answer(members.orders(now), OrderOutcome.APPLIED, now=now)
     assert members.manager.phase_of(GROUP.name) is GroupPhase.SERVING
-    members.manager.suspect(set())
+    members.manager.set_stalled_heads(set())
     assert members.due(3.0) == []
 
 
@@ -594,7 +596,7 @@
 
 def test_server_that_returned_is_not_presumed_lost(members: Members) -> None:
     members.serve(GROUP)
-    members.manager.suspect({"a"})
+    members.manager.set_stalled_heads({"a"})
     for now in (1.0, 1.5):
         probes = [order for order in members.orders(now) if order.server_id == "c"]
         members.answer(probes, OrderOutcome.UNKNOWN, now=now)
@@ -607,7 +609,7 @@
 def test_probe_names_the_incarnation_that_joined(members: Members) -> None:
     members.restart("b", started_at=7)
     members.serve(GROUP)
-    members.manager.suspect({"a"})
+    members.manager.set_stalled_heads({"a"})
     starts = {order.server_id: order.started_at for order in members.orders(1.0)}
     assert starts == {"a": 1, "b": 7, "c": 1}
 
--- a/tests/test_coordination/test_groups/test_order_queue.py
+++ b/tests/test_coordination/test_groups/test_order_queue.py
@@ -36,7 +36,7 @@
     n_in_flight = 0
 
     def send() -> int:
-        due = queue.due(is_wanted=lambda zone, order: True)
+        due = queue.take_due(is_wanted=lambda zone, order: True)
         sent.update((order.kind, int(order.server_id[1:])) for _, order in due)
         return len(due)
 
@@ -47,11 +47,11 @@
         n_in_flight += send()
         assert n_in_flight <= MAX_IN_FLIGHT
         for _ in range(min(n_ended, n_in_flight)):
-            queue.ended()
+            queue.record_end()
             n_in_flight -= 1
     while queue.n_waiting:
         for _ in range(n_in_flight):
-            queue.ended()
+            queue.record_end()
         n_in_flight = send()
     assert sent == queued
 
@@ -63,7 +63,9 @@
         queue.add("z", _order(OrderKind.PROBE, number))
     queue.add("z", _order(OrderKind.JOIN, 1))
     queue.add("z", _order(OrderKind.LEAVE, 2))
-    kinds = [order.kind for _, order in queue.due(is_wanted=lambda zone, order: True)]
+    kinds = [
+        order.kind for _, order in queue.take_due(is_wanted=lambda zone, order: True)
+    ]
     assert kinds[:3] == [OrderKind.LEAVE, OrderKind.JOIN, OrderKind.PROBE]
 
 
@@ -71,5 +73,5 @@
     """Guard against a server that joins a group that ended while its order waited."""
     queue = OrderQueue()
     queue.add("z", _order(OrderKind.JOIN, 1))
-    assert queue.due(is_wanted=lambda zone, order: False) == []
+    assert queue.take_due(is_wanted=lambda zone, order: False) == []
     assert queue.n_waiting == 0
--- a/tests/test_coordination/test_groups/test_orders_explored.py
+++ b/tests/test_coordination/test_groups/test_orders_explored.py
@@ -81,7 +81,7 @@
         while self.now < RUN_LENGTH:
             self.now = round(self.now + STEP, 3)
             self._advance()
-            self.manager.suspect({"a"} if self.now > CUT_AT + 0.6 else set())
+            self.manager.set_stalled_heads({"a"} if self.now > CUT_AT + 0.6 else set())
             free = not {"b", "c"} & self.manager.occupied_ids()
             ended = self.manager.phase_of(FORMER.name) is not GroupPhase.FORMING
             if self.now > CUT_AT and free and ended:
@@ -98,7 +98,7 @@
 
     def _advance(self) -> None:
         for item in self.servers.values():
-            item.advance(seconds=STEP, load_pace=1.0, now=self.now)
+            item.advance(seconds=STEP, load_speed=1.0, now=self.now)
         self._stall()
         due = [order for at, order in self._late_orders if at <= self.now]
         self._late_orders = [item for item in self._late_orders if item[0] > self.now]
@@ -108,7 +108,7 @@
             if not self._is_cut(name):
                 self.directory.put(item.entry, now=self.now)
         if self._is_cut("a") and self.now >= CUT_AT + ENTRY_LIFETIME:
-            self.directory.remove("a", heard_at=CUT_AT)
+            self.directory.remove("a", last_renewed_at=CUT_AT)
 
     def _stall(self) -> None:
         """Mark the head as broken once its group has stalled for the stall time."""
@@ -116,11 +116,11 @@
         if not head.is_open_head:
             return
         is_complete = all(self._is_in_former(name) for name in "bc")
-        head.whole_until = (
-            float("inf") if is_complete else min(head.whole_until, self.now)
+        head.stalled_since = (
+            float("inf") if is_complete else min(head.stalled_since, self.now)
         )
-        if self.now - head.whole_until >= STALL_TIME:
-            head.break_off()
+        if self.now - head.stalled_since >= STALL_TIME:
+            head.report_broken()
 
     def _is_in_former(self, name: str) -> bool:
         report = self.servers[name].entry.group
@@ -134,12 +134,12 @@
             delay = self._delays.get(self.n_orders)
             self.n_orders += 1
         if self._is_cut(order.server_id):
-            self.manager.answered(order, OrderOutcome.UNKNOWN, now=self.now)
+            self.manager.record_outcome(order, OrderOutcome.UNKNOWN, now=self.now)
             return
         if delay is None:
-            self.manager.answered(order, self._carry_out(order), now=self.now)
+            self.manager.record_outcome(order, self._carry_out(order), now=self.now)
             return
-        self.manager.answered(order, OrderOutcome.UNKNOWN, now=self.now)
+        self.manager.record_outcome(order, OrderOutcome.UNKNOWN, now=self.now)
         self._late_orders.append((self.now + delay, order))
 
     def _carry_out(self, order: GroupOrder) -> OrderOutcome:
@@ -147,7 +147,7 @@
             return OrderOutcome.UNKNOWN
         item = self.servers[order.server_id]
         report = item.entry.group
-        outcome = item.obey(order, engine=ENGINE, now=self.now)
+        outcome = item.execute(order, engine=ENGINE, now=self.now)
         if order.kind is OrderKind.JOIN and outcome is OrderOutcome.IN_PROGRESS:
             if order.epoch == LATER.epoch:
                 self.joined_at = self.joined_at or self.now
--- a/tests/test_coordination/test_groups/test_returns_explored.py
+++ b/tests/test_coordination/test_groups/test_returns_explored.py
@@ -100,7 +100,7 @@
             self._log.era = era
             self._read_at = self.now + READ_AFTER
         elif event == "lose":
-            self.lose(self.random.choice(self.living), back_after=1.0)
+            self.lose(self.random.choice(self.living), restart_after=1.0)
         elif event == "replace-planner":
             self.planners_by_zone[ZONE] = self._new_planner(ZONE)
             self._read_at = self.now + READ_AFTER
@@ -133,21 +133,21 @@
     def _send_full_list(self, planner: ZonePlanner) -> None:
         era = self._log.era if self._knows_eras else 0
         records = list(self._log.record_by_name.values())
-        planner.listed(records, end=self._log.end, era=era, now=self.now)
+        planner.apply_full_list(records, end=self._log.end, era=era, now=self.now)
 
     def _append(self, zone: str, append: AppendGroups) -> None:
         planner = self.planners_by_zone[zone]
         if self._delays_next_append:
             self._delays_next_append = False
             self._late_appends.append((self.now + APPEND_DELAY, append))
-            planner.append_failed(end=None)
+            planner.fail_append(end=None)
             return
         end = self._carry_out_append(append)
         if end is None:
-            planner.append_failed(end=self._log.end)
+            planner.fail_append(end=self._log.end)
             return
         era = self._log.era if self._knows_eras else append.era
-        planner.appended(append, end=end, era=era, now=self.now)
+        planner.confirm_append(append, end=end, era=era, now=self.now)
 
     def _carry_out_append(self, append: AppendGroups) -> int | None:
         """Append if the log ends at the expected offset; return its new end or None."""
@@ -163,10 +163,10 @@
         self._read_at = min(self._read_at, self.now + READ_AFTER)
         return self._log.end
 
-    def _carry_out(self, zone: str, order: GroupOrder) -> None:
+    def _execute_order(self, zone: str, order: GroupOrder) -> None:
         if order.kind is OrderKind.JOIN:
             self._check_join(order)
-        super()._carry_out(zone, order)
+        super()._execute_order(zone, order)
 
     def _check_join(self, order: GroupOrder) -> None:
         """Record a fault if groups share an epoch or the former group may serve."""
--- a/tests/test_coordination/test_groups/test_zone_planner.py
+++ b/tests/test_coordination/test_groups/test_zone_planner.py
@@ -49,7 +49,7 @@
             routes_by_host={},
             services_by_name={item.name: item for item in services},
             account_by_key={},
-            asks_for_keys=False,
+            requires_keys=False,
         )
         self.planner = ZonePlanner(
             zone="z",
@@ -73,12 +73,12 @@
 
     def appends(self, now: float) -> AppendGroups | None:
         """Return the append that is due."""
-        return self.planner.look(now=now)[1]
+        return self.planner.run_planning_pass(now=now)[1]
 
     def settled(self) -> AppendGroups:
         """Wait until the server list has settled and return the first append."""
-        self.planner.listed([], end=7, now=0.0)
-        self.planner.look(now=START_DELAY)
+        self.planner.apply_full_list([], end=7, now=0.0)
+        self.planner.run_planning_pass(now=START_DELAY)
         append = self.appends(START_DELAY + FLEET_SETTLED_AFTER + 0.1)
         assert append is not None
         return append
@@ -96,14 +96,14 @@
     records of the groups that exist.
     """
     assert zone.appends(5.0) is None
-    zone.planner.listed([], end=0, now=5.0)
-    zone.planner.look(now=5.0)
+    zone.planner.apply_full_list([], end=0, now=5.0)
+    zone.planner.run_planning_pass(now=5.0)
     assert zone.appends(5.0 + FLEET_SETTLED_AFTER + 0.1) is not None
 
 
 def test_forming_waits_until_servers_are_listed(zone: Zone) -> None:
-    zone.planner.listed([], end=0, now=0.0)
-    zone.planner.look(now=START_DELAY)
+    zone.planner.apply_full_list([], end=0, now=0.0)
+    zone.planner.run_planning_pass(now=START_DELAY)
     zone.directory.put(server("late"), now=0.0)
     assert zone.appends(START_DELAY + 0.5) is None
     assert zone.appends(START_DELAY + 0.9 + FLEET_SETTLED_AFTER) is not None
@@ -116,7 +116,7 @@
     both services in turn, and never settle.
     """
     zone = Zone(services=("engines", "others"))
-    zone.planner.listed([], end=0, now=0.0)
+    zone.planner.apply_full_list([], end=0, now=0.0)
     now = START_DELAY
     append = None
     while append is None and now < MAX_SETTLING_TIME:
@@ -136,10 +136,10 @@
 
 def test_orders_are_sent_only_after_the_records_are_appended(zone: Zone) -> None:
     append = zone.settled()
-    orders, _ = zone.planner.look(now=4.0)
+    orders, _ = zone.planner.run_planning_pass(now=4.0)
     assert orders == []
-    zone.planner.appended(append, end=7 + len(append.formed), now=4.0)
-    orders, _ = zone.planner.look(now=4.1)
+    zone.planner.confirm_append(append, end=7 + len(append.formed), now=4.0)
+    orders, _ = zone.planner.run_planning_pass(now=4.1)
     assert {order.kind for order in orders} <= {OrderKind.JOIN, OrderKind.STAGE}
     joined = [order for order in orders if order.kind is OrderKind.JOIN]
     assert len(joined) == sum(len(group.members) for group in append.formed)
@@ -155,16 +155,16 @@
     """
     append = zone.settled()
     append_sent_at = START_DELAY + FLEET_SETTLED_AFTER + 0.1
-    zone.planner.append_failed(end=None)
+    zone.planner.fail_append(end=None)
     assert zone.appends(append_sent_at + APPEND_TIMEOUT - 0.1) is None
     assert zone.appends(append_sent_at + APPEND_TIMEOUT + 0.1) == append
 
 
 def test_records_of_another_planner_come_first(zone: Zone) -> None:
     append = zone.settled()
-    zone.planner.append_failed(end=9)
+    zone.planner.fail_append(end=9)
     other_record = replace(append.formed[0], epoch=8)
-    zone.planner.recorded(other_record, end=8, now=3.0)
+    zone.planner.apply_record(other_record, end=8, now=3.0)
     assert zone.appends(3.1) is None
     next_append = zone.appends(3.2 + FLEET_SETTLED_AFTER)
     assert next_append is not None
@@ -175,13 +175,13 @@
 
 def test_records_of_ended_groups_are_dropped_with_the_next_append(zone: Zone) -> None:
     append = zone.settled()
-    zone.planner.appended(append, end=7 + len(append.formed), now=4.0)
+    zone.planner.confirm_append(append, end=7 + len(append.formed), now=4.0)
     gone = append.formed[0]
     zone.planner.manager.end(gone.name, "test", now=4.0)
     # No member reports this group, so no part of it can serve.
-    zone.planner.look(now=4.1)
+    zone.planner.run_planning_pass(now=4.1)
     assert zone.planner.manager.phase_of(gone.name) is GroupPhase.RETIRED
-    zone.planner.look(now=4.2)
+    zone.planner.run_planning_pass(now=4.2)
     next_append = zone.appends(4.3 + FLEET_SETTLED_AFTER)
     assert next_append is not None
     assert next_append.dropped == (gone.name,)
@@ -190,10 +190,10 @@
 def _serve_first_group(zone: Zone) -> GroupRecord:
     """Confirm the first append and list the first of its groups as serving."""
     append = zone.settled()
-    zone.planner.appended(append, end=7 + len(append.formed), now=4.0)
+    zone.planner.confirm_append(append, end=7 + len(append.formed), now=4.0)
     group = append.formed[0]
     _report(zone, group, *group.member_ids)
-    zone.planner.look(now=4.1)
+    zone.planner.run_planning_pass(now=4.1)
     return group
 
 
@@ -215,7 +215,7 @@
     the members of the group would appear to be free.
     """
     group = _serve_first_group(zone)
-    zone.planner.dropped(group.name, end=20)
+    zone.planner.apply_removal(group.name, end=20)
     assert set(group.member_ids) <= zone.planner.manager.occupied_ids()
     next_append = zone.appends(4.3)
     assert next_append is not None
@@ -228,14 +228,14 @@
     successor = Zone()
     for server_id in group.member_ids:
         successor.directory.put(zone.directory.by_id[server_id], now=0.0)
-    successor.planner.listed([], end=7, now=0.0)
+    successor.planner.apply_full_list([], end=7, now=0.0)
     for now in (START_DELAY, START_DELAY + 0.5, START_DELAY + 1.4):
         append = successor.appends(now)
         # Until the group is adopted, its members are not free.
         formed = append.formed if append else ()
         occupied_ids = {item for other in formed for item in other.member_ids}
         assert not occupied_ids & set(group.member_ids)
-    successor.planner.look(now=START_DELAY + ADOPT_AFTER + 0.1)
+    successor.planner.run_planning_pass(now=START_DELAY + ADOPT_AFTER + 0.1)
     manager = successor.planner.manager
     assert set(group.member_ids) <= manager.occupied_ids()
     assert manager.phase_of(group.name) is not GroupPhase.ENDING
@@ -246,10 +246,10 @@
     successor = Zone()
     for server_id in group.member_ids[:-1]:
         successor.directory.put(zone.directory.by_id[server_id], now=0.0)
-    successor.planner.listed([], end=7, now=0.0)
-    successor.planner.look(now=START_DELAY)
-    successor.planner.look(now=START_DELAY + ADOPT_AFTER + 0.1)
-    orders, _ = successor.planner.look(now=START_DELAY + ADOPT_AFTER + 0.2)
+    successor.planner.apply_full_list([], end=7, now=0.0)
+    successor.planner.run_planning_pass(now=START_DELAY)
+    successor.planner.run_planning_pass(now=START_DELAY + ADOPT_AFTER + 0.1)
+    orders, _ = successor.planner.run_planning_pass(now=START_DELAY + ADOPT_AFTER + 0.2)
     head_id = group.head.server_id
     leave_targets = [
         order.server_id for order in orders if order.kind is OrderKind.LEAVE
@@ -263,8 +263,8 @@
     successor = Zone(n_servers=0)
     for server_id in group.member_ids[1:]:
         successor.directory.put(zone.directory.by_id[server_id], now=0.0)
-    successor.planner.listed([], end=7, now=0.0)
-    successor.planner.look(now=START_DELAY)
+    successor.planner.apply_full_list([], end=7, now=0.0)
+    successor.planner.run_planning_pass(now=START_DELAY)
     assert successor.free(START_DELAY + 1.0) == []
     later = START_DELAY + STALL_TIME + STALL_SLACK + 0.1
     assert len(successor.free(later)) == len(group.members) - 1
@@ -280,12 +280,14 @@
     """
     group = _serve_first_group(zone)
     head = zone.directory.by_id[group.head.server_id]
-    zone.directory.remove(head.id, heard_at=4.2)
+    zone.directory.remove(head.id, last_renewed_at=4.2)
     later = 4.2 + STALL_TIME + STALL_SLACK + 0.2
     for now in (4.3, later, later + 0.1):
-        for order in zone.planner.look(now=now)[0]:
+        for order in zone.planner.run_planning_pass(now=now)[0]:
             if order.server_id != head.id:
-                zone.planner.manager.answered(order, OrderOutcome.APPLIED, now=now)
+                zone.planner.manager.record_outcome(
+                    order, OrderOutcome.APPLIED, now=now
+                )
     assert zone.planner.manager.phase_of(group.name) is GroupPhase.RETIRED
     return group, head
 
@@ -300,16 +302,16 @@
     """
     group, head = _retire_with_silent_head(zone)
     zone.directory.put(replace(head, started_at=2), now=12.0)
-    zone.planner.look(now=12.0)
+    zone.planner.run_planning_pass(now=12.0)
     assert head.id not in {server.id for server in zone.free(12.0)}
-    orders, _ = zone.planner.look(now=12.1 + ADOPT_AFTER)
-    orders += zone.planner.look(now=12.2 + ADOPT_AFTER)[0]
+    orders, _ = zone.planner.run_planning_pass(now=12.1 + ADOPT_AFTER)
+    orders += zone.planner.run_planning_pass(now=12.2 + ADOPT_AFTER)[0]
     leave_targets = [
         order.server_id for order in orders if order.kind is OrderKind.LEAVE
     ]
     assert leave_targets == [head.id]
     zone.directory.put(replace(head, started_at=2, group=None), now=15.0)
-    zone.planner.look(now=15.0)
+    zone.planner.run_planning_pass(now=15.0)
     assert head.id in {server.id for server in zone.free(15.0)}
 
 
@@ -328,7 +330,7 @@
         if append is not None:
             restored += append.restored
             n_records = len(append.formed) + len(append.restored) + len(append.dropped)
-            zone.planner.appended(append, end=append.at + n_records, now=now)
+            zone.planner.confirm_append(append, end=append.at + n_records, now=now)
     assert restored == []
 
 
@@ -343,9 +345,9 @@
         members=(Member(server_id=head.id, address=head.address),),
     )
     _report(zone, incomplete, head.id)
-    zone.planner.listed([incomplete], end=7, now=0.0)
+    zone.planner.apply_full_list([incomplete], end=7, now=0.0)
     for now in (START_DELAY, START_DELAY + 0.1):
-        orders, _ = zone.planner.look(now=now)
+        orders, _ = zone.planner.run_planning_pass(now=now)
         assert [order.kind for order in orders] in ([], [OrderKind.LEAVE])
     assert zone.planner.manager.phase_of(incomplete.name) is GroupPhase.ENDING
 
@@ -355,10 +357,10 @@
     zone.planner.manager.end(group.name, "test", now=4.2)
     [order] = [
         order
-        for order in zone.planner.look(now=4.3)[0]
+        for order in zone.planner.run_planning_pass(now=4.3)[0]
         if order.kind is OrderKind.LEAVE
     ]
-    zone.planner.manager.answered(order, OrderOutcome.APPLIED, now=4.3)
+    zone.planner.manager.record_outcome(order, OrderOutcome.APPLIED, now=4.3)
     return zone.directory.by_id[group.head.server_id]
 
 
@@ -380,27 +382,27 @@
     """
     head = _end_by_leaving(zone, _serve_first_group(zone))
     zone.directory.put(replace(head, group=None, models=frozenset()), now=4.5)
-    zone.planner.look(now=4.5)
+    zone.planner.run_planning_pass(now=4.5)
     returned = replace(head, group=replace(head.group, state=state))
     zone.directory.put(returned, now=5.0)
-    zone.planner.look(now=5.0)
+    zone.planner.run_planning_pass(now=5.0)
     assert head.id not in {server.id for server in zone.free(5.0)}
 
 
 def test_loads_are_rate_limited_once_requests_arrive() -> None:
     zone = Zone(n_servers=40)
     zone.demand = {"large": 0.1, "small": 0.1}
-    zone.planner.listed([], end=0, now=0.0)
+    zone.planner.apply_full_list([], end=0, now=0.0)
     n_loads = 0
     end = 0
     for tick in range(50):
         now = START_DELAY + tick * 0.1
-        orders, append = zone.planner.look(now=now)
+        orders, append = zone.planner.run_planning_pass(now=now)
         n_loads += sum(order.kind is OrderKind.STAGE for order in orders)
         if append is not None:
             n_loads += sum(record.warms_up for record in append.formed)
             end += len(append.formed)
-            zone.planner.appended(append, end=end, now=now)
+            zone.planner.confirm_append(append, end=end, now=now)
     assert 0 < n_loads <= ENGINE.loads_per_second * 5.0
 
 
@@ -415,17 +417,17 @@
     append = zone.settled()
     warm_ups = [record for record in append.formed if record.warms_up]
     assert [len(record.members) for record in warm_ups] == [1, 1]
-    zone.planner.appended(append, end=append.at + len(append.formed), now=3.0)
-    orders, _ = zone.planner.look(now=3.1)
+    zone.planner.confirm_append(append, end=append.at + len(append.formed), now=3.0)
+    orders, _ = zone.planner.run_planning_pass(now=3.1)
     joined = {order.server_id for order in orders if order.kind is OrderKind.JOIN}
     assert {record.head.server_id for record in warm_ups} < joined
     for record in warm_ups:
         _report_warm_up(zone, record)
-    orders, _ = zone.planner.look(now=3.2)
+    orders, _ = zone.planner.run_planning_pass(now=3.2)
     assert not any(order.kind is OrderKind.OPEN for order in orders)
     spares = {record.head.server_id: record.model for record in warm_ups}
     assert {server.id for server in zone.free(3.3)} == set(spares)
-    orders += zone.planner.look(now=3.3 + FLEET_SETTLED_AFTER)[0]
+    orders += zone.planner.run_planning_pass(now=3.3 + FLEET_SETTLED_AFTER)[0]
     staged = {
         order.server_id: order.model
         for order in orders
@@ -510,16 +512,16 @@
             now=0.0,
         )
     for index in range(5, 8):
-        zone.directory.remove(f"i{index}", heard_at=0.0)
+        zone.directory.remove(f"i{index}", last_renewed_at=0.0)
     zone.demand = {"large": 3.0, "small": 0.1}
-    zone.planner.listed([small], end=1, now=0.0)
+    zone.planner.apply_full_list([small], end=1, now=0.0)
     zone.list_is_stale = True
     for step in range(10, 40):
-        zone.planner.look(now=step * 0.1)
+        zone.planner.run_planning_pass(now=step * 0.1)
     assert zone.planner.manager.disbanding() == []
     zone.list_is_stale = False
     for step in range(40, 70):
-        zone.planner.look(now=step * 0.1)
+        zone.planner.run_planning_pass(now=step * 0.1)
     assert [record.name for record in zone.planner.manager.disbanding()] == ["z-1"]
 
 
@@ -532,10 +534,10 @@
     instantly.
     """
     append = zone.settled()
-    zone.planner.appended(append, end=7 + len(append.formed), now=4.0)
+    zone.planner.confirm_append(append, end=7 + len(append.formed), now=4.0)
     group = next(record for record in append.formed if record.model == "large")
     _report(zone, group, *group.member_ids)
-    zone.planner.look(now=4.1)
+    zone.planner.run_planning_pass(now=4.1)
     zone.demand = {"large": 2.0, "small": 0.1}
     for record in append.formed:
         if record.warms_up:
@@ -544,7 +546,7 @@
             spare = replace(spare, staged=frozenset({"large"}))
             zone.directory.put(spare, now=4.2)
     head, lost = group.head.server_id, group.member_ids[-1]
-    zone.directory.remove(lost, heard_at=4.2)
+    zone.directory.remove(lost, last_renewed_at=4.2)
     zone.planner.manager.end(group.name, "member_silent", now=4.3)
     departed = replace(zone.directory.by_id[head], models=frozenset(), group=None)
     zone.directory.put(departed, now=4.4)
@@ -571,18 +573,18 @@
         availability_zone="z",
         members=(Member(server_id="gone", address="gone:80"),),
     )
-    zone.planner.listed([earlier], end=12, now=0.0)
+    zone.planner.apply_full_list([earlier], end=12, now=0.0)
     n_loads = 0
     end = 12
     for tick in range(50):
         now = START_DELAY + tick * 0.1
-        orders, append = zone.planner.look(now=now)
+        orders, append = zone.planner.run_planning_pass(now=now)
         n_loads += sum(order.kind is OrderKind.STAGE for order in orders)
         if append is not None:
             assert all(record.warms_up for record in append.formed)
             n_loads += len(append.formed)
             end += len(append.formed)
-            zone.planner.appended(append, end=end, now=now)
+            zone.planner.confirm_append(append, end=end, now=now)
     assert 0 < n_loads <= ENGINE.loads_per_second * 5.0
 
 
@@ -591,7 +593,7 @@
 ) -> None:
     """Guard against planners that wait for an offset that a later era doesn't have."""
     group = _serve_first_group(zone)
-    zone.planner.listed([], end=5, era=1, now=5.0)
+    zone.planner.apply_full_list([], end=5, era=1, now=5.0)
     next_append = zone.appends(5.1)
     assert next_append is not None
     assert (next_append.at, next_append.era) == (5, 1)
@@ -601,7 +603,7 @@
 def test_no_epoch_is_reused_after_the_store_returns(zone: Zone) -> None:
     """Guard against two groups under one epoch and name."""
     append = zone.settled()
-    zone.planner.listed([], end=7, era=1, now=3.0)
+    zone.planner.apply_full_list([], end=7, era=1, now=3.0)
     next_append = zone.appends(3.1)
     assert next_append is not None
     assert next_append.at == append.at
@@ -618,11 +620,11 @@
         entry = zone.directory.by_id[server_id]
         zone.directory.put(replace(entry, group=None), now=4.2)
     zone.planner.manager.end(group.name, "test", now=4.2)
-    zone.planner.look(now=4.3)
+    zone.planner.run_planning_pass(now=4.3)
     assert zone.planner.manager.phase_of(group.name) is GroupPhase.RETIRED
     zone.planner.manager.forget(group.name)
-    zone.planner.listed([group], end=5, era=1, now=5.0)
-    orders, next_append = zone.planner.look(now=5.1)
+    zone.planner.apply_full_list([group], end=5, era=1, now=5.0)
+    orders, next_append = zone.planner.run_planning_pass(now=5.1)
     assert not [order for order in orders if order.group == group.name]
     assert next_append is not None
     assert next_append.dropped == (group.name,)
@@ -631,9 +633,11 @@
 def test_append_executed_in_a_later_era_is_ignored(zone: Zone) -> None:
     """Guard against an append whose expected offset matches only by coincidence."""
     append = zone.settled()
-    zone.planner.appended(append, end=7 + len(append.formed), era=1, now=3.0)
-    zone.planner.listed(list(append.formed), end=7 + len(append.formed), era=1, now=3.1)
-    orders, next_append = zone.planner.look(now=3.2 + FLEET_SETTLED_AFTER)
+    zone.planner.confirm_append(append, end=7 + len(append.formed), era=1, now=3.0)
+    zone.planner.apply_full_list(
+        list(append.formed), end=7 + len(append.formed), era=1, now=3.1
+    )
+    orders, next_append = zone.planner.run_planning_pass(now=3.2 + FLEET_SETTLED_AFTER)
     assert not [order for order in orders if order.kind is OrderKind.JOIN]
     assert next_append is not None
     assert set(next_append.dropped) == {group.name for group in append.formed}
@@ -644,9 +648,9 @@
     """Guard against groups formed from servers that must get no new work."""
     zone = Zone()
     zone.planner._is_evacuated = lambda name: name == "z"
-    zone.planner.listed([], end=7, now=0.0)
-    zone.planner.look(now=START_DELAY)
+    zone.planner.apply_full_list([], end=7, now=0.0)
+    zone.planner.run_planning_pass(now=START_DELAY)
     settled_at = START_DELAY + FLEET_SETTLED_AFTER + 0.1
-    assert zone.planner.look(now=settled_at) == ([], None)
+    assert zone.planner.run_planning_pass(now=settled_at) == ([], None)
     zone.planner._is_evacuated = lambda name: False
     assert zone.appends(settled_at + 0.1) is not None
--- a/tests/test_coordination/test_host_heartbeats.py
+++ b/tests/test_coordination/test_host_heartbeats.py
@@ -9,10 +9,10 @@
 
 from ryelever.coordination.evacuations import OperatorPosition
 from ryelever.coordination.host_heartbeats import (
-    FREQUENT_HOSTS,
     HOST_TIMEOUT,
+    MAX_HOSTS_AT_FULL_RATE,
     ORPHANED_ZONE_DELAY,
-    READERS,
+    READERS_PER_ZONE,
     TIMEOUT_INTERVALS,
     ZONE_TIMEOUT,
     HostHeartbeat,
@@ -50,7 +50,7 @@
 
 
 def _take(heartbeats: HostHeartbeats, heartbeat: HostHeartbeat, *, now: float) -> bool:
-    return heartbeats.take(heartbeat, address="10.0.0.1:7000", now=now)
+    return heartbeats.record(heartbeat, address="10.0.0.1:7000", now=now)
 
 
 @pytest.fixture
@@ -231,9 +231,11 @@
         newest[host] = now + max(HOST_TIMEOUT, TIMEOUT_INTERVALS * interval)
         if step % 3:
             living = {host for host, timeout_at in newest.items() if timeout_at > now}
-            assert {heartbeat.host for heartbeat in heartbeats.near(now=now)} == living
             assert {
-                heartbeat.host for heartbeat in heartbeats.living(now=now)
+                heartbeat.host for heartbeat in heartbeats.of_own_zone(now=now)
+            } == living
+            assert {
+                heartbeat.host for heartbeat in heartbeats.live_heartbeats(now=now)
             } == living
 
 
@@ -366,9 +368,9 @@
     heartbeats: HostHeartbeats,
 ) -> None:
     """Check that a restarted host finds the other hosts without the store."""
-    heartbeats.take(_heartbeat("a"), address="10.0.0.7:7000", now=0.0)
+    heartbeats.record(_heartbeat("a"), address="10.0.0.7:7000", now=0.0)
     assert heartbeats.addresses_by_host["a"].address == "10.0.0.7:7000"
-    heartbeats.take(_heartbeat("a", boot=2), address="10.0.0.8:7000", now=0.1)
+    heartbeats.record(_heartbeat("a", boot=2), address="10.0.0.8:7000", now=0.1)
     assert heartbeats.addresses_by_host["a"].address == "10.0.0.8:7000"
 
 
@@ -388,8 +390,8 @@
     _take(heartbeats, _heartbeat("c", moving=("h1",), reshapes=("y",)), now=0.5)
     assert heartbeats.still(now=0.6) == {"h1", "h2"}
     assert heartbeats.moving(now=0.6) == {"h1"}
-    assert heartbeats.reshaping(now=0.6) == {"x", "y"}
-    assert heartbeats.reshaping(now=0.1 + HOST_TIMEOUT) == {"y"}
+    assert heartbeats.reshaped_zones(now=0.6) == {"x", "y"}
+    assert heartbeats.reshaped_zones(now=0.1 + HOST_TIMEOUT) == {"y"}
 
 
 @pytest.mark.parametrize(
@@ -421,7 +423,7 @@
     reads_store: bool,
     reads: bool,
 ) -> None:
-    assert READERS == 2
+    assert READERS_PER_ZONE == 2
     for host, changes in others:
         _take(heartbeats, _heartbeat(host, **changes), now=0.0)
     assert heartbeats.reads_for_zone(reads_store=reads_store, now=0.1) is reads
@@ -459,11 +461,14 @@
     heartbeats: HostHeartbeats,
 ) -> None:
     intervals = []
-    for n_others in range(3 * FREQUENT_HOSTS):
+    for n_others in range(3 * MAX_HOSTS_AT_FULL_RATE):
         intervals.append(heartbeats.ticks_between_heartbeats(now=0.0))
         _take(heartbeats, _heartbeat(f"h{n_others}"), now=0.0)
     assert (
-        intervals == [1] * FREQUENT_HOSTS + [2] * FREQUENT_HOSTS + [3] * FREQUENT_HOSTS
+        intervals
+        == [1] * MAX_HOSTS_AT_FULL_RATE
+        + [2] * MAX_HOSTS_AT_FULL_RATE
+        + [3] * MAX_HOSTS_AT_FULL_RATE
     )
 
 
--- a/tests/test_coordination/test_limits/test_limits.py
+++ b/tests/test_coordination/test_limits/test_limits.py
@@ -9,12 +9,12 @@
 from hypothesis import strategies as st
 
 from benchmarks.limits_exchange import ACCOUNT, Exchange
-from ryelever.coordination.limits.demand import FALL, SETTLE
+from ryelever.coordination.limits.demand import DECAY_TIME, SETTLING_TIME
 from ryelever.coordination.limits.limits import AccountLimits
 from ryelever.state.observations import DemandRow, LeavingRow
 
 #: Maximum sum of all shares, as a ratio of the limit, while rows arrive in time.
-BOUND = math.exp(SETTLE / FALL)
+BOUND = math.exp(SETTLING_TIME / DECAY_TIME)
 
 
 def run(exchange: Exchange, seconds: float) -> float:
--- a/tests/test_coordination/test_limits/test_limits_peers.py
+++ b/tests/test_coordination/test_limits/test_limits_peers.py
@@ -6,7 +6,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ryelever.coordination.limits.peers import HEARTBEAT, SILENT_AFTER, PeerDemands
+from ryelever.coordination.limits.peers import (
+    LIVENESS_ACCOUNT,
+    SILENT_AFTER,
+    PeerDemands,
+)
 from ryelever.state.observations import DemandRow
 
 ACCOUNTS = ["a", "b"]
@@ -33,7 +37,7 @@
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(["x", "y", "z"]),
-        st.sampled_from([*ACCOUNTS, HEARTBEAT]),
+        st.sampled_from([*ACCOUNTS, LIVENESS_ACCOUNT]),
         st.sampled_from([0.0, 0.5, 2.25]),
         st.sampled_from([0, 3]),
         st.sampled_from([0.0, 1.0, 4.0]),
@@ -70,7 +74,7 @@
             expected[account] = (*sides[0], *sides[1])
         assert demands_by_account(peers) == expected
         assert peers.n_live == len(live)
-        waiting = [rows.get((key, HEARTBEAT), (0.0, 0))[1] for key in live]
+        waiting = [rows.get((key, LIVENESS_ACCOUNT), (0.0, 0))[1] for key in live]
         assert peers.n_live_waiting == sum(n > 0 for n in waiting)
         assert len(peers) == len(last_seen_at)
 
--- a/tests/test_coordination/test_relaying/relay_fakes.py
+++ b/tests/test_coordination/test_relaying/relay_fakes.py
@@ -9,8 +9,8 @@
 from ryelever.coordination.relaying.actions import RelayAttempt, RelayRefusal
 from ryelever.coordination.relaying.balance import Balancer
 from ryelever.coordination.relaying.crashes import CrashWatch
-from ryelever.coordination.relaying.repeat_budget import RepeatBudget
 from ryelever.coordination.relaying.requests import RelayRequests
+from ryelever.coordination.relaying.retry_budget import RelayRetryBudget
 from ryelever.coordination.relaying.stall_watch import StallWatch
 from ryelever.metrics import Metrics
 from ryelever.relay_metrics import RelayMetrics
@@ -56,7 +56,7 @@
         routes_by_host={HOST: routes},
         services_by_name={},
         account_by_key={"key": RouteAccount(name="pawroute")},
-        asks_for_keys=True,
+        requires_keys=True,
     )
 
 
@@ -119,7 +119,9 @@
         self.requests = RelayRequests(
             table=lambda: self.table,
             balancer=self.balancer,
-            budget=RepeatBudget(ratio=0.2, slack=slack, window=10.0, n_hosts=lambda: 1),
+            budget=RelayRetryBudget(
+                ratio=0.2, slack=slack, window=10.0, n_hosts=lambda: 1
+            ),
             stall_watch=self.stall_watch,
             crashes=self.crashes,
             outbox=self,
--- a/tests/test_coordination/test_relaying/test_balance.py
+++ b/tests/test_coordination/test_relaying/test_balance.py
@@ -15,14 +15,14 @@
     STALL_AVOIDANCE,
     Balancer,
 )
-from ryelever.coordination.relaying.repeat_budget import RepeatBudget
+from ryelever.coordination.relaying.retry_budget import RelayRetryBudget
 from ryelever.coordination.relaying.stall_watch import (
     FIRST_EVENT_SILENCE,
     STALL_REPORTED_FOR,
     STREAM_SILENCE,
     StallWatch,
 )
-from ryelever.coordination.removals import ENTRIES_BACK, OUTAGE, Removals
+from ryelever.coordination.removals import MIN_OUTAGE, RECORDS_RETURN_TIME, Removals
 from ryelever.state.directory import BackendServer, Directory, GroupReport, GroupState
 
 from ..test_groups.group_fakes import server
@@ -145,7 +145,7 @@
     assert _choose(balancer) is None
     directory.put(_head("a"), now=0.0)
     assert _choose(balancer) == "a"
-    directory.remove("a", heard_at=0.0)
+    directory.remove("a", last_renewed_at=0.0)
     assert _choose(balancer) is None
 
 
@@ -228,31 +228,31 @@
     within two seconds, but the removals are read first: without a delay, no backend
     server is known for two seconds after the outage.
     """
-    removals = Removals(heartbeat_interval=1.2)
-    removals.note_reads(answered_at=1.0, failed_at=float("-inf"))
-    removals.note_reads(answered_at=1.0 + OUTAGE + 4.0, failed_at=3.0)
-    back = 1.0 + OUTAGE + 4.0
+    removals = Removals(renewal_interval=1.2)
+    removals.record_reads(answered_at=1.0, failed_at=float("-inf"))
+    removals.record_reads(answered_at=1.0 + MIN_OUTAGE + 4.0, failed_at=3.0)
+    back = 1.0 + MIN_OUTAGE + 4.0
     removals.add("a", now=back)
     removals.add("b", now=back)
     assert removals.due(now=back + 1.0) == []
-    removals.discard("a")
-    assert removals.due(now=back + ENTRIES_BACK) == ["b"]
+    removals.cancel("a")
+    assert removals.due(now=back + RECORDS_RETURN_TIME) == ["b"]
 
 
 def test_unreadable_entry_removes_its_server_unless_rewritten() -> None:
-    removals = Removals(heartbeat_interval=1.0)
+    removals = Removals(renewal_interval=1.0)
     removals.add_unreadable("a", now=0.0)
     removals.add_unreadable("b", now=0.0)
     assert removals.due(now=1.9) == []
-    assert removals.discard("a")
+    assert removals.cancel("a")
     removals.add_unreadable("b", now=1.9)
     assert removals.due(now=2.0) == ["b"]
 
 
 def test_removals_take_effect_at_once_while_reads_are_answered() -> None:
-    removals = Removals(heartbeat_interval=1.2)
-    removals.note_reads(answered_at=1.0, failed_at=float("-inf"))
-    removals.note_reads(answered_at=1.4, failed_at=1.2)
+    removals = Removals(renewal_interval=1.2)
+    removals.record_reads(answered_at=1.0, failed_at=float("-inf"))
+    removals.record_reads(answered_at=1.4, failed_at=1.2)
     removals.add("a", now=1.4)
     assert removals.due(now=1.4) == ["a"]
 
@@ -262,7 +262,9 @@
 
 def test_repeats_are_a_share_of_requests_and_of_the_slack() -> None:
     n_hosts = 1
-    budget = RepeatBudget(ratio=0.2, slack=20.0, window=10.0, n_hosts=lambda: n_hosts)
+    budget = RelayRetryBudget(
+        ratio=0.2, slack=20.0, window=10.0, n_hosts=lambda: n_hosts
+    )
     for _ in range(100):
         budget.record_request("s", now=0.0)
     allowed = sum(budget.allow("s", now=1.0) for _ in range(100))
@@ -271,7 +273,7 @@
     assert not budget.allow("s", now=9.9)
     assert budget.allow("s", now=11.1)
     n_hosts = 20
-    many = RepeatBudget(ratio=0.2, slack=20.0, window=10.0, n_hosts=lambda: n_hosts)
+    many = RelayRetryBudget(ratio=0.2, slack=20.0, window=10.0, n_hosts=lambda: n_hosts)
     assert sum(many.allow("s", now=1.0) for _ in range(100)) <= 1
 
 
@@ -326,7 +328,9 @@
         for index in range(12):
             directory.put(_head(f"h{index}"), now=0.0)
         balancer = Balancer(directory=directory, zone="z", seed=seed)
-        balancer.hear(interval=interval, n_near=n_hosts - 1, n_hosts=n_hosts)
+        balancer.set_heartbeat_interval(
+            interval=interval, n_near=n_hosts - 1, n_hosts=n_hosts
+        )
         # One group looks a little less loaded than the others to all hosts.
         balancer.peers_in_flight_by_id.update({f"h{index}": 3 for index in range(12)})
         balancer.peers_in_flight_by_id["h7"] -= 1
@@ -353,7 +357,7 @@
     for index in range(12):
         directory.put(_head(f"h{index}"), now=0.0)
     balancer = Balancer(directory=directory, zone="z", seed=1)
-    balancer.hear(interval=2.0, n_near=29, n_hosts=30)
+    balancer.set_heartbeat_interval(interval=2.0, n_near=29, n_hosts=30)
     for index in range(11):
         balancer.peers_in_flight_by_id[f"h{index}"] = 1000
     assert {_choose(balancer) for _ in range(20)} == {"h11"}
@@ -364,7 +368,7 @@
         zone = "z" if index < 10 else "y"
         directory.put(_head(f"h{index}", zone=zone), now=0.0)
     balancer = Balancer(directory=directory, zone="z", seed=1)
-    balancer.hear(interval=0.4, n_near=30, n_hosts=390)
+    balancer.set_heartbeat_interval(interval=0.4, n_near=30, n_hosts=390)
     assert {_choose(balancer) for _ in range(200)} <= {f"h{i}" for i in range(10)}
     balancer.peers_in_flight_by_id.update({f"h{index}": 10 for index in range(10)})
     far = {_choose(balancer) for _ in range(200)}
--- a/tests/test_coordination/test_relaying/test_crashes.py
+++ b/tests/test_coordination/test_relaying/test_crashes.py
@@ -28,7 +28,9 @@
 
 
 def _announce(sender: Relaying, receiver: Relaying, *, now: float) -> None:
-    receiver.crashes.heard(sender.crashes.told(now=now), host="sender", now=now)
+    receiver.crashes.record_suspicions(
+        sender.crashes.recent_suspicions(now=now), host="sender", now=now
+    )
 
 
 def test_a_poisonous_request_is_not_sent_after_its_second_crash() -> None:
@@ -87,7 +89,7 @@
         relaying.arrive(SAFE, number=number, content="slow", now=0.0)
         attempt = relaying.sent[-1]
         relaying.requests.attempt_failed(attempt.id, reason, sent=True, now=0.1)
-    assert relaying.crashes.told(now=0.2) == ()
+    assert relaying.crashes.recent_suspicions(now=0.2) == ()
 
 
 def test_unsent_request_is_not_suspected() -> None:
@@ -96,7 +98,7 @@
     relaying.requests.attempt_failed(
         relaying.sent[0].id, "connection_failed", sent=False, now=0.1
     )
-    assert relaying.crashes.told(now=0.2) == ()
+    assert relaying.crashes.recent_suspicions(now=0.2) == ()
 
 
 def test_completion_clears_a_bystander_of_a_crash() -> None:
@@ -122,5 +124,5 @@
 def test_suspicions_are_announced_for_a_limited_time() -> None:
     relaying = Relaying()
     _crash_all(relaying, "poison", now=0.0)
-    assert len(relaying.crashes.told(now=ANNOUNCED_FOR)) == 1
-    assert relaying.crashes.told(now=ANNOUNCED_FOR + 0.1) == ()
+    assert len(relaying.crashes.recent_suspicions(now=ANNOUNCED_FOR)) == 1
+    assert relaying.crashes.recent_suspicions(now=ANNOUNCED_FOR + 0.1) == ()
--- a/tests/test_coordination/test_relaying/test_relay_requests.py
+++ b/tests/test_coordination/test_relaying/test_relay_requests.py
@@ -206,7 +206,9 @@
 # Streams
 
 
-def test_a_stream_goes_on_elsewhere_after_the_last_event(relaying: Relaying) -> None:
+def test_a_stream_goes_on_elsewhere_after_the_last_event(
+    relaying: Relaying,
+) -> None:
     """Guard against lost or repeated events when a stream changes servers.
 
     A member of the group dies in the middle of a stream, or of an event. The second
@@ -400,7 +402,7 @@
     named = [None, NamedLimit(text="1.5", rate=1.5), NamedLimit(text="1.5", rate=1.5)]
     named += [NamedLimit(text="?", rate=None), None]
     for number, rate_limit in enumerate(named, start=1):
-        relaying.balancer.limits.share_out(
+        relaying.balancer.limits.update_shares(
             host="a", zone="z", heartbeats=[], now=number - 0.8
         )
         relaying.arrive(SAFE, number=number, now=float(number))
--- a/tests/test_coordination/test_relaying/test_server_rate_limits.py
+++ b/tests/test_coordination/test_relaying/test_server_rate_limits.py
@@ -13,7 +13,7 @@
     share_of,
 )
 from ryelever.coordination.relaying.rate_limits import (
-    COLD_SLACK,
+    COLD_GRACE,
     ENDED_ANNOUNCED_FOR,
     RETENTION_WITHOUT_ENTRY,
     ServerRateLimits,
@@ -48,7 +48,7 @@
 
 
 def _share_out(limits: ServerRateLimits, *, now: float) -> None:
-    limits.share_out(host="y1", zone="y", heartbeats=[], now=now)
+    limits.update_shares(host="y1", zone="y", heartbeats=[], now=now)
 
 
 def _heartbeat(host: str, zone: str) -> HostHeartbeat:
@@ -149,9 +149,9 @@
     directory.put(replace(server("i1", zone="y"), started_at=2), now=6.0)
     assert limits.rate("i1", now=10.0) is None
     row = RateLimitRow(server_id="i1", rate=1.0, age=0.1, started_at=1)
-    limits.heard([row], now=6.1)
+    limits.record_peer_limits([row], now=6.1)
     assert limits.allows("i1", now=6.1)
-    limits.heard([replace(row, started_at=2)], now=6.1)
+    limits.record_peer_limits([replace(row, started_at=2)], now=6.1)
     assert not limits.allows("i1", now=6.1)
 
 
@@ -159,12 +159,16 @@
     limits: ServerRateLimits,
 ) -> None:
     """Guard against limits whose age is reset when a host passes them on."""
-    limits.heard([RateLimitRow(server_id="i1", rate=2.0, age=1.0)], now=5.0)
+    limits.record_peer_limits(
+        [RateLimitRow(server_id="i1", rate=2.0, age=1.0)], now=5.0
+    )
     assert limits.rate("i1", now=10.0) == 2.0
-    assert limits.told(now=5.0) == ()
+    assert limits.announced_limits(now=5.0) == ()
     _answered(limits, 3.0, now=6.0)
-    limits.heard([RateLimitRow(server_id="i1", rate=2.0, age=1.0)], now=6.5)
-    [row] = limits.told(now=6.5)
+    limits.record_peer_limits(
+        [RateLimitRow(server_id="i1", rate=2.0, age=1.0)], now=6.5
+    )
+    [row] = limits.announced_limits(now=6.5)
     assert (row.rate, row.age, row.started_at) == (3.0, 0.5, 1)
 
 
@@ -174,11 +178,11 @@
     _answered(limits, 3.0, now=6.0)
     _answered(limits, None, now=7.0)
     _share_out(limits, now=7.1)
-    assert [row.rate for row in limits.told(now=7.1)] == [None]
+    assert [row.rate for row in limits.announced_limits(now=7.1)] == [None]
     assert limits.allows("i1", now=7.1)
     later = 7.1 + ENDED_ANNOUNCED_FOR
     _share_out(limits, now=later)
-    assert limits.told(now=later) == ()
+    assert limits.announced_limits(now=later) == ()
 
 
 def test_limit_outlives_a_lapsed_entry(
@@ -186,7 +190,7 @@
 ) -> None:
     """Guard against losing all limits in an outage of the store."""
     _answered(limits, 1.0, now=6.0)
-    directory.remove("i1", heard_at=6.0)
+    directory.remove("i1", last_renewed_at=6.0)
     _share_out(limits, now=6.0 + RETENTION_WITHOUT_ENTRY - 1.0)
     assert limits.rate("i1", now=10.0) == 1.0
     _share_out(limits, now=6.0 + RETENTION_WITHOUT_ENTRY + 1.0)
@@ -222,7 +226,7 @@
     assert [attempt.server_id for attempt in relaying.sent] == ["p0"]
     relaying.requests.attempt_failed(relaying.sent[0].id, "reset", sent=True, now=0.2)
     assert len(relaying.sent) == 1
-    relaying.balancer.limits.share_out(host="a", zone="z", heartbeats=[], now=0.2)
+    relaying.balancer.limits.update_shares(host="a", zone="z", heartbeats=[], now=0.2)
     relaying.requests.tick(now=0.9)
     assert [attempt.server_id for attempt in relaying.sent] == ["p0", "p1"]
 
@@ -231,7 +235,7 @@
     """Return a host whose only plain server has the given rate limit."""
     relaying = Relaying(n_servers=1)
     relaying.balancer.limits.record_answer("p0", rate, sent_at=0.0, now=0.0)
-    relaying.balancer.limits.share_out(host="a", zone="z", heartbeats=[], now=0.0)
+    relaying.balancer.limits.update_shares(host="a", zone="z", heartbeats=[], now=0.0)
     return relaying
 
 
@@ -254,7 +258,7 @@
 def _has_share(relaying: Relaying, host: str, others: list[HostHeartbeat]) -> bool:
     """Divide the limit as a host of that name; return whether it has a share."""
     limits = relaying.balancer.limits
-    limits.share_out(host=host, zone="z", heartbeats=others, now=0.0)
+    limits.update_shares(host=host, zone="z", heartbeats=others, now=0.0)
     return limits.allowance("p0", seconds=1.0, now=0.0).rate > 0
 
 
@@ -303,4 +307,4 @@
     _answered(limits, 40.0, now=6.0)
     assert limits.rate("i1", now=6.0) == 17.0
     # The server's entry may be read late.
-    assert limits.rate("i1", now=8.0 + 2 * COLD_SLACK) == 40.0
+    assert limits.rate("i1", now=8.0 + 2 * COLD_GRACE) == 40.0
--- a/tests/test_coordination/test_soft_state/test_soft_state_configuration.py
+++ b/tests/test_coordination/test_soft_state/test_soft_state_configuration.py
@@ -74,7 +74,7 @@
 
 def _fetching(version: int) -> ConfigurationTransfer:
     spread = _spread(None)
-    spread.note_version(version, address="p", now=0.0)
+    spread.check_peer_version(version, address="p", now=0.0)
     assert spread.wants(now=LOG_GRACE_PERIOD / 2) is None
     assert spread.wants(now=LOG_GRACE_PERIOD) == ("p", Want(version=version, first=0))
     return spread
@@ -107,9 +107,9 @@
 def test_another_peer_is_asked_when_the_first_falls_silent() -> None:
     """Replace a silent provider by the next peer that announces the version."""
     spread = _fetching(8)
-    spread.note_version(8, address="q", now=0.8)
+    spread.check_peer_version(8, address="q", now=0.8)
     assert spread.wants(now=0.9)[0] == "p"
-    spread.note_version(8, address="q", now=3.0)
+    spread.check_peer_version(8, address="q", now=3.0)
     assert spread.wants(now=3.0)[0] == "q"
 
 
--- a/tests/test_coordination/test_superseded_records.py
+++ b/tests/test_coordination/test_superseded_records.py
@@ -16,7 +16,7 @@
 def overtaken() -> SupersededRecords:
     """Return the records superseded by a listing whose first page ended at 10."""
     records = SupersededRecords()
-    records.take_listing([_record("a", 4), _record("b", 12)], end=10)
+    records.record_listing([_record("a", 4), _record("b", 12)], end=10)
     return records
 
 
@@ -37,5 +37,5 @@
 def test_a_listing_replaces_the_former_one(
     overtaken: SupersededRecords,
 ) -> None:
-    overtaken.take_listing([_record("b", 30)], end=40)
+    overtaken.record_listing([_record("b", 30)], end=40)
     assert not overtaken.supersedes(_record("b", 12))
--- a/tests/test_coordination/test_topic.py
+++ b/tests/test_coordination/test_topic.py
@@ -161,7 +161,7 @@
     hanging = follower.next_call(now=1.0)
     assert hanging is not None
     first = follower.n_calls
-    follower.poke(now=1.5)
+    follower.read_announced(now=1.5)
     assert follower.next_call(now=1.5) is not None
     assert follower.n_calls == first + 1
 
@@ -169,13 +169,13 @@
 def test_an_announcement_does_not_replace_a_read_that_just_started() -> None:
     follower = _listed()
     assert follower.next_call(now=1.0) is not None
-    follower.poke(now=1.1)
+    follower.read_announced(now=1.1)
     assert follower.next_call(now=1.1) is None
 
 
 def test_records_read_by_another_host_are_not_read_again() -> None:
     follower = _listed(interval=0.3)
-    assert follower.advance(start=7, end=12, era=0, yields=True, now=0.2)
+    assert follower.advance(start=7, end=12, era=0, reader_continues=True, now=0.2)
     assert follower.next_call(now=0.9) is None
     # If the other host is lost, this one continues at the end of the forwarded part.
     assert "from=12" in follower.next_call(now=1.3).path
@@ -188,10 +188,10 @@
     received.  Applying their records would skip the records of the lost datagram.
     """
     follower = _listed(interval=0.3)
-    assert not follower.advance(start=9, end=12, era=0, yields=True, now=0.2)
+    assert not follower.advance(start=9, end=12, era=0, reader_continues=True, now=0.2)
     assert "from=7" in follower.next_call(now=0.35).path
     # Records that were forwarded while the read was in flight are not applied again.
-    assert follower.advance(start=7, end=8, era=0, yields=True, now=0.36)
+    assert follower.advance(start=7, end=8, era=0, reader_continues=True, now=0.36)
     body = _page(9, 0, b"\x01av1", b"\x01bv2")
     updates = follower.answered(200, body, now=0.4).ok
     assert [record.key for record in updates.records] == ["b"]
@@ -199,19 +199,21 @@
 
 def test_the_host_that_reads_for_all_continues_to_read() -> None:
     follower = _listed(interval=0.3)
-    assert follower.advance(start=7, end=12, era=0, yields=False, now=0.2)
+    assert follower.advance(start=7, end=12, era=0, reader_continues=False, now=0.2)
     assert "from=12" in follower.next_call(now=0.35).path
 
 
 def test_forwarded_records_are_ignored_before_the_first_listing() -> None:
-    assert not _follower().advance(start=0, end=5, era=0, yields=True, now=0.0)
+    assert not _follower().advance(
+        start=0, end=5, era=0, reader_continues=True, now=0.0
+    )
 
 
 def test_a_suspended_follower_reads_only_when_it_is_poked() -> None:
     follower = _listed()
     follower.suspended = True
     assert follower.next_call(now=1.0) is None
-    follower.poke(now=1.0)
+    follower.read_announced(now=1.0)
     assert "from=7" in follower.next_call(now=1.0).path
     follower.answered(200, _page(7, 0), now=1.1)
     assert follower.next_call(now=9.0) is None
@@ -268,5 +270,5 @@
 def test_records_read_in_another_era_are_ignored() -> None:
     """Guard against comparing offsets of two eras."""
     follower = _new_reading_follower(era=1)
-    assert not follower.advance(start=5, end=12, era=2, yields=True, now=0.5)
+    assert not follower.advance(start=5, end=12, era=2, reader_continues=True, now=0.5)
     assert follower.offset == 7
--- a/tests/test_emulator/test_days.py
+++ b/tests/test_emulator/test_days.py
@@ -18,7 +18,7 @@
     EmulatedModel,
     Fleet,
     LossPattern,
-    play_day,
+    simulate_day,
 )
 from ryelever.emulator.server import EmulatedServer
 from ryelever.state.directory import GroupState
@@ -48,8 +48,8 @@
 
 
 def test_the_same_seed_gives_the_same_day() -> None:
-    first = play_day(deployment=LOADED, losses=LossPattern(), seed=3)
-    again = play_day(deployment=LOADED, losses=LossPattern(), seed=3)
+    first = simulate_day(deployment=LOADED, losses=LossPattern(), seed=3)
+    again = simulate_day(deployment=LOADED, losses=LossPattern(), seed=3)
     assert first.served_by_model == again.served_by_model
     assert first.n_loads == again.n_loads
 
@@ -66,7 +66,7 @@
     largest model only, and that a head which had left its group was treated as having
     no model.
     """
-    day = play_day(deployment=LOADED, losses=LossPattern(), seed=seed)
+    day = simulate_day(deployment=LOADED, losses=LossPattern(), seed=seed)
     assert day.mean > 0.95
     assert min(day.served_by_model.values()) > 0.93
 
@@ -80,15 +80,17 @@
     for the small model are work for 8.0 groups.  The fault was that groups were
     disbanded one at a time, and only if disbanding one was enough.
     """
-    day = play_day(
+    day = simulate_day(
         deployment=_deployment(large=3.5, small=8.0), losses=LossPattern(), seed=seed
     )
     assert min(day.served_by_model.values()) > 0.75
 
 
 def test_a_lost_domain_recovers_soon() -> None:
-    losses = LossPattern(every=(100.0, 100.0), domain_at=8.0, domain_for=5.0)
-    day = play_day(deployment=LOADED, losses=losses, seed=5)
+    losses = LossPattern(
+        loss_interval=(100.0, 100.0), domain_lost_at=8.0, domain_outage_time=5.0
+    )
+    day = simulate_day(deployment=LOADED, losses=losses, seed=5)
     assert day.mean > 0.95
 
 
@@ -140,9 +142,9 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_invariants_of_groups_hold(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     invariants = _GroupInvariants()
-    obey = EmulatedServer.obey
+    execute = EmulatedServer.execute
 
-    def checked_obey(
+    def checked_execute(
         server: EmulatedServer,
         order: GroupOrder,
         *,
@@ -150,9 +152,9 @@
         now: float,
     ) -> OrderOutcome:
         invariants.check_order(server, order)
-        return obey(server, order, engine=engine, now=now)
+        return execute(server, order, engine=engine, now=now)
 
-    monkeypatch.setattr(EmulatedServer, "obey", checked_obey)
+    monkeypatch.setattr(EmulatedServer, "execute", checked_execute)
     fleet = invariants.fleet = Fleet(deployment=LOADED, seed=seed)
     for step in range(400):
         fleet.advance()
@@ -160,5 +162,5 @@
         if fleet.now >= 0 and step % 11 == seed % 11:
             server = fleet.random.choice(fleet.living)
             restart_delay = fleet.random.choice([None, 0.4, 3.0, 8.0])
-            fleet.lose(server, back_after=restart_delay)
+            fleet.lose(server, restart_after=restart_delay)
     assert invariants.n_opened > 12
--- a/tests/test_fleet_directory.py
+++ b/tests/test_fleet_directory.py
@@ -15,9 +15,13 @@
     HostHeartbeat,
     HostHeartbeats,
 )
-from ryelever.coordination.listing_schedule import LISTERS, TURN, UNANNOUNCED
-from ryelever.coordination.removals import ENTRIES_BACK, OUTAGE
-from ryelever.coordination.reported_records import REPORTED_FOR
+from ryelever.coordination.listing_schedule import (
+    LISTING_INTERVAL,
+    MAX_FIRST_LISTERS,
+    UNLISTED_TIMEOUT,
+)
+from ryelever.coordination.removals import MIN_OUTAGE, RECORDS_RETURN_TIME
+from ryelever.coordination.reported_records import REPORTED_PRECEDENCE
 from ryelever.coordination.server_reading import MAX_UPDATE_SILENCE
 from ryelever.coordination.topic import TopicUpdates
 from ryelever.events import OutboundAnswer, OutboundRequest
@@ -40,7 +44,7 @@
     encode_updates,
     read_changes_path,
 )
-from ryelever.protocol.keyed_log import LogCall
+from ryelever.protocol.keyed_log import HttpRequest
 from ryelever.relay_settings import RelaySettings
 from ryelever.state.directory import Directory, GroupState
 from ryelever.state.keyed_record import KeyedRecord, ServerUpdates
@@ -176,11 +180,11 @@
         host.fleet.servers.answered_at = clock.now
         host.fleet._on_tick()
         host.fleet.servers.failed_at = clock.now + 1.0
-    clock.now += OUTAGE + 4.0
+    clock.now += MIN_OUTAGE + 4.0
     other.fleet._on_forwarded_updates(reader.apply_read(_removed("i1", 1), end=2))
     clock.now += 0.5
     other.fleet._on_forwarded_updates(reader.apply_read(_server_record("i1", 2), end=3))
-    clock.now += ENTRIES_BACK + 1.0
+    clock.now += RECORDS_RETURN_TIME + 1.0
     for host in (reader, other):
         host.fleet._on_tick()
         assert host.directory.by_id.keys() == {"i1"}
@@ -236,7 +240,7 @@
 
 def _receive(host: Host, *heartbeats: HostHeartbeat) -> None:
     for heartbeat in heartbeats:
-        host.fleet._heartbeats.take(
+        host.fleet._heartbeats.record(
             heartbeat, address="10.0.0.7:7000", now=time.monotonic()
         )
 
@@ -429,7 +433,9 @@
     assert other.directory.by_id["i2"].group is not None
 
 
-def _listing_calls(host: Host, clock: Clock, *, seconds: float) -> list[LogCall | None]:
+def _listing_calls(
+    host: Host, clock: Clock, *, seconds: float
+) -> list[HttpRequest | None]:
     """Return, for each tick, the host's call to list the servers, or None."""
     calls = []
     for _ in range(round(10 * seconds)):
@@ -442,8 +448,8 @@
 def test_host_lists_the_store_if_no_peer_provides_the_list(clock: Clock) -> None:
     """Guard against a host that waits for lost peers to list the store first."""
     host = Host("x")
-    _start_among_hosts(host, [f"h{index}" for index in range(LISTERS + 2)])
-    calls = _listing_calls(host, clock, seconds=4 * TURN)
+    _start_among_hosts(host, [f"h{index}" for index in range(MAX_FIRST_LISTERS + 2)])
+    calls = _listing_calls(host, clock, seconds=4 * LISTING_INTERVAL)
     assert calls[0] is None and any(calls)
 
 
@@ -451,7 +457,7 @@
     """Guard against a host that waits to be registered in an unavailable store."""
     host = Host("x")
     host.fleet._on_started()
-    calls = _listing_calls(host, clock, seconds=UNANNOUNCED + 0.2)
+    calls = _listing_calls(host, clock, seconds=UNLISTED_TIMEOUT + 0.2)
     assert calls[0] is None and any(calls)
 
 
@@ -465,7 +471,7 @@
     provider, other = Host("a"), Host("b")
     provider.apply_listing(_server_record("i1", 0), _server_record("i2", 1), end=2)
     heartbeat = _heartbeat_from("a", reads_store=False, knows_servers=False)
-    other.fleet._heartbeats.take(heartbeat, address="10.0.0.7:7000", now=clock.now)
+    other.fleet._heartbeats.record(heartbeat, address="10.0.0.7:7000", now=clock.now)
     other.fleet._on_tick()
     assert [sent for sent in other.sent_requests if sent.path == SERVERS_PATH] == []
     clock.now += 0.5
@@ -530,7 +536,7 @@
     follower = host.fleet.servers
     for number in range(20):
         clock.now += 0.4
-        host.fleet._heartbeats.take(
+        host.fleet._heartbeats.record(
             replace(heartbeat, sequence=1 + number),
             address="10.0.0.7:7000",
             now=clock.now,
@@ -544,7 +550,7 @@
     assert [sent for sent in host.sent_requests if sent.path == SERVERS_PATH] == []
     # Once the store stops answering, the host asks its peers.
     clock.now += 1.1
-    host.fleet._heartbeats.take(
+    host.fleet._heartbeats.record(
         replace(heartbeat, sequence=99), address="10.0.0.7:7000", now=clock.now
     )
     host.fleet._on_tick()
@@ -631,7 +637,7 @@
         assert found.group.state is GroupState.OPEN
         # The record's draining state applies at once.
         assert found.draining
-    clock.now += REPORTED_FOR - 0.1
+    clock.now += REPORTED_PRECEDENCE - 0.1
     planner.fleet._on_tick()
     assert planner.directory.by_id["i1"].group is not None
     clock.now += 0.2
@@ -709,9 +715,9 @@
     host.apply_listing(_server_record("i1", 0), end=1)
     clock.now += LIST_STALE_AFTER + 0.1
     host.fleet._on_reported("i1", REPORT)
-    clock.now += OUTAGE + ENTRIES_BACK
+    clock.now += MIN_OUTAGE + RECORDS_RETURN_TIME
     host.apply_read(_server_record("i1", 1), _removed("i1", 2), end=3)
-    clock.now += ENTRIES_BACK + REPORTED_FOR + 0.1
+    clock.now += RECORDS_RETURN_TIME + REPORTED_PRECEDENCE + 0.1
     host.fleet._on_tick()
     clock.now += 0.1
     host.fleet._on_tick()
@@ -758,7 +764,9 @@
     clock: Clock, zone: str, size: int, fetches_from_host: bool, reads_from_store: bool
 ) -> None:
     host = _host_with_suspended_reading("b")
-    host.fleet.note_version(_newer_heartbeat(host, zone=zone, size=size), now=clock.now)
+    host.fleet.check_peer_version(
+        _newer_heartbeat(host, zone=zone, size=size), now=clock.now
+    )
     assert [request.path for request in host.sent_requests] == [
         CONFIGURATION_PATH
     ] * fetches_from_host
@@ -776,8 +784,8 @@
     """
     host = _host_with_suspended_reading("b")
     heartbeat = _newer_heartbeat(host)
-    host.fleet.note_version(heartbeat, now=clock.now)
-    host.fleet.note_version(heartbeat, now=clock.now + FALLBACK_DELAY + 0.01)
+    host.fleet.check_peer_version(heartbeat, now=clock.now)
+    host.fleet.check_peer_version(heartbeat, now=clock.now + FALLBACK_DELAY + 0.01)
     assert host.fleet.configuration.next_call(now=clock.now + 0.4) is not None
 
 
@@ -790,7 +798,7 @@
     host = _host_with_suspended_reading("c")
     for name in ("a", "b"):
         heartbeat = _newer_heartbeat(host)
-        host.fleet._heartbeats.take(
+        host.fleet._heartbeats.record(
             replace(heartbeat, host=name), address=name, now=clock.now
         )
     host.fleet._store.answered_at = clock.now
@@ -843,7 +851,7 @@
     _return_store(host, _server_record("i1", 0), _server_record("gone", 0), end=1)
     assert host.directory.by_id["i1"].draining
     assert "gone" not in host.directory.by_id
-    clock.now += ENTRIES_BACK + 0.1
+    clock.now += RECORDS_RETURN_TIME + 0.1
     host.fleet._on_tick()
     assert host.directory.by_id["i1"].draining
     # The server's renewed record is newer than the copy.
@@ -865,7 +873,7 @@
     host.fleet._on_tick()
     assert host.directory.by_id.keys() == {"i1", "i2"}
     host.apply_read(_server_record("i1", 0), end=1)
-    clock.now += ENTRIES_BACK + 0.1
+    clock.now += RECORDS_RETURN_TIME + 0.1
     host.fleet._on_tick()
     assert host.directory.by_id.keys() == {"i1"}
 
@@ -895,7 +903,7 @@
     """Guard against hosts whose address others can't find after the store's return."""
     host = Host("a")
     host.fleet._on_announced(StoreAnswer(status=200))
-    appended: list[LogCall] = []
+    appended: list[HttpRequest] = []
     host.fleet._store.call = lambda call, on_answer: appended.append(call)
     host.fleet._on_tick()
     assert appended == []
--- a/tests/test_host_exchange.py
+++ b/tests/test_host_exchange.py
@@ -178,7 +178,7 @@
         for exchange in network.exchanges_by_host.values():
             exchange._on_tick()
         network.deliver(at_most=network.n_sent + 100)
-    received = _heartbeats_at(network, "a").living(now=time.monotonic())
+    received = _heartbeats_at(network, "a").live_heartbeats(now=time.monotonic())
     assert [
         (heartbeat.host, heartbeat.for_zone, heartbeat.n_hosts)
         for heartbeat in received
@@ -219,7 +219,7 @@
         network.exchanges_by_host["a"]._on_tick()
     network.deliver(at_most=network.n_sent + 100)
     for name in "cd":
-        received = _heartbeats_at(network, name)._heard_by_host["a"].heartbeat
+        received = _heartbeats_at(network, name)._received_by_host["a"].heartbeat
         if received.sequence > TICKS_PER_ZONE_HEARTBEAT:
             reached.add(name)
     assert reached == {"c", "d"}
@@ -264,5 +264,5 @@
         )
         sender._on_tick()
         network.deliver(at_most=network.n_sent + 100)
-        received = _heartbeats_at(network, "b")._heard_by_host["d"].heartbeat
+        received = _heartbeats_at(network, "b")._received_by_host["d"].heartbeat
         assert received.interval == pytest.approx(n_ticks * HEARTBEAT_INTERVAL)
--- a/tests/test_platform/test_documents.py
+++ b/tests/test_platform/test_documents.py
@@ -90,10 +90,10 @@
 def test_api_keys_map_to_their_accounts() -> None:
     accounts = [{"name": "a", "api_keys": ["k1", "k2"], "priority": 3}]
     table = _table(tenants=accounts)
-    assert table.asks_for_keys
+    assert table.requires_keys
     assert table.account_by_key["k2"].name == "a"
     assert table.account_by_key["k2"].priority == 3
-    assert not _table().asks_for_keys
+    assert not _table().requires_keys
 
 
 @pytest.mark.parametrize("data", [b"", b"{}", b"[1]", b'{"version": "x"}'])
--- a/tests/test_platform/test_messages.py
+++ b/tests/test_platform/test_messages.py
@@ -106,11 +106,11 @@
 
 
 def test_refusal_has_a_retry_after_header() -> None:
-    assert MESSAGES.refusal("r1", retry_after=0.3) == [
+    assert MESSAGES.answer_headers("r1", retry_after=0.3) == [
         (b"request-id", b"r1"),
         (b"retry-after", b"0.30"),
     ]
-    assert MESSAGES.refusal("r1", retry_after=None) == [(b"request-id", b"r1")]
+    assert MESSAGES.answer_headers("r1", retry_after=None) == [(b"request-id", b"r1")]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform/test_orders.py
+++ b/tests/test_platform/test_orders.py
@@ -14,7 +14,7 @@
 NAMED = {"group": "g7", "epoch": 12}
 
 
-def _order(kind: OrderKind, *, gently: bool = False) -> GroupOrder:
+def _order(kind: OrderKind, *, waits_for_requests: bool = False) -> GroupOrder:
     return GroupOrder(
         kind=kind,
         server_id="i1",
@@ -23,7 +23,7 @@
         epoch=12,
         model="m",
         members=("i1", "i2"),
-        gently=gently,
+        waits_for_requests=waits_for_requests,
     )
 
 
@@ -37,7 +37,7 @@
         (_order(OrderKind.OPEN), NAMED | {"op": "open"}),
         (_order(OrderKind.CLOSE), NAMED | {"op": "close", "close_mode": "preempt"}),
         (
-            _order(OrderKind.CLOSE, gently=True),
+            _order(OrderKind.CLOSE, waits_for_requests=True),
             NAMED | {"op": "close", "close_mode": "wait"},
         ),
         (_order(OrderKind.LEAVE), NAMED | {"op": "leave"}),
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from .limited_fleet import COLD_RATE, LimitedFleet, SimulatedClock, most_within
+from .limited_fleet import COLD_RATE, LimitedFleet, SimulatedClock, max_within
 
 #: Seconds after a server's first announcement of a limit from which the limit must be
 #: kept, and length in seconds of the windows in which requests are counted.
@@ -47,8 +47,8 @@
     fleet.run(NAMED_AT)
     limited.limit = "1"
     fleet.run(NAMED_AT + IN_FORCE + 12.0)
-    arrivals = limited.arrivals_of_told(after=NAMED_AT + IN_FORCE)
-    assert most_within(arrivals, window=WINDOW) <= _allowed(1.0)
+    arrivals = limited.arrivals_from_informed_hosts(after=NAMED_AT + IN_FORCE)
+    assert max_within(arrivals, window=WINDOW) <= _allowed(1.0)
 
 
 def _limit_all(fleet: LimitedFleet, limit: str | None) -> None:
@@ -79,8 +79,8 @@
     _limit_all(fleet, limit)
     fleet.run(NAMED_AT + IN_FORCE + 6.0)
     for server in fleet.servers.values():
-        arrivals = server.arrivals_of_told(after=NAMED_AT + IN_FORCE)
-        assert most_within(arrivals, window=WINDOW) <= _allowed(float(limit))
+        arrivals = server.arrivals_from_informed_hosts(after=NAMED_AT + IN_FORCE)
+        assert max_within(arrivals, window=WINDOW) <= _allowed(float(limit))
 
 
 def test_hosts_do_not_use_the_limit_shares_of_an_unreachable_zone(
@@ -96,8 +96,8 @@
     fleet.run(NAMED_AT + IN_FORCE)
     fleet.lost = lambda sender, taker: "z" in {sender.zone, taker.zone}
     fleet.run(NAMED_AT + IN_FORCE + 8.0)
-    arrivals = limited.arrivals_of_told(after=NAMED_AT + IN_FORCE)
-    assert most_within(arrivals, window=WINDOW) <= _allowed(2.0)
+    arrivals = limited.arrivals_from_informed_hosts(after=NAMED_AT + IN_FORCE)
+    assert max_within(arrivals, window=WINDOW) <= _allowed(2.0)
 
 
 def test_limited_servers_are_used(fleet: LimitedFleet) -> None:
@@ -186,10 +186,10 @@
         fleet.lose(name)
     fleet.run(3.0)
     for name in cold:
-        fleet.come_back_cold(name, seconds=3.0)
+        fleet.return_cold(name, seconds=3.0)
     fleet.run(6.0)
     allowed = COLD_OVERAGE * COLD_RATE + COLD_SLACK
     for name in cold:
         arrivals = [at for at, _ in fleet.servers[name].arrivals]
-        assert most_within(arrivals, window=1.0) <= allowed
+        assert max_within(arrivals, window=1.0) <= allowed
         assert arrivals
--- a/tests/test_system/test_relay.py
+++ b/tests/test_system/test_relay.py
@@ -101,7 +101,7 @@
     Cause: each host knew only what it had read itself.
     """
     zone.start_host("e1")
-    away = zone.start_host("e2", door="side-door")
+    away = zone.start_host("e2", store_endpoint="side-door")
     away.process.wait_for_event("peer_heard")
     assert away.call("/look/1", request_id="i1").status_code == 200
     zone.control(side_door={"refuse": True})
--- a/tests/test_system/test_store_returns.py
+++ b/tests/test_system/test_store_returns.py
@@ -46,7 +46,7 @@
     """Let the store come back from its copy, and the host read that."""
 
     def n_reads() -> int:
-        return zone.seen()["store"]["n_calls_by_topic"]["keyed.servers"]
+        return zone.platform_state()["store"]["n_calls_by_topic"]["keyed.servers"]
 
     zone.control(drill="come-back")
     n_before = n_reads()
