--- a/tests/test_coordination/test_relaying/test_balance.py
+++ b/tests/test_coordination/test_relaying/test_balance.py
@@ -70,7 +70,7 @@
         ),
     ],
 )
-def test_who_gets_nothing(
+def test_unsuitable_servers_get_no_requests(
     directory: Directory, balancer: Balancer, changes: dict[str, object]
 ) -> None:
     directory.put(_head("a", **changes), now=0.0)
@@ -260,7 +260,7 @@
 # Retry budget
 
 
-def test_repeats_are_a_share_of_requests_and_of_the_slack() -> None:
+def test_retries_are_limited_to_ratio_and_slack() -> None:
     n_hosts = 1
     budget = RelayRetryBudget(
         ratio=0.2, slack=20.0, window=10.0, n_hosts=lambda: n_hosts
@@ -297,7 +297,7 @@
     assert _choose(balancer, now=20.1) == "a"
 
 
-def test_a_zone_that_is_not_heard_comes_last(
+def test_unreachable_zone_is_used_last(
     directory: Directory, balancer: Balancer
 ) -> None:
     """Guard against a partition between zones that costs each request one attempt.
@@ -379,7 +379,7 @@
     assert {_choose(balancer) for _ in range(20)} == {"h250"}
 
 
-def test_a_server_of_an_evacuated_zone_gets_nothing(directory: Directory) -> None:
+def test_servers_of_an_evacuated_zone_get_no_requests(directory: Directory) -> None:
     """Guard against requests to a zone that the operator has evacuated."""
     evacuated = {"z"}
     balancer = Balancer(
--- a/tests/test_coordination/test_relaying/test_crashes.py
+++ b/tests/test_coordination/test_relaying/test_crashes.py
@@ -33,7 +33,7 @@
     )
 
 
-def test_a_poisonous_request_is_not_sent_after_its_second_crash() -> None:
+def test_poison_request_is_not_sent_after_its_second_crash() -> None:
     """Guard against a request that crashes one backend server after the other.
 
     A request crashes a server, is retried and crashes the next one, and its caller
@@ -54,7 +54,7 @@
     assert relaying.sent[-1].request_number == 7
 
 
-def test_other_hosts_hear_of_a_poisonous_request() -> None:
+def test_other_hosts_refuse_an_announced_poison_request() -> None:
     """Guard against a poison request that crashes as many servers as there are hosts.
 
     The caller sends the request to another entry host each time. If each host knows
--- a/tests/test_coordination/test_relaying/test_levelling.py
+++ b/tests/test_coordination/test_relaying/test_levelling.py
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("name", FLEETS)
-def test_no_group_is_full_while_others_have_places(name: str) -> None:
+def test_no_group_is_full_while_others_have_free_slots(name: str) -> None:
     """Guard against full groups while others have free slots, with late heartbeats.
 
     Heartbeats arrive every 0.4 s, in which time the hosts of a zone send a third as
--- a/tests/test_coordination/test_relaying/test_relay_requests.py
+++ b/tests/test_coordination/test_relaying/test_relay_requests.py
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("fail", AMBIGUOUS)
-def test_what_may_have_run_is_not_sent_again(
+def test_request_that_may_have_run_is_not_retried(
     relaying: Relaying, fail: Callable[[Relaying, str], None]
 ) -> None:
     """Guard against running a booking twice, or reporting it as not run.
@@ -153,7 +153,7 @@
     assert relaying.out == []
 
 
-def test_what_was_promised_not_to_have_run_is_sent_again(relaying: Relaying) -> None:
+def test_request_that_was_not_run_is_retried(relaying: Relaying) -> None:
     relaying.arrive(ONCE)
     for attempt in (0, 1):
         sent = relaying.sent[attempt]
@@ -188,7 +188,7 @@
     assert relaying.out == [("answer", 1, 500, b"own")]
 
 
-def test_repeats_stop_at_their_budget() -> None:
+def test_retries_stop_at_their_budget() -> None:
     """Guard against retries that multiply the load on failing servers.
 
     Every backend server fails for a while. If each request were retried without regard
@@ -206,7 +206,7 @@
 # Streams
 
 
-def test_a_stream_goes_on_elsewhere_after_the_last_event(
+def test_stream_resumes_on_another_server_after_the_last_event(
     relaying: Relaying,
 ) -> None:
     """Guard against lost or repeated events when a stream changes servers.
@@ -250,7 +250,7 @@
     assert len(relaying.sent) == 2
 
 
-def test_a_failure_in_the_place_of_a_streams_rest_is_not_passed_on(
+def test_error_answer_to_a_resumed_stream_is_not_forwarded(
     relaying: Relaying,
 ) -> None:
     relaying.arrive(STREAM)
@@ -324,7 +324,7 @@
     assert len(relaying.sent) == n_slots + 1
 
 
-def test_who_waits_too_long_hears_that_it_was_not_run(relaying: Relaying) -> None:
+def test_request_without_a_slot_is_refused_as_not_run(relaying: Relaying) -> None:
     n_slots = 3 * (relaying.slots + 2)
     for number in range(1, n_slots + 2):
         relaying.arrive(STREAM, number=number, time_limit=60.0)
@@ -373,7 +373,7 @@
     assert relaying.out[-1] == ("abort", 1)
 
 
-def test_a_caller_that_leaves_ends_its_request_at_once(relaying: Relaying) -> None:
+def test_request_ends_when_its_caller_disconnects(relaying: Relaying) -> None:
     relaying.arrive(STREAM)
     relaying.requests.caller_disconnected(1)
     assert relaying.cancelled == [relaying.sent[0].id]
--- a/tests/test_platform/test_orders.py
+++ b/tests/test_platform/test_orders.py
@@ -91,7 +91,7 @@
         pytest.param(b"<html>", OrderOutcome.APPLIED, id="unreadable"),
     ],
 )
-def test_what_a_probe_says_about_the_group(body: bytes, outcome: OrderOutcome) -> None:
+def test_probe_outcome_by_reported_group(body: bytes, outcome: OrderOutcome) -> None:
     assert ORDERS.outcome(_order(OrderKind.PROBE), 200, body) is outcome
 
 
