--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -171,7 +171,7 @@
         thread.start()
 
     def _start_again(self, host: str, disturbance: Disturbance) -> None:
-        self.zone.start_host(host, wait=False, door=f"proxy-{host}")
+        self.zone.start_host(host, wait=False, store_endpoint=f"proxy-{host}")
         self._record_end(disturbance)
 
     def _cut_from_store(self, generator: random.Random, duration: float) -> None:
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -11,8 +11,8 @@
 from benchmarks.group_days import DAYS, play
 from benchmarks.slopes import main
 from benchmarks.slopes_fit import Slope
-from ryelever.emulator import play_day
-from ryelever.emulator.day import DAY
+from ryelever.emulator import simulate_day
+from ryelever.emulator.day import DAY_DURATION
 
 ROLES = (
     "caller front",
@@ -60,9 +60,9 @@
 def test_day_without_losses_serves_all_demand(name: str) -> None:
     """Play a day without losses: unserved demand then has a cause other than losses."""
     deployment, losses = DAYS[name]
-    quiet = replace(losses, every=(100.0, 100.0), domain_at=float("inf"))
-    served = play_day(deployment=deployment, losses=quiet, seed=1).served_by_model
-    assert min(served.values()) > 1.0 - 1.0 / DAY
+    quiet = replace(losses, loss_interval=(100.0, 100.0), domain_lost_at=float("inf"))
+    served = simulate_day(deployment=deployment, losses=quiet, seed=1).served_by_model
+    assert min(served.values()) > 1.0 - 1.0 / DAY_DURATION
 
 
 def test_override_of_an_unknown_constant_is_an_error() -> None:
--- a/tests/test_system/test_relay.py
+++ b/tests/test_system/test_relay.py
@@ -101,7 +101,7 @@
     Cause: each host used only configurations that it had read from the store itself.
     """
     zone.start_host("e1")
-    refused = zone.start_host("e2", door="side-door")
+    refused = zone.start_host("e2", store_endpoint="side-door")
     refused.process.wait_for_event("peer_heard")
     assert refused.call("/look/1", request_id="i1").status_code == 200
     zone.control(side_door={"refuse": True})
--- a/tests/test_system/test_store_returns.py
+++ b/tests/test_system/test_store_returns.py
@@ -46,7 +46,7 @@
     """Restore the store from its copy and wait until the host has read the copy."""
 
     def n_reads() -> int:
-        return zone.seen()["store"]["n_calls_by_topic"]["keyed.servers"]
+        return zone.platform_state()["store"]["n_calls_by_topic"]["keyed.servers"]
 
     zone.control(drill="come-back")
     n_before = n_reads()
