--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -96,7 +96,7 @@
             known, last_at = counts["n_asked"], time.monotonic()
         await asyncio.sleep(INTERVAL)
     await asyncio.gather(*calls)
-    return last_at - left_at, sum(not answer.whole for answer in answers)
+    return last_at - left_at, sum(not answer.is_complete for answer in answers)
 
 
 if __name__ == "__main__":
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -20,7 +20,7 @@
 __all__ = ["Answer", "Caller", "error_of", "expected_tokens", "new_key"]
 
 #: Seconds for which a test waits for one answer.
-PATIENCE = 30.0
+ANSWER_TIMEOUT = 30.0
 
 #: Shared by all clients, since creating an SSL context takes longer than a request.
 _SSL = ssl.create_default_context()
@@ -57,13 +57,13 @@
     ended: bool = False
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether this is the complete answer to its prompt."""
         expected = expected_tokens(self.prompt, self.n_tokens)
         return self.ended and not self.error and self.tokens == expected
 
     @property
-    def honest(self) -> bool:
+    def is_partial_with_error(self) -> bool:
         """Return whether this is the start of the right answer, with an error."""
         expected = expected_tokens(self.prompt, self.n_tokens)
         return bool(self.error) and self.tokens == expected[: len(self.tokens)]
@@ -94,7 +94,7 @@
         url = f"{entry.url}/v1/chat/completions"
         async with (
             httpx.AsyncClient(
-                timeout=PATIENCE, headers=self.headers, verify=_SSL
+                timeout=ANSWER_TIMEOUT, headers=self.headers, verify=_SSL
             ) as client,
             client.stream("POST", url, json=body) as response,
         ):
@@ -115,9 +115,9 @@
         *,
         n_streams: int,
         n_tokens: int = 50,
-        disturb: Callable[[], Awaitable[None] | None],
+        inject_fault: Callable[[], Awaitable[None] | None],
     ) -> list[Answer]:
-        """Read streams with distinct prompts; call ``disturb`` once half have begun."""
+        """Read distinct streams; call ``inject_fault`` once half of them have begun."""
         entries = list(entries)
         started: set[int] = set()
         half_started = asyncio.Event()
@@ -138,15 +138,15 @@
             )
             for index in range(n_streams)
         ]
-        await asyncio.wait_for(half_started.wait(), PATIENCE)
-        disturbance = disturb()
+        await asyncio.wait_for(half_started.wait(), ANSWER_TIMEOUT)
+        disturbance = inject_fault()
         if disturbance is not None:
             await disturbance
         return list(await asyncio.gather(*streams))
 
     async def is_ready(self, entry: EntryHost) -> bool:
         """Return whether a host reports that it is ready for a balancer's requests."""
-        async with httpx.AsyncClient(timeout=PATIENCE, verify=_SSL) as client:
+        async with httpx.AsyncClient(timeout=ANSWER_TIMEOUT, verify=_SSL) as client:
             try:
                 answer = await client.get(f"{entry.url}/readyz")
             except httpx.TransportError:
@@ -154,7 +154,7 @@
         return answer.status_code == 200
 
     def book(
-        self, entry: EntryHost, key: str, *, timeout: float = PATIENCE
+        self, entry: EntryHost, key: str, *, timeout: float = ANSWER_TIMEOUT
     ) -> httpx.Response:
         """Send a booking request, which must run at most once."""
         return httpx.post(
@@ -164,7 +164,7 @@
             timeout=timeout,
         )
 
-    def book_until_taken(self, entry: EntryHost, key: str) -> httpx.Response:
+    def book_until_accepted(self, entry: EntryHost, key: str) -> httpx.Response:
         """Repeat a booking request until it succeeds, and return the answer."""
 
         def taken() -> httpx.Response | None:
@@ -174,7 +174,7 @@
         return wait_until(taken, what=f"{entry.address} answers the booking")
 
     @contextlib.contextmanager
-    def booking(self, entry: EntryHost, key: str) -> Iterator[None]:
+    def open_booking(self, entry: EntryHost, key: str) -> Iterator[None]:
         """Send a booking request and close the connection without reading an answer."""
         body = b'{"dog":"Rex"}'
         headers = self.headers | {
@@ -185,7 +185,9 @@
         lines = [f"{name}: {value}" for name, value in headers.items()]
         head = "\r\n".join(["POST /services/bookings/bookings HTTP/1.1", *lines])
         host, _, port = entry.address.rpartition(":")
-        with socket.create_connection((host, int(port)), timeout=PATIENCE) as sock:
+        with socket.create_connection(
+            (host, int(port)), timeout=ANSWER_TIMEOUT
+        ) as sock:
             sock.sendall(head.encode() + b"\r\n\r\n" + body)
             yield
 
--- a/tests/test_system/test_claims.py
+++ b/tests/test_system/test_claims.py
@@ -125,7 +125,7 @@
     else:
         assert error_of(answer)["run_state"] == "outcome_unknown"
         assert fleet.n_runs() == []
-    caller.book_until_taken(fleet.entries_by_name["e2"], key)
+    caller.book_until_accepted(fleet.entries_by_name["e2"], key)
     assert fleet.n_runs() == [1]
 
 
@@ -147,7 +147,7 @@
     assert all(int(answer.headers["Retry-After"]) > 0 for answer in answers)
     assert fleet.n_runs() == []
     fleet.control("log", outage=False)
-    caller.book_until_taken(entry, key)
+    caller.book_until_accepted(entry, key)
     assert fleet.n_runs() == [1]
 
 
@@ -168,7 +168,7 @@
     assert first.wait().status_code == 201
     fleet.control("log", outage=False)
     entry = fleet.entries_by_name["e2"]
-    caller.book_until_taken(entry, key)
+    caller.book_until_accepted(entry, key)
     assert fleet.n_runs() == [1]
 
 
@@ -185,7 +185,7 @@
     answer = caller.book(fleet.entries_by_name["e1"], key)
     assert answer.status_code == 201, answer.text
     entry = fleet.entries_by_name["e2"]
-    caller.book_until_taken(entry, key)
+    caller.book_until_accepted(entry, key)
     assert fleet.n_runs() == [1]
 
 
@@ -200,7 +200,7 @@
     fleet.start_world()
     caller, key = Caller(fleet), new_key()
     fleet.control("service", hold_answers=True)
-    with caller.booking(fleet.entries_by_name["e1"], key):
+    with caller.open_booking(fleet.entries_by_name["e1"], key):
         wait_until(lambda: fleet.n_runs() == [1], what="the booking runs")
     first = fleet.entries_by_name["e1"]
     wait_until(
@@ -209,6 +209,6 @@
     )
     fleet.control("service", hold_answers=False)
     entry = fleet.entries_by_name["e2"]
-    answer = caller.book_until_taken(entry, key)
+    answer = caller.book_until_accepted(entry, key)
     assert answer.headers["Ryelever-Replayed"] == "true"
     assert fleet.n_runs() == [1]
--- a/tests/test_system/test_drain.py
+++ b/tests/test_system/test_drain.py
@@ -89,7 +89,7 @@
 
     answers = asyncio.run(_under_load(fleet, roll, n_callers=12))
     assert len(answers) > 100
-    assert [answer.error for answer in answers if not answer.whole] == []
+    assert [answer.error for answer in answers if not answer.is_complete] == []
 
 
 def test_drain_under_load(fleet: Fleet) -> None:
@@ -113,10 +113,10 @@
         late.append(await caller.stream(entry, "after the grace"))
 
     answers = asyncio.run(
-        caller.stream_all([entry], n_streams=30, n_tokens=150, disturb=drain)
+        caller.stream_all([entry], n_streams=30, n_tokens=150, inject_fault=drain)
     )
-    assert [answer.error for answer in answers if not answer.whole] == []
-    assert late[0].whole
+    assert [answer.error for answer in answers if not answer.is_complete] == []
+    assert late[0].is_complete
     assert late[1].error["code"] == "draining"
     assert late[1].error["run_state"] == "not_run"
     wait_until(lambda: entry.process.exit_code is not None, what="the host ends")
@@ -139,9 +139,11 @@
         entry.process.send(signal.SIGTERM)
 
     answers = asyncio.run(
-        Caller(fleet).stream_all([entry], n_streams=10, n_tokens=5000, disturb=drain)
+        Caller(fleet).stream_all(
+            [entry], n_streams=10, n_tokens=5000, inject_fault=drain
+        )
     )
-    assert all(answer.honest for answer in answers)
+    assert all(answer.is_partial_with_error for answer in answers)
     assert {answer.error["code"] for answer in answers} == {"shutting_down"}
     wait_until(lambda: entry.process.exit_code is not None, what="the host ends")
     assert entry.process.exit_code == 3
@@ -171,5 +173,5 @@
     wait_until(lambda: entry.process.exit_code is not None, what="the host ends")
     assert entry.process.exit_code == 0
     other = fleet.entries_by_name["e2"]
-    caller.book_until_taken(other, key)
+    caller.book_until_accepted(other, key)
     assert fleet.n_runs() == [1]
--- a/tests/test_system/test_faults.py
+++ b/tests/test_system/test_faults.py
@@ -9,7 +9,7 @@
 import httpx
 import pytest
 
-from ..callers import PATIENCE, Answer, Caller
+from ..callers import ANSWER_TIMEOUT, Answer, Caller
 from ..processes import EntryHost, Fleet, free_udp_addresses, wait_until
 
 
@@ -59,10 +59,10 @@
             fleet.entries_by_name.values(),
             n_streams=100,
             n_tokens=100,
-            disturb=kill_member,
+            inject_fault=kill_member,
         )
     )
-    assert [answer.error for answer in answers if not answer.whole] == []
+    assert [answer.error for answer in answers if not answer.is_complete] == []
     n_retries = sum(
         len(entry.process.events("attempt_failed"))
         for entry in fleet.entries_by_name.values()
@@ -87,9 +87,11 @@
 
     caller = Caller(fleet)
     answers = asyncio.run(
-        caller.stream_all(fleet.entries_by_name.values(), n_streams=30, disturb=freeze)
+        caller.stream_all(
+            fleet.entries_by_name.values(), n_streams=30, inject_fault=freeze
+        )
     )
-    assert [answer.error for answer in answers if not answer.whole] == []
+    assert [answer.error for answer in answers if not answer.is_complete] == []
     wait_until(
         lambda: all(
             frozen[0] not in group["members"] or not group["whole"]
@@ -100,7 +102,7 @@
     )
     entry = fleet.entries_by_name["e1"]
     late = asyncio.run(caller.stream(entry, "after the freeze", n_tokens=3))
-    assert late.whole
+    assert late.is_complete
 
 
 def test_first_token_of_a_frozen_leader(fleet: Fleet) -> None:
@@ -123,7 +125,7 @@
         return list(await asyncio.gather(*streams))
 
     answers = asyncio.run(run())
-    assert [answer.error for answer in answers if not answer.whole] == []
+    assert [answer.error for answer in answers if not answer.is_complete] == []
     metrics = httpx.get(f"{entry.url}/metrics", timeout=5).text
     (n_retries,) = re.findall(r"retries\{?[^ ]* (\d+)", metrics)
     assert int(n_retries) > 0, "no request was on the frozen leader"
@@ -151,9 +153,11 @@
         ]
         for entry in entries:
             answer = await caller.stream(entry, poison)
-            assert answer.honest
+            assert answer.is_partial_with_error
         answers = await asyncio.gather(*bystanders)
-        assert all(answer.whole or answer.honest for answer in answers)
+        assert all(
+            answer.is_complete or answer.is_partial_with_error for answer in answers
+        )
 
     asyncio.run(run())
 
@@ -193,13 +197,16 @@
             )
             for index in range(10)
         ]
-        await asyncio.wait_for(all_begun.wait(), PATIENCE)
+        await asyncio.wait_for(all_begun.wait(), ANSWER_TIMEOUT)
         for index in range(4):
             entry = hosts[index % len(hosts)]
             answer = await caller.stream(entry, "please crash-the-engine")
-            assert answer.honest and answer.error["code"] == "request_quarantined"
+            assert (
+                answer.is_partial_with_error
+                and answer.error["code"] == "request_quarantined"
+            )
         answers = await asyncio.gather(*bystanders)
-        assert [answer.error for answer in answers if not answer.whole] == []
+        assert [answer.error for answer in answers if not answer.is_complete] == []
 
     asyncio.run(run())
     leaders = [f"d{index}-0" for index in range(n_groups)]
--- a/tests/test_system/test_leaving.py
+++ b/tests/test_system/test_leaving.py
@@ -86,7 +86,7 @@
     members = start_two_groups(fleet)
     rank_0, leaver = members[0], members[rank]
     before = asyncio.run(streams(fleet, step="before"))
-    assert all(answer.whole for answer in before)
+    assert all(answer.is_complete for answer in before)
     assert n_asked(fleet, [rank_0])[rank_0] > 0
 
     leave(fleet, leaver)
@@ -94,5 +94,5 @@
     asked = n_asked(fleet, [rank_0])
     after = asyncio.run(streams(fleet, step="after"))
 
-    assert [answer.error for answer in after if not answer.whole] == []
+    assert [answer.error for answer in after if not answer.is_complete] == []
     assert n_asked(fleet, [rank_0]) == asked
--- a/tests/test_system/test_log_outage.py
+++ b/tests/test_system/test_log_outage.py
@@ -70,7 +70,7 @@
     assert {answer.status_code for answer in refused} == {503}
     assert {error_of(answer)["run_state"] for answer in refused} == {"outcome_unknown"}
     bookings.control("log", outage=False)
-    booked, again = (caller.book_until_taken(entry, key) for entry in (e1, e2))
+    booked, again = (caller.book_until_accepted(entry, key) for entry in (e1, e2))
     assert again.content == booked.content
     assert set(bookings.n_runs()) == {1}
 
@@ -89,7 +89,7 @@
     answers = [caller.book(e1, key) for key in keys]
     assert [answer.status_code for answer in answers] == [201] * 5
     for key, answer in zip(keys, answers, strict=True):
-        assert caller.book_until_taken(e2, key).content == answer.content
+        assert caller.book_until_accepted(e2, key).content == answer.content
     assert bookings.n_runs() == [1] * 5
 
 
@@ -144,7 +144,7 @@
     refused = caller.book(e2, new_key())
     assert (refused.status_code, error_of(refused)["code"]) == (503, "log_unavailable")
     _append(bookings, stream, whole.to_snapshot(snapshot="test"))
-    again = caller.book_until_taken(e2, key)
+    again = caller.book_until_accepted(e2, key)
     assert again.content == booked.content
     assert e2.process.events("records_lost")
     assert e2.process.events("snapshot_restored")
--- a/tests/test_system/test_promises.py
+++ b/tests/test_system/test_promises.py
@@ -103,7 +103,7 @@
 
     wait_until(refused, what="bookings are refused")
     chat = asyncio.run(caller.stream(cut, "notes of the gate", n_tokens=20))
-    assert chat.whole, chat
+    assert chat.is_complete, chat
     again = caller.book(cut, before)
     assert (again.status_code, again.content) == (201, first.content)
     assert caller.book(cut, during).status_code == 503
--- a/tests/test_system/test_silent.py
+++ b/tests/test_system/test_silent.py
@@ -32,10 +32,10 @@
             fleet.entries_by_name.values(),
             n_streams=40,
             n_tokens=100,
-            disturb=silence,
+            inject_fault=silence,
         )
     )
-    assert [answer.error for answer in answers if not answer.whole] == []
+    assert [answer.error for answer in answers if not answer.is_complete] == []
     assert sum(fleet.counts(f"{name}-cut")["n_silenced"] for name in LEADERS) > 30
 
 
@@ -99,7 +99,7 @@
         return await asyncio.gather(*streams)
 
     answers = asyncio.run(run())
-    assert [answer.error for answer in answers if not answer.whole] == []
+    assert [answer.error for answer in answers if not answer.is_complete] == []
     assert entry.process.events("attempt_failed")
 
 
