--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -20,7 +20,7 @@
 from ryelever.coordination.actions import Arrival, ChatWork
 from ryelever.coordination.admission.admission import Admitted, Queued, Refused
 from ryelever.coordination.admission.capacity import FixedCapacity
-from ryelever.coordination.admission.fair import FairAdmission
+from ryelever.coordination.admission.fair_admission import FairAdmission
 from ryelever.coordination.limits.limits import AccountLimits
 from ryelever.state.configuration import ClientAccount
 from ryelever.state.observations import DemandRow
--- a/benchmarks/admission_lending.py
+++ b/benchmarks/admission_lending.py
@@ -18,7 +18,7 @@
 from ryelever.coordination.actions import Arrival, ChatWork, Target
 from ryelever.coordination.admission.admission import Admitted, Refused
 from ryelever.coordination.admission.capacity import GroupCapacity
-from ryelever.coordination.admission.fair import FairAdmission
+from ryelever.coordination.admission.fair_admission import FairAdmission
 from ryelever.coordination.confirmation import Confirmations
 from ryelever.coordination.limits.limits import AccountLimits
 from ryelever.state.configuration import ClientAccount
@@ -128,7 +128,7 @@
         capacity = GroupCapacity(
             targets=lambda arrival, now: self._targets,
             confirmations=confirmations,
-            batch=lambda: BATCH,
+            batch_size=lambda: BATCH,
             n_hosts=lambda: n_hosts,
             n_hosts_waiting=lambda now: limits.n_hosts_waiting(now=now),
         )
@@ -273,7 +273,7 @@
                 running=len(group.running),
                 waiting=len(group.queued),
             )
-            host.confirmations.reported(report, asked_at=self.now)
+            host.confirmations.reported(report, requested_at=self.now)
             own = host.n_in_flight_by_group[number]
             host.others_by_group[number] = report.running + report.waiting - own
 
--- a/benchmarks/day_of_faults_baseline.py
+++ b/benchmarks/day_of_faults_baseline.py
@@ -45,7 +45,7 @@
 
     def tick(self, view: PlannerView, *, now: float) -> list[Action]:
         """Decide, if a read has just come back."""
-        actions = self.lease.tick(view.placement, wanted=True, now=now)
+        actions = self.lease.tick(view.placement, can_plan=True, now=now)
         for group in view.live_groups:
             if view.confirmations.is_complete(group, now=now):
                 self._was_complete.add(group.name)
@@ -54,7 +54,7 @@
         self._read_at = now
         if not self.lease.holds(view.placement, now=now):
             return actions
-        self._decisions.settle(view.placement, now=now)
+        self._decisions.remove_confirmed(view.placement, now=now)
         for group in list(view.placement.groups_by_name.values()):
             if group.dissolved:
                 actions += self._release(group, view, now=now)
@@ -71,7 +71,7 @@
             record = GroupDissolved(
                 group=group.name, lease=view.placement.lease.tenure, reason="lost"
             )
-            return self._decisions.once(record, key=group.name, now=now)
+            return self._decisions.append_once(record, key=group.name, now=now)
         return self._orders.join(group, view, now=now)
 
     def _release(self, group: Group, view: PlannerView, *, now: float) -> list[Action]:
@@ -89,12 +89,12 @@
                     lease=view.placement.lease.tenure,
                     evidence="left",
                 )
-                actions += self._decisions.once(record, key=host, now=now)
+                actions += self._decisions.append_once(record, key=host, now=now)
         return actions
 
     def _form(self, view: PlannerView, *, now: float) -> list[Action]:
         actions: list[Action] = []
-        taken = self._decisions.taken
+        taken = self._decisions.pending_hosts
         free = [
             host
             for host in sorted(view.hosts_by_name)
@@ -105,7 +105,7 @@
         ]
         for name, model in view.configuration.models.items():
             n_missing = model.n_groups - len(view.groups_of(name))
-            for _ in range(n_missing - self._decisions.n_forming(name)):
+            for _ in range(n_missing - self._decisions.n_pending_groups(name)):
                 members = tuple(free[: model.hosts_per_group])
                 if len(members) < model.hosts_per_group:
                     break
@@ -119,5 +119,5 @@
                     lease=view.placement.lease.tenure,
                     configuration_version=0,
                 )
-                actions += self._decisions.form(record, now=now)
+                actions += self._decisions.append_group(record, now=now)
         return actions
--- a/benchmarks/limits_exchange.py
+++ b/benchmarks/limits_exchange.py
@@ -95,7 +95,7 @@
         live = [self.hosts[index] for index in chosen if self.hosts[index].alive]
         return sum(host.part for host in live) / self.limit
 
-    def places(self) -> float:
+    def concurrency_shares(self) -> float:
         """Return the sum of concurrency parts over the limit."""
         return (
             sum(
--- a/benchmarks/request_table.py
+++ b/benchmarks/request_table.py
@@ -76,7 +76,7 @@
     def available(self, *, now):
         return True
 
-    def knows(self, key, *, since):
+    def has_all_claims(self, key, *, since):
         return True
 
     def lookup(self, key):
--- a/benchmarks/retry.py
+++ b/benchmarks/retry.py
@@ -25,7 +25,7 @@
     def succeeded(self, *, now: float) -> None:
         """Do nothing."""
 
-    def died(self, target: str, *, now: float) -> None:
+    def record_death(self, target: str, *, now: float) -> None:
         """Do nothing."""
 
     def allow(self, *, n_attempts: int, now: float) -> bool:
@@ -54,7 +54,7 @@
                 n_answered += 1
                 break
             if deaths:
-                policy.died(f"g-{generator.randrange(N_TARGETS)}", now=now)
+                policy.record_death(f"g-{generator.randrange(N_TARGETS)}", now=now)
             if not policy.allow(n_attempts=n_tried, now=now):
                 break
         n_attempts += n_tried
@@ -120,9 +120,9 @@
         for fleet in fleets:
             for name in fleet.groups:
                 if now < dead_until.get(name, 0.0):
-                    fleet.confirmations.unreachable(f"{name}-0")
+                    fleet.confirmations.record_unreachable(f"{name}-0")
                 else:
-                    fleet.report(f"{name}-0", asked_at=now)
+                    fleet.report(f"{name}-0", requested_at=now)
         if step % 5 == 0:
             _exchange(fleets, now=now)
         for key in [key for key, one in running.items() if one[3] <= now]:
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -23,7 +23,7 @@
 from benchmarks.routing_trials import HintedRouter, RoundRobinRouter, ScoredRouter
 from ryelever.coordination.actions import Arrival
 from ryelever.coordination.admission.capacity import GroupCapacity
-from ryelever.coordination.routing.plain import LeastInFlightRouter
+from ryelever.coordination.routing.least_in_flight import LeastInFlightRouter
 
 SEEDS = (11, 12)
 ZONES = {"a": 12, "b": 12}
@@ -104,11 +104,11 @@
                 self.driver.at(
                     now + REPORT_LAG,
                     lambda fleet=fleet, name=name, n=running, w=waiting: fleet.report(
-                        f"{name}-0", asked_at=now, running=n, waiting=w
+                        f"{name}-0", requested_at=now, running=n, waiting=w
                     ),
                 )
                 if not now:
-                    fleet.report(f"{name}-0", asked_at=now, running=running)
+                    fleet.report(f"{name}-0", requested_at=now, running=running)
         for peer, teller in self.fleets:
             rows = teller.loads.observations(now=now)
             for host, fleet in self.fleets:
@@ -269,7 +269,7 @@
     print("processor time of choose, started and ended, groups of 4 in one zone")
     for n_groups in (10, 100, 800):
         fleet = FakeFleet(zones={"a": n_groups}, members=4)
-        fleet.report_all(asked_at=0.0)
+        fleet.report_all(requested_at=0.0)
         plain = LeastInFlightRouter(targets=fleet.targets.for_arrival)
         for name, router, n_choices in (
             ("least own in flight", plain, 200),
@@ -283,11 +283,11 @@
     print("processor time of a look at the capacity, groups of 4 in one zone")
     for n_groups in (10, 100, 800):
         fleet = FakeFleet(zones={"a": n_groups}, members=4)
-        fleet.report_all(asked_at=0.0)
+        fleet.report_all(requested_at=0.0)
         capacity = GroupCapacity(
             targets=fleet.targets,
             confirmations=fleet.confirmations,
-            batch=lambda: 16,
+            batch_size=lambda: 16,
             n_hosts=lambda: 8,
             n_hosts_waiting=lambda now: 1,
         )
--- a/benchmarks/routing_fleet.py
+++ b/benchmarks/routing_fleet.py
@@ -132,7 +132,7 @@
         self,
         host: str,
         *,
-        asked_at: float,
+        requested_at: float,
         state: str = "ready",
         running: int = 0,
         waiting: int = 0,
@@ -151,13 +151,13 @@
             running=running,
             waiting=waiting,
         )
-        self.confirmations.reported(report, asked_at=asked_at)
+        self.confirmations.reported(report, requested_at=requested_at)
 
-    def report_all(self, *, asked_at: float) -> None:
+    def report_all(self, *, requested_at: float) -> None:
         """Take a report of every engine."""
         for host, listed in self.hosts_by_name.items():
             if listed.kind == "engine":
-                self.report(host, asked_at=asked_at)
+                self.report(host, requested_at=requested_at)
 
     def relist(self, host: str, *, state: str) -> None:
         """Let the platform's list name another state."""
--- a/benchmarks/routing_trials.py
+++ b/benchmarks/routing_trials.py
@@ -125,7 +125,7 @@
         chosen = plain
         if hinted is not None and hinted not in tried:
             found = self._fleet.targets.candidates(arrival.work, now=now)
-            by_name = {one.name: one for one in found.own_zone}
+            by_name = {one.name: one for one in found.local_zone}
             if hinted in by_name and plain.name in by_name:
                 loads = self._fleet.loads
                 other = loads.estimate(by_name[plain.name], now=now)
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -90,7 +90,7 @@
 
     def choose(n_groups: int) -> float:
         fleet = FakeFleet(zones={"a": n_groups}, members=4)
-        fleet.report_all(asked_at=0.0)
+        fleet.report_all(requested_at=0.0)
         chosen = fleet.router(seed=seed)
         arrivals = [chat(f"{n:>300}", now=0.1, fingerprint=str(n)) for n in range(500)]
         arrival = iter(arrivals * 4)
@@ -104,7 +104,7 @@
 
     def build(n_groups: int) -> object:
         fleet = FakeFleet(zones={"a": n_groups}, members=4)
-        fleet.report_all(asked_at=0.0)
+        fleet.report_all(requested_at=0.0)
         return fleet, fleet.targets.for_arrival(chat(), now=0.1)
 
     yield Slope(
--- a/benchmarks/slopes_operators.py
+++ b/benchmarks/slopes_operators.py
@@ -39,7 +39,7 @@
     counts = dict.fromkeys(zones, n_groups // N_ZONES)
     counts["z0"] += n_groups % N_ZONES
     fleet = FakeFleet(zones=counts, members=4)
-    fleet.report_all(asked_at=time.monotonic())
+    fleet.report_all(requested_at=time.monotonic())
     application.placements_by_zone.update(fleet.placements_by_zone)
     application.fleet.hosts_by_name.update(fleet.hosts_by_name)
     application.confirmations.reports_by_host.update(
--- a/ryelever/application.py
+++ b/ryelever/application.py
@@ -9,7 +9,7 @@
 from circuits import BaseComponent, handler
 
 from .addresses import split_address
-from .console.assembly import console_of
+from .console.assembly import build_console
 from .coordination.confirmation import Confirmations
 from .coordination.limits import AccountLimits
 from .coordination.planner import Planner
@@ -133,7 +133,7 @@
             hosts_by_name=self.fleet.hosts_by_name,
             confirmations=self.confirmations,
         )
-        self.console = console_of(self)
+        self.console = build_console(self)
         self.dump = Dump(application=self)
         self.serving = Serving(
             settings=settings,
@@ -214,7 +214,7 @@
             has_placement=placement.caught_up_at != float("-inf"),
             n_unreported=self.fleet.n_unreported(),
         )
-        return self._readiness.look(inputs, now=time.monotonic())
+        return self._readiness.update(inputs, now=time.monotonic())
 
     def _in_flight(self) -> InFlight:
         streams = self.streams.streams_by_name
@@ -224,7 +224,7 @@
         return InFlight(
             n_requests=len(self.table.requests_by_id) + self.console.n_waiting,
             n_appends=sum(len(stream.writer.pending_by_id) for stream in claims),
-            n_unsent=self.callers.n_unsent(),
+            n_unsent=self.callers.n_waiting_callers(),
         )
 
     def _stop(self, exit_code: int) -> None:
--- a/ryelever/arrivals.py
+++ b/ryelever/arrivals.py
@@ -11,7 +11,7 @@
 
 from .accounts import account_of
 from .coordination.actions import Arrival, ChatWork, ServiceWork
-from .coordination.requests import KEY_IN_FUTURE, check_key, doubt
+from .coordination.requests import KEY_IN_FUTURE, check_key, mark_outcome_unknown
 from .errors import Category, RyeleverError
 from .protocol.openai import (
     fingerprint,
@@ -74,7 +74,7 @@
         key = request.headers.get(KEY_HEADER, "")
         if arrival.is_error() and key and issued_at(key) is not None:
             is_certain = arrival.error.code == KEY_IN_FUTURE
-            return arrival if is_certain else Error(doubt(arrival.error))
+            return arrival if is_certain else Error(mark_outcome_unknown(arrival.error))
         return arrival
 
     def _read(self, request: CallerRequest) -> Result[Arrival | None, RyeleverError]:
@@ -184,7 +184,7 @@
         # report "not run", although another host has claimed the key and run the
         # request.  The append time of that claim shows that the key is not too new.
         wall_time = max(time.time(), self._log_time())
-        checked = check_key(key, wall=wall_time) if key else Ok(0.0)
+        checked = check_key(key, wall_time=wall_time) if key else Ok(0.0)
         if checked.is_error():
             return checked
         now = time.monotonic()
--- a/ryelever/attempts.py
+++ b/ryelever/attempts.py
@@ -12,7 +12,7 @@
 from .events import OutboundRequest, outbound_cancel, outbound_flow, outbound_send
 from .logs import log_event
 from .protocol.backend import GenerateRequest
-from .protocol.outside import HTTP_ENGINE, HTTP_PLAIN_SERVICE
+from .protocol.external_systems import HTTP_ENGINE, HTTP_PLAIN_SERVICE
 from .protocol.sse import SseSplitter, SseTooLongError
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
     from .coordination.requests import RequestTable
     from .events import AnswerHead, AttemptData, OutboundAnswer, OutboundFailure
     from .protocol.backend import StreamItem
-    from .protocol.outside import EngineInterface, PlainServiceInterface
+    from .protocol.external_systems import EngineInterface, PlainServiceInterface
     from .settings import Settings
 
 __all__ = ["Attempts"]
@@ -122,10 +122,10 @@
             reply_channel="serving",
             step="generate",
             streamed=True,
-            fresh=not action.arrival.repeatable,
+            new_connection=not action.arrival.repeatable,
             progress_timeout=self._settings.progress_timeout,
             first_byte_timeout=self._settings.first_token_timeout,
-            send_before=action.arrival.deadline,
+            latest_start=action.arrival.deadline,
         )
 
     def _service_request(
@@ -141,10 +141,10 @@
             body=call.body,
             reply_channel="serving",
             step="call_service",
-            fresh=not action.arrival.repeatable,
+            new_connection=not action.arrival.repeatable,
             progress_timeout=self._settings.progress_timeout,
             first_byte_timeout=self._settings.service_timeout,
-            send_before=action.arrival.deadline,
+            latest_start=action.arrival.deadline,
         )
 
     def _abort(self, attempt_id: str, attempt: _Attempt) -> None:
@@ -169,7 +169,7 @@
             # An idle connection to this engine may use the same failed network path.
             # The cancellation would be lost in it unnoticed, because its answer is
             # not processed.
-            fresh=True,
+            new_connection=True,
             progress_timeout=self._settings.progress_timeout,
         )
         self._fire(outbound_send(request), "http_client")
@@ -186,7 +186,7 @@
         """Process a chunk of a streamed answer."""
         attempt = self._attempts_by_id.get(message.id)
         if attempt is None:
-            self._table.late_answer()
+            self._table.count_late_answer()
             return []
         if attempt.status != 200:
             attempt.error_text += message.data[:MAX_ERROR_TEXT]
@@ -223,7 +223,7 @@
     def answer(self, answer: OutboundAnswer) -> list[Action]:
         """Process the complete answer of a plain service."""
         if self._attempts_by_id.pop(answer.id, None) is None:
-            self._table.late_answer()
+            self._table.count_late_answer()
             return []
         has_not_run_header = answer.headers.get(NOT_RUN_HEADER, "").lower() == "true"
         return self._table.service_answered(
@@ -248,7 +248,7 @@
 
     def _process_item(self, attempt_id: str, item: StreamItem) -> list[Action]:
         if attempt_id not in self._attempts_by_id:
-            self._table.late_answer()
+            self._table.count_late_answer()
             return []
         if item.attempt != attempt_id:
             # The connection carries the answer to another request, which this
@@ -268,7 +268,7 @@
         return actions
 
     def _finish(self, attempt_id: str, item: StreamItem, *, now: float) -> list[Action]:
-        request = self._table.of_attempt(attempt_id)
+        request = self._table.request_of_attempt(attempt_id)
         if request is None:
             return []
         del self._attempts_by_id[attempt_id]
--- a/ryelever/caller_answers.py
+++ b/ryelever/caller_answers.py
@@ -14,7 +14,7 @@
 )
 from .logs import log_event
 from .protocol.openai import (
-    ChatStreamShape,
+    ChatStreamEncoder,
     chat_completion,
     error_body,
     error_event,
@@ -52,7 +52,7 @@
         self._fire = fire
         self._metrics = metrics
         self.arrivals_by_id: dict[str, Arrival] = {}
-        self._shapes_by_request: dict[str, ChatStreamShape] = {}
+        self._shapes_by_request: dict[str, ChatStreamEncoder] = {}
 
     def expect(self, arrival: Arrival) -> None:
         """Store a request whose answer will be sent later."""
@@ -71,14 +71,14 @@
         data = self._shape(request_id).tokens(action.tokens)
         self._fire(caller_stream_data(request_id, data), "callers")
 
-    def _shape(self, request_id: str) -> ChatStreamShape:
+    def _shape(self, request_id: str) -> ChatStreamEncoder:
         shape = self._shapes_by_request.get(request_id)
         return shape or self._start_stream(request_id)
 
-    def _start_stream(self, request_id: str) -> ChatStreamShape:
+    def _start_stream(self, request_id: str) -> ChatStreamEncoder:
         arrival = self.arrivals_by_id[request_id]
         self._metrics.observe("first_token", time.monotonic() - arrival.arrived_at)
-        shape = ChatStreamShape(
+        shape = ChatStreamEncoder(
             request_id=request_id,
             model=arrival.work.name,
             created=int(time.time()),
--- a/ryelever/cli.py
+++ b/ryelever/cli.py
@@ -15,8 +15,8 @@
 from .errors import RyeleverError
 from .exit_codes import ExitCode
 from .protocol.configuration_document import check_document
-from .settings import reference
-from .settings_files import checked_settings, print_faults, read_text
+from .settings import settings_table
+from .settings_files import load_settings, print_faults, read_text
 
 __all__ = ["main"]
 
@@ -67,7 +67,7 @@
     is_valid = True
     if settings is not None:
         text = read_text(settings)
-        is_valid &= text is not None and checked_settings(settings, text) is not None
+        is_valid &= text is not None and load_settings(settings, text) is not None
     if document is not None:
         is_valid &= _check_document(document)
     if not is_valid:
@@ -131,7 +131,7 @@
 
 def settings_reference() -> int:
     """Print the table of all settings in Markdown."""
-    _print_result(reference().rstrip("\n"))
+    _print_result(settings_table().rstrip("\n"))
     return ExitCode.OK
 
 
--- a/ryelever/console/assembly.py
+++ b/ryelever/console/assembly.py
@@ -12,13 +12,13 @@
 if TYPE_CHECKING:
     from ..entry_host import EntryHost
 
-__all__ = ["console_of"]
+__all__ = ["build_console"]
 
 #: Seconds of silence after which a peer no longer counts among the known entry hosts.
 MAX_PEER_SILENCE = 10.0
 
 
-def console_of(application: EntryHost) -> Console:
+def build_console(application: EntryHost) -> Console:
     """Return the console of one entry host."""
     history = application.fleet_history
     return Console(
@@ -41,7 +41,9 @@
     now = time.monotonic()
     for address, peer in exchange.peers_by_address.items():
         version = exchange.configuration.versions_by_address.get(address)
-        alive = peer.current is not None and now - peer.heard_at <= MAX_PEER_SILENCE
+        alive = (
+            peer.current is not None and now - peer.last_received_at <= MAX_PEER_SILENCE
+        )
         if alive and version is not None:
             versions_by_host[peer.name or address] = version
     return versions_by_host
--- a/ryelever/console/draft_pages.py
+++ b/ryelever/console/draft_pages.py
@@ -5,7 +5,11 @@
 import uuid
 from typing import TYPE_CHECKING, Any
 
-from ..protocol.configuration_document import canonical, check_document, difference
+from ..protocol.configuration_document import (
+    check_document,
+    encode_canonical,
+    list_changes,
+)
 from .answers import render_page
 from .forms import Draft, draft_of_document, draft_of_form, generate_keys
 from .sections import SECTIONS, WEIGHT_NAMES
@@ -138,8 +142,8 @@
             request,
             "review.html",
             session,
-            changes=difference(fold.configuration, document),
-            document=canonical(document).decode(),
+            changes=list_changes(fold.configuration, document),
+            document=encode_canonical(document).decode(),
             base_version=fold.version,
             overtaken=base_version < fold.version,
             behind=base_version > fold.version,
--- a/ryelever/console/forms.py
+++ b/ryelever/console/forms.py
@@ -18,7 +18,7 @@
 from ..accounts import hash_key, new_key
 from ..errors import Category, RyeleverError
 from ..faults import Fault
-from ..state.configuration_check import place_of
+from ..state.configuration_check import json_pointer
 from .sections import SECTIONS, WEIGHT_NAMES, Section, parse_number
 
 if TYPE_CHECKING:
@@ -209,7 +209,7 @@
         if row.name in entries:
             draft.faults.append(
                 Fault(
-                    place=place_of(section.name, row.name),
+                    place=json_pointer(section.name, row.name),
                     expected=f"only one {section.one} with this name",
                     remedy="rename one of them, or remove it",
                 )
--- a/ryelever/console/publications.py
+++ b/ryelever/console/publications.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ..state.configuration_fold import NOT_JUDGED
+from ..state.configuration_fold import NOT_EVALUATED
 
 if TYPE_CHECKING:
     from ..state.configuration_fold import ConfigurationFold
@@ -56,7 +56,7 @@
     for ignored in fold.ignored:
         # A repeated append is also in this list, with the same id and a later offset.
         if ignored.id == record_id and ignored.offset == offset:
-            was_evaluated = not ignored.reason.startswith(NOT_JUDGED)
+            was_evaluated = not ignored.reason.startswith(NOT_EVALUATED)
             kind = OutcomeKind.REJECTED if was_evaluated else OutcomeKind.UNKNOWN
             return Outcome(kind=kind, version=offset, reason=ignored.reason)
     if fold.version == offset:
--- a/ryelever/coordination/actions.py
+++ b/ryelever/coordination/actions.py
@@ -190,7 +190,7 @@
 
     Attributes
     ----------
-    kept_for : float
+    retry_for : float
         Seconds during which the append may be retried; 0 selects the default
         deadline of appends.
     """
@@ -198,7 +198,7 @@
     stream: str
     record: Record
     record_id: str
-    kept_for: float = 0.0
+    retry_for: float = 0.0
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
--- a/ryelever/coordination/admission/__init__.py
+++ b/ryelever/coordination/admission/__init__.py
@@ -6,7 +6,7 @@
 
 from .admission import Admission, Queued, Refused
 from .capacity import GroupCapacity
-from .fair import FairAdmission
+from .fair_admission import FairAdmission
 
 __all__ = [
     "Admission",
--- a/ryelever/coordination/admission/capacity.py
+++ b/ryelever/coordination/admission/capacity.py
@@ -125,12 +125,12 @@
     ----------
     n_requests : int
         Running and waiting requests.
-    asked_at : float or None
+    requested_at : float or None
         Monotonic time at which the report was requested; None without a report.
     """
 
     n_requests: int = 0
-    asked_at: float | None = None
+    requested_at: float | None = None
 
 
 @dataclass(slots=True, kw_only=True)
@@ -166,7 +166,7 @@
     ----------
     targets : CandidateView
         Lists the groups and services, and checks which of them may serve.
-    batch : callable
+    batch_size : callable
         Return the number of requests that one group runs at a time.
     n_hosts : callable
         Return the number of entry hosts, at least 1.
@@ -179,13 +179,13 @@
         *,
         targets: CandidateView,
         confirmations: Confirmations,
-        batch: Callable[[], int],
+        batch_size: Callable[[], int],
         n_hosts: Callable[[], int],
         n_hosts_waiting: Callable[[float], int],
     ) -> None:
         self._targets = targets
         self._confirmations = confirmations
-        self._batch = batch
+        self._batch_size = batch_size
         self._n_hosts = n_hosts
         self._n_hosts_waiting = n_hosts_waiting
         self._pools_by_name: dict[str, _PoolState] = {}
@@ -220,7 +220,7 @@
         found = self._targets.candidates(arrival.work, now=now)
         reports: list[_ReportedLoad] = []
         for is_local, candidates in (
-            (True, found.own_zone),
+            (True, found.local_zone),
             (False, found.other_zones),
         ):
             zone = (pool_of(arrival), is_local)
@@ -228,11 +228,11 @@
             if reports:
                 break
         pool.refreshed_at = now
-        pool.n_batch = len(reports) * self._batch()
-        asked_at = [
-            report.asked_at for report in reports if report.asked_at is not None
+        pool.n_batch = len(reports) * self._batch_size()
+        requested_at = [
+            report.requested_at for report in reports if report.requested_at is not None
         ]
-        mean_asked_at = sum(asked_at) / len(asked_at) if asked_at else now
+        mean_asked_at = sum(requested_at) / len(requested_at) if requested_at else now
         n_reported = sum(report.n_requests for report in reports)
         pool.n_peer_requests = max(0, n_reported - pool.n_local_at(mean_asked_at))
 
@@ -240,7 +240,7 @@
         found = self._targets.candidates(arrival.work, now=now)
         return any(
             self._targets.target(candidate, now=now) is not None
-            for candidates in (found.own_zone, found.other_zones)
+            for candidates in (found.local_zone, found.other_zones)
             for candidate in candidates
         )
 
@@ -288,7 +288,7 @@
             return _ReportedLoad()
         return _ReportedLoad(
             n_requests=report.running + report.waiting,
-            asked_at=self._confirmations.reports_by_host[host].asked_at,
+            requested_at=self._confirmations.reports_by_host[host].requested_at,
         )
 
 
--- a/ryelever/coordination/confirmation.py
+++ b/ryelever/coordination/confirmation.py
@@ -9,23 +9,23 @@
     from ..state.fleet import HostReport
     from ..state.placement import Group
 
-__all__ = ["Confirmations", "FreshReport"]
+__all__ = ["Confirmations", "LatestReport"]
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class FreshReport:
+class LatestReport:
     """Represent a host's report and the time at which it was requested.
 
     Attributes
     ----------
-    asked_at : float
+    requested_at : float
         Monotonic time on this entry host's clock, taken before the request was sent.
         If age were counted from the answer, a report that a paused host composed
         long ago would count as fresh.
     """
 
     report: HostReport
-    asked_at: float
+    requested_at: float
 
 
 class Confirmations:
@@ -39,20 +39,20 @@
 
     def __init__(self, *, max_age: float) -> None:
         self.max_age = max_age
-        self.reports_by_host: dict[str, FreshReport] = {}
+        self.reports_by_host: dict[str, LatestReport] = {}
         self.n_refused_by_host: dict[str, int] = {}
 
-    def reported(self, report: HostReport, *, asked_at: float) -> None:
+    def reported(self, report: HostReport, *, requested_at: float) -> None:
         """Record a report unless a report that was requested later is known."""
         known = self.reports_by_host.get(report.host)
-        if known is not None and known.asked_at > asked_at:
+        if known is not None and known.requested_at > requested_at:
             return
-        self.reports_by_host[report.host] = FreshReport(
-            report=report, asked_at=asked_at
+        self.reports_by_host[report.host] = LatestReport(
+            report=report, requested_at=requested_at
         )
         self.n_refused_by_host.pop(report.host, None)
 
-    def unreachable(self, host: str) -> None:
+    def record_unreachable(self, host: str) -> None:
         """Drop the report of a host that refused or broke a connection."""
         self.reports_by_host.pop(host, None)
         self.n_refused_by_host[host] = self.n_refused_by_host.get(host, 0) + 1
@@ -64,7 +64,7 @@
     def fresh(self, host: str, *, now: float) -> HostReport | None:
         """Return the host's report if the report is not older than ``max_age``."""
         known = self.reports_by_host.get(host)
-        if known is None or now - known.asked_at > self.max_age:
+        if known is None or now - known.requested_at > self.max_age:
             return None
         return known.report
 
--- a/ryelever/coordination/lease.py
+++ b/ryelever/coordination/lease.py
@@ -88,13 +88,13 @@
         )
 
     def tick(
-        self, placement: PlacementFold, *, wanted: bool, now: float
+        self, placement: PlacementFold, *, can_plan: bool, now: float
     ) -> list[Action]:
         """Return the append that takes or renews the lease, when it is due.
 
         Parameters
         ----------
-        wanted : bool
+        can_plan : bool
             Whether this process is able to plan.  A process that isn't lets its lease
             expire, and another one takes the lease.
         """
@@ -110,11 +110,11 @@
         if offset != self._lease_offset:
             self._lease_offset, self._lease_seen_at = offset, now
             self._update_validity(placement, now=now)
-        if self._returned or not wanted or not self._is_due(placement, now=now):
+        if self._returned or not can_plan or not self._is_due(placement, now=now):
             return []
         return [self._append_lease(offset, term=self._term, now=now)]
 
-    def log_is_away(self, *, now: float) -> bool:
+    def is_log_unreachable(self, *, now: float) -> bool:
         """Return whether the log counts as unreachable because the lease expired.
 
         While the log answers, either the holder renews the lease within its term or
@@ -126,7 +126,7 @@
         since = max(self._lease_seen_at, self._ticking_since)
         return now >= since + self._term * TERMS_BEFORE_LOG_IS_AWAY
 
-    def give_back(self, placement: PlacementFold, *, now: float) -> list[Action]:
+    def release(self, placement: PlacementFold, *, now: float) -> list[Action]:
         """Return the append that returns the lease; this host never holds it again."""
         held = self.holds(placement, now=now)
         self._returned = True
--- a/ryelever/coordination/log_reader.py
+++ b/ryelever/coordination/log_reader.py
@@ -32,7 +32,14 @@
     from ..state.fold import BaseFold
     from ..state.records import Entry, SnapshotPart
 
-__all__ = ["LONG_READ_WAIT", "READ_WAIT", "Applied", "LogReader", "Read", "ReadPage"]
+__all__ = [
+    "LONG_READ_WAIT",
+    "READ_WAIT",
+    "AppliedEntry",
+    "LogReader",
+    "Read",
+    "ReadPage",
+]
 
 #: Maximum number of records in a read.
 READ_LIMIT = 1000
@@ -91,7 +98,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Applied:
+class AppliedEntry:
     """Represent the result of applying an entry to the fold.
 
     Attributes
@@ -103,7 +110,7 @@
     seen_before : bool
         True if the entry was read before, and again after a return to an earlier
         offset.  Code that acts on records must not act on this one again.
-    certain : bool
+    is_certain : bool
         True if the entry took effect and no record is missing that could have
         prevented that.
     """
@@ -112,7 +119,7 @@
     reason: str | None
     repeated: bool
     seen_before: bool
-    certain: bool
+    is_certain: bool
 
 
 @dataclass(slots=True, kw_only=True)
@@ -167,7 +174,7 @@
         self._collector = SnapshotCollector()
 
     @property
-    def searching(self) -> bool:
+    def is_searching(self) -> bool:
         """Return whether the reader searches for a snapshot."""
         return self._search is not None
 
@@ -196,12 +203,14 @@
         self.problem = reason
         self._backoff.failed(now=now)
 
-    def read(self, page: ReadPage, *, asked_at: float, now: float) -> list[Applied]:
+    def process_page(
+        self, page: ReadPage, *, requested_at: float, now: float
+    ) -> list[AppliedEntry]:
         """Process the answer to a read and return the applied entries.
 
         Parameters
         ----------
-        asked_at : float
+        requested_at : float
             Monotonic time before the read was sent.
         """
         self._in_flight = False
@@ -223,11 +232,13 @@
         if self.fold.next_offset == 0 and is_long and not self._has_searched:
             self._begin_search(page)
             return []
-        return self._follow(page, asked_at=asked_at, now=now)
+        return self._follow(page, requested_at=requested_at, now=now)
 
     # Following the stream
 
-    def _follow(self, page: ReadPage, *, asked_at: float, now: float) -> list[Applied]:
+    def _follow(
+        self, page: ReadPage, *, requested_at: float, now: float
+    ) -> list[AppliedEntry]:
         applied = []
         for entry in sorted(page.entries, key=lambda entry: entry.offset):
             if entry.offset > self.fold.next_offset:
@@ -238,7 +249,7 @@
                     break
         end = self.fold.next_offset
         if end >= page.next:
-            self.caught_up_at = max(self.caught_up_at, asked_at)
+            self.caught_up_at = max(self.caught_up_at, requested_at)
         if not applied and end < page.next:
             self._record_gap_read(page, now=now)
         else:
@@ -246,22 +257,22 @@
             self._record_success()
         return applied
 
-    def _apply(self, entry: Entry) -> Applied:
+    def _apply(self, entry: Entry) -> AppliedEntry:
         first = self.fold.offset_of(entry.id)
         reason = self.fold.apply(entry)
         seen_before = entry.offset < self._reported_up_to
         self._reported_up_to = max(self._reported_up_to, entry.offset + 1)
-        return Applied(
+        return AppliedEntry(
             entry=entry,
             reason=reason,
             repeated=first is not None and first != entry.offset,
             seen_before=seen_before,
-            certain=reason is None and self.fold.complete,
+            is_certain=reason is None and self.fold.complete,
         )
 
     def _restored_by(self, entry: Entry) -> bool:
         parts = self._collector.add(entry)
-        if parts is None or not self.fold.improved_by(parts[0]):
+        if parts is None or not self.fold.is_improved_by(parts[0]):
             return False
         self._restore(parts)
         return True
@@ -274,7 +285,7 @@
             return
         self._n_gap_reads = 0
         after = [entry.offset for entry in page.entries if entry.offset > missing]
-        self.fold.lost(
+        self.fold.record_loss(
             before=min(after, default=missing + 1),
             reason=f"the log does not return the record at offset {missing}",
         )
@@ -337,7 +348,7 @@
             search.best = parts
 
     def _extend_search(self, search: _Search, *, oldest: float) -> None:
-        search.has_enough_history = self.fold.enough_history(
+        search.has_enough_history = self.fold.has_enough_history(
             oldest=oldest, newest=search.newest_time
         )
         if search.low <= search.first or search.has_enough_history:
@@ -356,7 +367,7 @@
         ):
             self._restore(best)
         elif search.low > 0:
-            self.fold.lost(
+            self.fold.record_loss(
                 before=search.low,
                 reason=f"records before offset {search.low} have expired and no "
                 "snapshot of them was found",
--- a/ryelever/coordination/log_writer.py
+++ b/ryelever/coordination/log_writer.py
@@ -186,7 +186,7 @@
         self.n_records += len(batch)
         return batch
 
-    def give_up_late(self, *, now: float) -> list[Pending]:
+    def expire_pending(self, *, now: float) -> list[Pending]:
         """Remove and return the records whose deadline has passed."""
         late = [
             pending
--- a/ryelever/coordination/planner/__init__.py
+++ b/ryelever/coordination/planner/__init__.py
@@ -5,7 +5,7 @@
 or dissolved, and which hosts are released.
 """
 
-from .placement_history import Repairs
+from .placement_history import PlacementHistory
 from .planner import Planner
 from .view import ModelDemand, PlannerView
 
@@ -13,5 +13,5 @@
     "ModelDemand",
     "Planner",
     "PlannerView",
-    "Repairs",
+    "PlacementHistory",
 ]
--- a/ryelever/coordination/planner/decisions.py
+++ b/ryelever/coordination/planner/decisions.py
@@ -43,7 +43,7 @@
         self._decided_at_by_key: dict[str, float] = {}
         self.pending_groups_by_id: dict[str, PendingGroup] = {}
 
-    def settle(self, placement: PlacementFold, *, now: float) -> None:
+    def remove_confirmed(self, placement: PlacementFold, *, now: float) -> None:
         """Remove pending groups that were read back or whose append timed out."""
         for record_id, pending in list(self.pending_groups_by_id.items()):
             settled = placement.offset_of(record_id) is not None
@@ -51,7 +51,7 @@
                 del self.pending_groups_by_id[record_id]
 
     @property
-    def taken(self) -> set[str]:
+    def pending_hosts(self) -> set[str]:
         """Return the hosts of pending groups."""
         return {
             host
@@ -59,7 +59,7 @@
             for host in pending.members
         }
 
-    def n_forming(self, model: str) -> int:
+    def n_pending_groups(self, model: str) -> int:
         """Return the number of pending groups of a model."""
         return sum(
             pending.model == model for pending in self.pending_groups_by_id.values()
@@ -71,7 +71,7 @@
             pending.replaces == group for pending in self.pending_groups_by_id.values()
         )
 
-    def form(self, record: GroupFormed, *, now: float) -> list[Action]:
+    def append_group(self, record: GroupFormed, *, now: float) -> list[Action]:
         """Return the append of a new group, and record the group as pending."""
         record_id = self._new_id()
         self.pending_groups_by_id[record_id] = PendingGroup(
@@ -82,7 +82,7 @@
         )
         return [AppendRecord(stream=self._stream, record=record, record_id=record_id)]
 
-    def once(
+    def append_once(
         self,
         record: GroupDissolved | GroupDraining | HostReleased,
         *,
--- a/ryelever/coordination/planner/formation.py
+++ b/ryelever/coordination/planner/formation.py
@@ -136,7 +136,7 @@
     model_groups = [
         other for other in planning_pass.current if other.model == group.model
     ]
-    if planning_pass.decisions.n_forming(group.model):
+    if planning_pass.decisions.n_pending_groups(group.model):
         return True
     if not all(planning_pass.is_complete(other) for other in model_groups):
         return True
--- a/ryelever/coordination/planner/health.py
+++ b/ryelever/coordination/planner/health.py
@@ -160,7 +160,7 @@
             host
             for host in view.hosts_by_name
             if (known := view.confirmations.reports_by_host.get(host)) is not None
-            and now - known.asked_at > late_after
+            and now - known.requested_at > late_after
         }
         # If the reports of most hosts are late, this process was paused or cut off,
         # and the lateness is not counted against the hosts.
--- a/ryelever/coordination/planner/placement_history.py
+++ b/ryelever/coordination/planner/placement_history.py
@@ -13,7 +13,7 @@
     from ...state.placement import PlacementChange, PlacementFold
     from ..confirmation import Confirmations
 
-__all__ = ["RepairLine", "Repairs"]
+__all__ = ["PlacementHistoryLine", "PlacementHistory"]
 
 #: Maximum number of lines kept for the operator.
 MAX_LINES = 100
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class RepairLine:
+class PlacementHistoryLine:
     """Cause, decision and outcome of one change, for the operator.
 
     Attributes
@@ -54,12 +54,12 @@
         Whether the outcome is the end of the group, rather than its serving.
     """
 
-    line: RepairLine
+    line: PlacementHistoryLine
     since: float
     ends_group: bool
 
 
-class Repairs:
+class PlacementHistory:
     """Record the changes of placement in all zones and their outcomes."""
 
     def __init__(
@@ -72,7 +72,7 @@
         self._confirmations = confirmations
         self._next_offset_by_zone = dict.fromkeys(placements_by_zone, 0)
         self._pending: list[_PendingLine] = []
-        self.lines: list[RepairLine] = []
+        self.lines: list[PlacementHistoryLine] = []
 
     def observe(self, *, now: float) -> None:
         """Add lines for new records and update the outcomes of earlier lines."""
@@ -96,7 +96,7 @@
         decision = _decision(change)
         if not decision:
             return
-        line = RepairLine(
+        line = PlacementHistoryLine(
             time=change.time,
             availability_zone=zone,
             group=change.group,
--- a/ryelever/coordination/planner/planner.py
+++ b/ryelever/coordination/planner/planner.py
@@ -88,9 +88,9 @@
         """Return whether this planner holds a valid lease."""
         return self.lease.holds(view.placement, now=now)
 
-    def give_back_lease(self, view: PlannerView, *, now: float) -> list[Action]:
+    def release_lease(self, view: PlannerView, *, now: float) -> list[Action]:
         """Return the append that releases the lease for another entry host."""
-        return self.lease.give_back(view.placement, now=now)
+        return self.lease.release(view.placement, now=now)
 
     def tick(self, view: PlannerView, *, now: float) -> list[Action]:
         """Return the appends and orders that are due.
@@ -100,7 +100,7 @@
         """
         self._observe(view, now=now)
         sees_hosts = _sees_hosts(view, now=now)
-        actions = self.lease.tick(view.placement, wanted=sees_hosts, now=now)
+        actions = self.lease.tick(view.placement, can_plan=sees_hosts, now=now)
         if not sees_hosts:
             return actions
         if not self.holds_lease(view, now=now):
@@ -108,15 +108,15 @@
             # unavailable.  The groups of such a fold may have ended long ago, and a
             # restarted engine, which has lost its fencing number, would join one of
             # these ended groups again and again.
-            if view.placement.complete and self.lease.log_is_away(now=now):
+            if view.placement.complete and self.lease.is_log_unreachable(now=now):
                 actions += self._outage.tick(view, now=now)
             return actions
-        self._decisions.settle(view.placement, now=now)
+        self._decisions.remove_confirmed(view.placement, now=now)
         planning_pass = self._new_planning_pass(view, now=now)
         self._repair.observe(planning_pass)
         actions += self._release.tick(
             view,
-            taken=self._decisions.taken,
+            taken=self._decisions.pending_hosts,
             held_since=self.lease.held_since,
             now=now,
         )
@@ -145,7 +145,7 @@
                 view=view,
                 health=self._health,
                 orders=self._orders,
-                taken=self._decisions.taken,
+                taken=self._decisions.pending_hosts,
                 held_since=self.lease.held_since,
                 now=now,
             ),
--- a/ryelever/coordination/planner/planning_pass.py
+++ b/ryelever/coordination/planner/planning_pass.py
@@ -76,7 +76,7 @@
         """Return how many declared groups of a model neither exist nor are pending."""
         n_current = sum(group.model == model for group in self.current)
         n_wanted = self.view.configuration.models[model].n_groups
-        return n_wanted - n_current - self.decisions.n_forming(model)
+        return n_wanted - n_current - self.decisions.n_pending_groups(model)
 
     @property
     def declared(self) -> list[Group]:
@@ -109,7 +109,7 @@
             reason=reason,
             replaces=replaces,
         )
-        return self.decisions.form(record, now=self.now)
+        return self.decisions.append_group(record, now=self.now)
 
     def replace(self, group: Group, reason: str) -> list[Action]:
         """Return the append of a successor group of healthy members and spare hosts.
@@ -129,7 +129,9 @@
     def drain(self, group: Group, reason: str) -> list[Action]:
         """Return the append that starts draining a group: no new requests go there."""
         record = GroupDraining(group=group.name, lease=self.tenure, reason=reason)
-        return self.decisions.once(record, key=f"drain {group.name}", now=self.now)
+        return self.decisions.append_once(
+            record, key=f"drain {group.name}", now=self.now
+        )
 
     def dissolve(self, group: Group, reason: str) -> list[Action]:
         """Return the append that dissolves a group.
@@ -137,4 +139,6 @@
         The hosts of the group are released one by one afterwards.
         """
         record = GroupDissolved(group=group.name, lease=self.tenure, reason=reason)
-        return self.decisions.once(record, key=f"dissolve {group.name}", now=self.now)
+        return self.decisions.append_once(
+            record, key=f"dissolve {group.name}", now=self.now
+        )
--- a/ryelever/coordination/planner/release.py
+++ b/ryelever/coordination/planner/release.py
@@ -114,7 +114,9 @@
             lease=view.placement.lease.tenure,
             evidence=evidence,
         )
-        return self._decisions.once(record, key=f"release {group.name} {host}", now=now)
+        return self._decisions.append_once(
+            record, key=f"release {group.name} {host}", now=now
+        )
 
     def _order_unclaimed_host_to_leave(
         self, host: str, view: PlannerView, *, now: float
--- a/ryelever/coordination/planner/retirement.py
+++ b/ryelever/coordination/planner/retirement.py
@@ -72,7 +72,7 @@
         ]
         is_empty = all(
             known is not None
-            and known.asked_at >= since + SETTLE_TIME
+            and known.requested_at >= since + SETTLE_TIME
             and not known.report.running
             and not known.report.waiting
             for known in reports
--- a/ryelever/coordination/polling.py
+++ b/ryelever/coordination/polling.py
@@ -5,7 +5,7 @@
 import hashlib
 from collections.abc import Collection
 
-__all__ = ["N_POLLERS", "PollingShares", "ReportFollowing", "rendezvous"]
+__all__ = ["N_POLLERS", "PollingAssignment", "ReportPolling", "rendezvous"]
 
 #: Number of entry hosts that are responsible for polling a backend server.
 N_POLLERS = 2
@@ -38,7 +38,7 @@
     return hashlib.blake2b(f"{key}/{name}".encode(), digest_size=8).digest()
 
 
-class PollingShares:
+class PollingAssignment:
     """Decide which backend servers this entry host polls itself.
 
     Entry hosts may disagree for seconds on which of them are alive.  A server is then
@@ -96,7 +96,7 @@
             del self._rank_by_server[server]
 
 
-class ReportFollowing:
+class ReportPolling:
     """Decide when this entry host polls a backend server for its report.
 
     The pollers of rank 0 poll a server every ``interval``.  The other hosts receive
@@ -113,7 +113,7 @@
     def __init__(
         self,
         *,
-        shares: PollingShares,
+        shares: PollingAssignment,
         availability_zone: str,
         interval: float,
         max_age: float,
--- a/ryelever/coordination/quarantine/quarantine.py
+++ b/ryelever/coordination/quarantine/quarantine.py
@@ -158,7 +158,7 @@
         self._awaiting_verdict &= waiting.keys()
         return max(waiting.values(), default=None)
 
-    def is_held(self, fingerprint: str, *, now: float) -> bool:
+    def must_not_run(self, fingerprint: str, *, now: float) -> bool:
         """Return whether a request must not run, condemned or awaiting its verdict."""
         suspect = self._active_suspect(fingerprint, now=now)
         return suspect is not None and suspect.n_total_crashes >= MAX_CRASHES
--- a/ryelever/coordination/readiness.py
+++ b/ryelever/coordination/readiness.py
@@ -48,7 +48,7 @@
         self._ready = False
         self._waiting_since: float | None = None
 
-    def look(self, inputs: ReadinessInputs, *, now: float) -> bool:
+    def update(self, inputs: ReadinessInputs, *, now: float) -> bool:
         """Update the state and return whether this host is ready.
 
         A host that was ready once stays ready: knowledge that is lost later may be
--- a/ryelever/coordination/requests/__init__.py
+++ b/ryelever/coordination/requests/__init__.py
@@ -4,7 +4,7 @@
 """
 
 from .claims import OUTCOME_KEPT
-from .idempotency import KEY_IN_FUTURE, check_key, doubt
+from .idempotency import KEY_IN_FUTURE, check_key, mark_outcome_unknown
 from .keyed_claims import Claims
 from .requests import RequestTable
 from .state import RequestState, Timeouts
@@ -17,5 +17,5 @@
     "RequestTable",
     "Timeouts",
     "check_key",
-    "doubt",
+    "mark_outcome_unknown",
 ]
--- a/ryelever/coordination/requests/claims.py
+++ b/ryelever/coordination/requests/claims.py
@@ -8,7 +8,7 @@
 from ...state.records import Claim, Outcome
 from ..actions import AnswerError, AppendRecord
 from . import answers
-from .idempotency import doubt
+from .idempotency import mark_outcome_unknown
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -35,7 +35,7 @@
     def available(self, *, now: float) -> bool:
         """Return whether the claims stream is read up to its end."""
 
-    def knows(self, key: str, *, since: float) -> bool:
+    def has_all_claims(self, key: str, *, since: float) -> bool:
         """Return whether every claim of a key made before ``since`` was read."""
 
     def lookup(self, key: str) -> ClaimState | None:
@@ -83,10 +83,10 @@
         if known:
             return known
         key = answers.claim_key(arrival)
-        if not arrival.repeatable and not self._claims.knows(
+        if not arrival.repeatable and not self._claims.has_all_claims(
             key, since=arrival.arrived_at
         ):
-            doubt(error, retry_after=self._retry_after())
+            mark_outcome_unknown(error, retry_after=self._retry_after())
         return [AnswerError(request_id=arrival.request_id, error=error)]
 
     def answer_from_claim(self, arrival: Arrival) -> list[Action]:
@@ -123,7 +123,7 @@
             stream=self._claims.stream,
             record=record,
             record_id=claim_id,
-            kept_for=self._timeout,
+            retry_for=self._timeout,
         )
 
     def pop_waiting_request(self, claim_id: str) -> str | None:
@@ -155,7 +155,7 @@
             stream=self._claims.stream,
             record=outcome,
             record_id=self._new_id(),
-            kept_for=OUTCOME_KEPT,
+            retry_for=OUTCOME_KEPT,
         )
 
     def _outcome(self, key: str, run_state: RunState, *, request_id: str) -> Outcome:
--- a/ryelever/coordination/requests/idempotency.py
+++ b/ryelever/coordination/requests/idempotency.py
@@ -20,7 +20,7 @@
 from expression import Error, Ok, Result
 
 from ...errors import Category, RunState, RyeleverError
-from ...state.claims import CLAIM_WINDOW, FREED_WITHIN, MAX_AHEAD
+from ...state.claims import CLAIM_WINDOW, MAX_KEY_LEAD, MAX_TIME_TO_FREE
 from ...state.idempotency_key import MAX_KEY_LENGTH, issued_at
 from ...state.records import Outcome
 
@@ -32,7 +32,7 @@
     "MAX_CLOCK_ERROR",
     "OWNER_TIMEOUT",
     "check_key",
-    "doubt",
+    "mark_outcome_unknown",
     "apply_owner_timeout",
 ]
 
@@ -45,15 +45,15 @@
 #: Seconds after a claim for which its owner is assumed to be working on the request.
 #: By every entry host's clock, the period ends only when no outcome can free the key
 #: any more.
-OWNER_TIMEOUT = FREED_WITHIN + MAX_CLOCK_ERROR
+OWNER_TIMEOUT = MAX_TIME_TO_FREE + MAX_CLOCK_ERROR
 
 
 def check_key(
     key: str,
     *,
-    wall: float,
+    wall_time: float,
     window: float = CLAIM_WINDOW,
-    max_ahead: float = MAX_AHEAD,
+    max_ahead: float = MAX_KEY_LEAD,
 ) -> Result[float, RyeleverError]:
     """Return the time of issue of a key that can still be claimed, or an error.
 
@@ -65,12 +65,12 @@
 
     Parameters
     ----------
-    wall : float
+    wall_time : float
         Wall-clock time, in seconds since the epoch.
     window : float
         Seconds after its issue for which a key can be claimed.
     max_ahead : float
-        Seconds by which the time of issue may be ahead of ``wall``.
+        Seconds by which the time of issue may be ahead of ``wall_time``.
     """
     issued = issued_at(key)
     if issued is None:
@@ -81,7 +81,7 @@
             category=Category.BAD_REQUEST,
             code="idempotency_key_invalid",
         )
-    if wall - issued > window:
+    if wall_time - issued > window:
         return _refused(
             f"the Idempotency-Key was issued more than {window:g} s ago; this "
             "request was not run now, and whether an earlier one with this key "
@@ -91,7 +91,7 @@
             code="idempotency_key_expired",
             run_state=RunState.OUTCOME_UNKNOWN,
         )
-    ahead = issued - wall
+    ahead = issued - wall_time
     if ahead > max_ahead:
         never_claimed = ahead > max_ahead + MAX_CLOCK_ERROR
         return _refused(
@@ -135,7 +135,9 @@
     return replace(claim, outcome=unknown)
 
 
-def doubt(error: RyeleverError, *, retry_after: float | None = None) -> RyeleverError:
+def mark_outcome_unknown(
+    error: RyeleverError, *, retry_after: float | None = None
+) -> RyeleverError:
     """Change a refusal from ``not_run`` to ``outcome_unknown``.
 
     ``not_run`` would be true of this request only, while the caller takes the answer
--- a/ryelever/coordination/requests/keyed_claims.py
+++ b/ryelever/coordination/requests/keyed_claims.py
@@ -53,11 +53,11 @@
         self._wall_offset = 0.0
         self._caught_up_at = dict.fromkeys(folds_by_stream, float("-inf"))
 
-    def caught_up(self, stream: str, *, at: float) -> None:
+    def record_caught_up(self, stream: str, *, at: float) -> None:
         """Record that a read sent at monotonic time ``at`` reached a stream's end."""
         self._caught_up_at[stream] = max(self._caught_up_at[stream], at)
 
-    def observe_wall(self, wall: float, *, now: float) -> None:
+    def set_wall_clock(self, wall: float, *, now: float) -> None:
         """Set the wall-clock time, in seconds since the epoch, at ``now``."""
         self._wall_offset = wall - now
 
@@ -76,7 +76,7 @@
             for stream, fold in self.folds_by_stream.items()
         )
 
-    def knows(self, key: str, *, since: float) -> bool:
+    def has_all_claims(self, key: str, *, since: float) -> bool:
         """Return whether every claim of a key made before ``since`` was read.
 
         The read must have been sent after ``since``: an earlier read may have missed
--- a/ryelever/coordination/requests/requests.py
+++ b/ryelever/coordination/requests/requests.py
@@ -116,7 +116,7 @@
         """Return the number of attempts that followed a failed attempt."""
         return self._attempts.n_retries
 
-    def n_left(self) -> int:
+    def n_tracked(self) -> int:
         """Return the number of entries in all tables; 0 when nothing is in flight."""
         return (
             len(self.requests_by_id)
@@ -124,11 +124,11 @@
             + len(self._claims.request_by_claim)
         )
 
-    def late_answer(self) -> None:
+    def count_late_answer(self) -> None:
         """Count an answer received for an attempt that has ended."""
         self._attempts.n_late_answers += 1
 
-    def of_attempt(self, attempt_id: str) -> Request | None:
+    def request_of_attempt(self, attempt_id: str) -> Request | None:
         """Return the request of an open attempt, or count a late answer."""
         request_id = self._attempts.request_id(attempt_id)
         return None if request_id is None else self.requests_by_id[request_id]
@@ -202,7 +202,7 @@
 
         Tokens that were delivered already are dropped.
         """
-        request = self.of_attempt(attempt_id)
+        request = self.request_of_attempt(attempt_id)
         if request is None:
             return []
         n_delivered = len(request.delivered)
@@ -225,7 +225,7 @@
         self, attempt_id: str, *, finish_reason: str, usage: Usage, now: float
     ) -> list[Action]:
         """End a request whose generation has finished."""
-        request = self.of_attempt(attempt_id)
+        request = self.request_of_attempt(attempt_id)
         if request is None:
             return []
         self._attempts.answered(request, now=now)
@@ -259,7 +259,7 @@
         not_run : bool
             True when the service's answer states that it did not run the call.
         """
-        request = self.of_attempt(attempt_id)
+        request = self.request_of_attempt(attempt_id)
         if request is None:
             return []
         answer = AnswerService(
@@ -287,7 +287,7 @@
             True when no byte of the request was sent, or the backend server itself
             answered that it did not run the request.
         """
-        request = self.of_attempt(attempt_id)
+        request = self.request_of_attempt(attempt_id)
         if request is None:
             return []
         request.service_answer = None
@@ -315,7 +315,7 @@
                 actions += self._steps.abandon_lost_attempt(request, now=now)
         return actions
 
-    def after_release(self, *, now: float) -> list[Action]:
+    def admit_after_release(self, *, now: float) -> list[Action]:
         """Start queued requests if any request has ended since the last check.
 
         If this waited for the next tick, a free slot would be idle for half a tick on
--- a/ryelever/coordination/routing/candidates.py
+++ b/ryelever/coordination/routing/candidates.py
@@ -48,7 +48,7 @@
 
     Attributes
     ----------
-    own_zone, other_zones : tuple of Candidate
+    local_zone, other_zones : tuple of Candidate
         Candidates in this entry host's availability zone and in all others, ordered by
         seed.
     names, keys : tuple
@@ -59,7 +59,7 @@
         Next offsets of the zones' placement logs at that time.
     """
 
-    own_zone: tuple[Candidate, ...]
+    local_zone: tuple[Candidate, ...]
     other_zones: tuple[Candidate, ...]
     names: tuple[str, ...]
     keys: tuple[tuple[str, int, int], ...]
--- a/ryelever/coordination/routing/departures.py
+++ b/ryelever/coordination/routing/departures.py
@@ -144,6 +144,6 @@
             return age >= max(departure.hold, SERVICE_HOLD)
         return (
             known.report.state != "leaving"
-            and known.asked_at > departure.at
+            and known.requested_at > departure.at
             and age >= departure.hold
         )
--- a/ryelever/coordination/routing/feedback.py
+++ b/ryelever/coordination/routing/feedback.py
@@ -169,4 +169,4 @@
                 self._departures.refused(target.hosts[0], connection=False, now=now)
             crash = f"{target.name}#{target.fencing}"
             self._quarantine.crashed(crash, in_flight, now=now)
-            self._retry_budget.died(target.name, now=now)
+            self._retry_budget.record_death(target.name, now=now)
--- a/ryelever/coordination/routing/retry.py
+++ b/ryelever/coordination/routing/retry.py
@@ -38,8 +38,9 @@
 
     A backend server that dies breaks off all its attempts at one moment, far more than
     a share of successes pays for.  Each attempt but the first therefore earns its own
-    retry (``died``), within half a second of the first and once in 30 s for each
-    backend server: one that "dies" all the time adds at most a sixtieth of its load.
+    retry (``record_death``), within half a second of the first and once in 30 s for
+    each backend server: one that "dies" all the time adds at most a sixtieth of its
+    load.
     The retry of the first attempt is paid for like that of any other failure, because
     with many backend servers there is always a first failure at one of them.
 
@@ -74,7 +75,7 @@
         if self.tokens < self._reserve:
             self.tokens = min(self._reserve, self.tokens + self._share)
 
-    def died(self, target: str, *, now: float) -> None:
+    def record_death(self, target: str, *, now: float) -> None:
         """Add the retry of one attempt that was broken off by a target's death."""
         died_at = self._died_at_by_target.get(target, float("-inf"))
         if now - died_at >= DEATH_INTERVAL:
--- a/ryelever/coordination/routing/routing.py
+++ b/ryelever/coordination/routing/routing.py
@@ -129,7 +129,7 @@
         if now < self._zones.unusable_until(found):
             return None
         self._stragglers.compare(str(id(found)), found.names, now=now)
-        if self._quarantine.is_held(arrival.fingerprint, now=now):
+        if self._quarantine.must_not_run(arrival.fingerprint, now=now):
             return None
         if self._quarantine.is_suspect(arrival.fingerprint, now=now):
             return self._choose_for_suspect(arrival, found, tried=tried, now=now)
@@ -149,14 +149,14 @@
         The quarantine holds a request that waits for its verdict.  A suspect waits for
         a target without another suspect.
         """
-        if self._quarantine.is_held(arrival.fingerprint, now=now):
+        if self._quarantine.must_not_run(arrival.fingerprint, now=now):
             return True
         if not self._quarantine.is_suspect(arrival.fingerprint, now=now):
             return False
         found = self._targets.candidates(arrival.work, now=now)
         return any(
             self._targets.target(candidate, now=now) is not None
-            for candidate in self._zones.sample(found.own_zone + found.other_zones)
+            for candidate in self._zones.sample(found.local_zone + found.other_zones)
         )
 
     def is_lost(self, target: Target, arrival: Arrival, *, now: float) -> bool:
@@ -202,8 +202,8 @@
         that zone would be the crowded one a moment later, and the load would swing back
         and forth.  Only the share of requests that makes both loads equal goes there.
         """
-        if not found.own_zone or not found.other_zones:
-            return not found.own_zone
+        if not found.local_zone or not found.other_zones:
+            return not found.local_zone
         local = self._zones.total(found, is_local=True, now=now).mean
         other = self._zones.total(found, is_local=False, now=now).mean
         if local <= self._overflow_factor * other + self._overflow_margin:
@@ -219,7 +219,7 @@
         excluded: Sequence[str],
         now: float,
     ) -> _Choice | None:
-        candidates = found.own_zone if is_local else found.other_zones
+        candidates = found.local_zone if is_local else found.other_zones
         if not candidates:
             return None
         if key is not None:
@@ -348,7 +348,9 @@
     def _usable_for_suspects(self, found: CandidateSet, *, now: float) -> list[_Choice]:
         """Return usable candidates of this entry host's part, or else of all."""
         rank, n_hosts = self._part()
-        candidates = sorted(found.own_zone + found.other_zones, key=attrgetter("seed"))
+        candidates = sorted(
+            found.local_zone + found.other_zones, key=attrgetter("seed")
+        )
         for part in (candidates[rank::n_hosts], candidates):
             choices = [
                 self._usable_choice(candidate, now=now)
--- a/ryelever/coordination/routing/targets.py
+++ b/ryelever/coordination/routing/targets.py
@@ -77,7 +77,7 @@
     def for_arrival(self, arrival: Arrival, now: float) -> list[Target]:
         """Return the targets in this host's zone that may serve now, or in others."""
         found = self.candidates(arrival.work, now=now)
-        for candidates in (found.own_zone, found.other_zones):
+        for candidates in (found.local_zone, found.other_zones):
             usable = [self.target(candidate, now=now) for candidate in candidates]
             targets = [target for target in usable if target is not None]
             if targets:
@@ -127,7 +127,7 @@
             return False
         found = self.candidates(arrival.work, now=now)
         others: list[Candidate] = []
-        for candidate in found.own_zone + found.other_zones:
+        for candidate in found.local_zone + found.other_zones:
             group = candidate.group
             if candidate.name != target.name:
                 others.append(candidate)
@@ -140,12 +140,12 @@
     def reported_load(self, candidate: Candidate, *, now: float) -> ReportedLoad | None:
         """Return the load reported by rank 0, or None without a recent report."""
         known = self._confirmations.reports_by_host.get(candidate.hosts[0])
-        if known is None or now - known.asked_at > self._confirmations.max_age:
+        if known is None or now - known.requested_at > self._confirmations.max_age:
             return None
         return ReportedLoad(
             n_running=known.report.running,
             n_waiting=known.report.waiting,
-            age=now - known.asked_at,
+            age=now - known.requested_at,
         )
 
     def _is_same_and_complete(
@@ -191,7 +191,7 @@
         if len(self._sets_by_work) >= MAX_SETS:
             self._sets_by_work.clear()
         rebuilt = self._sets_by_work[key] = CandidateSet(
-            own_zone=tuple(
+            local_zone=tuple(
                 one for one in ordered if one.availability_zone == local_zone
             ),
             other_zones=tuple(
--- a/ryelever/coordination/routing/zones.py
+++ b/ryelever/coordination/routing/zones.py
@@ -106,7 +106,7 @@
         known = self._orders.get((id(found), key, is_local))
         if known is not None:
             return known
-        candidates = found.own_zone if is_local else found.other_zones
+        candidates = found.local_zone if is_local else found.other_zones
         if len(self._orders) >= MAX_ORDERS:
             self._orders.popitem(last=False)
         order = ranked(key, candidates, n=N_RANKED)
@@ -121,7 +121,7 @@
         known = self._totals_by_set.get((id(found), is_local))
         if known is not None and now - known.estimated_at < TOTAL_INTERVAL:
             return known
-        candidates = found.own_zone if is_local else found.other_zones
+        candidates = found.local_zone if is_local else found.other_zones
         usable = [
             candidate
             for candidate in self.sample(candidates)
--- a/ryelever/coordination/soft_state/__init__.py
+++ b/ryelever/coordination/soft_state/__init__.py
@@ -7,7 +7,6 @@
 from .exchange import Received, SoftStateExchange
 from .messages import (
     AliveRow,
-    GoneRow,
     Have,
     Member,
     Message,
@@ -17,6 +16,7 @@
     TableUpdate,
     Update,
     Want,
+    WithdrawnRow,
 )
 from .soft_state import (
     AgedObservationSource,
@@ -30,7 +30,7 @@
     "ALIVE_SLOT",
     "AgedObservationSource",
     "AliveRow",
-    "GoneRow",
+    "WithdrawnRow",
     "Have",
     "Member",
     "Message",
--- a/ryelever/coordination/soft_state/deliveries.py
+++ b/ryelever/coordination/soft_state/deliveries.py
@@ -10,7 +10,7 @@
 
 from ...state.observations import DemandRow, Observation
 from ..limits import HEARTBEAT
-from .messages import AliveRow, GoneRow, Member
+from .messages import AliveRow, Member, WithdrawnRow
 from .tables import ROW_EXPIRY
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
     for table_row in updated:
         row = table_row.row
         if (
-            isinstance(row, AliveRow | GoneRow)
+            isinstance(row, AliveRow | WithdrawnRow)
             or now - table_row.observed_at > ROW_EXPIRY
         ):
             continue
--- a/ryelever/coordination/soft_state/exchange.py
+++ b/ryelever/coordination/soft_state/exchange.py
@@ -278,7 +278,9 @@
                 messages.append((address, message))
         return messages
 
-    def ask_unheard(self, moment: float, *, now: float) -> list[tuple[str, Message]]:
+    def request_missing_reports(
+        self, moment: float, *, now: float
+    ) -> list[tuple[str, Message]]:
         """Return requests to the zone's hosts whose reports are missing.
 
         Parameters
--- a/ryelever/coordination/soft_state/links.py
+++ b/ryelever/coordination/soft_state/links.py
@@ -120,7 +120,7 @@
     name: str = ""
     availability_zone: str = ""
     current: Link | None = None
-    heard_at: float = float("-inf")
+    last_received_at: float = float("-inf")
     sent_at: float = float("-inf")
     greeted_at: float = float("-inf")
     unproven_answered_at: float = float("-inf")
@@ -151,7 +151,10 @@
         link = self._link(message.boot)
         if message.token != link.issued_token:
             # A replayed greeting must not replace a token that works.
-            works = link.confirmed and now - self.heard_at <= TOKEN_REPLACEABLE_AFTER
+            works = (
+                link.confirmed
+                and now - self.last_received_at <= TOKEN_REPLACEABLE_AFTER
+            )
             if message.grant and not works:
                 link.granted_token = message.grant
             return ReceiveResult(fault="unproven", link=link)
@@ -159,7 +162,7 @@
         if not link.accept_sequence(message.sequence):
             return ReceiveResult(fault="replayed")
         self._confirm(link, message)
-        self.heard_at = now
+        self.last_received_at = now
         if newest:
             self._received_sequence = message.sequence
             self._received_at = now
--- a/ryelever/coordination/soft_state/local_table.py
+++ b/ryelever/coordination/soft_state/local_table.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ...state.observations import DemandRow, LoadRow, ReportRow
-from .messages import AliveRow, GoneRow, Member, SoftRow
+from .messages import AliveRow, Member, SoftRow, WithdrawnRow
 from .tables import ALIVE_SLOT, TABLE_EXPIRY, Table, TableRow, row_key
 
 if TYPE_CHECKING:
@@ -128,9 +128,9 @@
         for key in self._slots_by_key.keys() - keys:
             table_row = self.table.rows_by_slot[self._slots_by_key.pop(key)]
             table_row.observed_at = now
-            self._change(table_row, GoneRow(), now=now)
+            self._change(table_row, WithdrawnRow(), now=now)
         for slot, table_row in list(self.table.rows_by_slot.items()):
-            gone = isinstance(table_row.row, GoneRow)
+            gone = isinstance(table_row.row, WithdrawnRow)
             if gone and now - table_row.observed_at > 3 * TABLE_EXPIRY:
                 del self.table.rows_by_slot[slot]
 
--- a/ryelever/coordination/soft_state/messages.py
+++ b/ryelever/coordination/soft_state/messages.py
@@ -15,7 +15,7 @@
 
 __all__ = [
     "AliveRow",
-    "GoneRow",
+    "WithdrawnRow",
     "Have",
     "Member",
     "Message",
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class GoneRow:
+class WithdrawnRow:
     """Withdrawal: the owner no longer confirms the row that the slot held."""
 
 
@@ -62,7 +62,13 @@
 
 
 SoftRow = (
-    AliveRow | GoneRow | DemandRow | SuspicionRow | LeavingRow | LoadRow | ReportRow
+    AliveRow
+    | WithdrawnRow
+    | DemandRow
+    | SuspicionRow
+    | LeavingRow
+    | LoadRow
+    | ReportRow
 )
 
 
--- a/ryelever/coordination/soft_state/schedule.py
+++ b/ryelever/coordination/soft_state/schedule.py
@@ -102,7 +102,7 @@
         silent = [
             peer
             for peer in self._peers_by_address.values()
-            if now - max(peer.heard_at, peer.greeted_at)
+            if now - max(peer.last_received_at, peer.greeted_at)
             > self._silence_before_greeting(peer)
         ]
         if not silent:
@@ -124,4 +124,4 @@
 
 
 def _is_unreachable(peer: Peer, *, now: float) -> bool:
-    return peer.current is None or now - peer.heard_at > 2 * SILENT_REMOTE_RETRY
+    return peer.current is None or now - peer.last_received_at > 2 * SILENT_REMOTE_RETRY
--- a/ryelever/coordination/soft_state/tables.py
+++ b/ryelever/coordination/soft_state/tables.py
@@ -20,11 +20,11 @@
 from .links import MAX_DRIFT
 from .messages import (
     AliveRow,
-    GoneRow,
     Member,
     SoftRow,
     TableUpdate,
     Update,
+    WithdrawnRow,
 )
 
 __all__ = [
@@ -198,7 +198,7 @@
         reports_at = observed_at - alive.report_age * (1 + MAX_DRIFT)
         renewed = {}
         for slot, table_row in table.rows_by_slot.items():
-            if isinstance(table_row.row, GoneRow | AliveRow):
+            if isinstance(table_row.row, WithdrawnRow | AliveRow):
                 continue
             report = isinstance(table_row.row, ReportRow)
             table_row.observed_at = max(
@@ -254,7 +254,7 @@
             # A slot is never reused, so a withdrawal can be deleted once every host
             # that still has this table must have received the withdrawal.
             for slot, table_row in list(table.rows_by_slot.items()):
-                gone = isinstance(table_row.row, GoneRow)
+                gone = isinstance(table_row.row, WithdrawnRow)
                 if gone and now - table_row.observed_at > 3 * TABLE_EXPIRY:
                     del table.rows_by_slot[slot]
 
@@ -279,6 +279,6 @@
 def _size(row: SoftRow) -> int:
     if isinstance(row, ReportRow):
         return REPORT_SIZE
-    if isinstance(row, AliveRow | GoneRow):
+    if isinstance(row, AliveRow | WithdrawnRow):
         return ALIVE_SIZE
     return ROW_SIZE + (len(row.target) if isinstance(row, LoadRow) else 0)
--- a/ryelever/dump.py
+++ b/ryelever/dump.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from .coordination.confirmation import FreshReport
+    from .coordination.confirmation import LatestReport
     from .entry_host import EntryHost
     from .events import CallerRequest
     from .state.fleet import ListedHost
@@ -226,7 +226,7 @@
                 "group": fresh.report.group if fresh else None,
                 "leaving": _is_leaving(listed, fresh)
                 or application.request_path.departures.is_leaving(name, now=now),
-                "report_age": _age(fresh.asked_at, now=now) if fresh else None,
+                "report_age": _age(fresh.requested_at, now=now) if fresh else None,
             }
         return described
 
@@ -246,7 +246,7 @@
         ]
 
 
-def _is_leaving(listed: ListedHost, fresh: FreshReport | None) -> bool:
+def _is_leaving(listed: ListedHost, fresh: LatestReport | None) -> bool:
     reported = fresh.report.state if fresh is not None else ""
     return "leaving" in (listed.state, reported)
 
--- a/ryelever/events.py
+++ b/ryelever/events.py
@@ -74,7 +74,7 @@
     streamed : bool
         Fire ``outbound_head`` and ``outbound_data`` as bytes arrive, rather than
         one ``outbound_answer``.
-    fresh : bool
+    new_connection : bool
         Use a new connection.  An idle connection may have been closed by the other
         side without notice; whether a request sent over it was run is then unknown.
     progress_timeout : float
@@ -83,7 +83,7 @@
     first_byte_timeout : float
         Seconds to wait for the first byte of the answer's body, which takes longer;
         0 stands for ``progress_timeout``.
-    send_before : float
+    latest_start : float
         Monotonic time after which the request is not sent if no byte has left yet.
     resend_stale : bool
         Send the request once more over a new connection when the idle connection
@@ -102,11 +102,11 @@
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes = b""
     streamed: bool = False
-    fresh: bool = False
+    new_connection: bool = False
     connect_timeout: float = 1.0
     progress_timeout: float = 5.0
     first_byte_timeout: float = 0.0
-    send_before: float = float("inf")
+    latest_start: float = float("inf")
     resend_stale: bool = True
     verbatim: bool = False
     max_body: int = 8 << 20
@@ -196,7 +196,7 @@
     """Hold a host's report and the monotonic time just before it was requested."""
 
     report: HostReport
-    asked_at: float
+    requested_at: float
 
 
 class Datagram(msgspec.Struct, kw_only=True, frozen=True):
--- a/ryelever/fleet_watch.py
+++ b/ryelever/fleet_watch.py
@@ -7,10 +7,10 @@
 
 from circuits import handler
 
-from .coordination.confirmation import FreshReport
-from .coordination.polling import PollingShares, ReportFollowing
+from .coordination.confirmation import LatestReport
+from .coordination.polling import PollingAssignment, ReportPolling
 from .logs import log_warning
-from .protocol.outside import HTTP_ENGINE, HTTP_HOSTS_LIST
+from .protocol.external_systems import HTTP_ENGINE, HTTP_HOSTS_LIST
 from .request_sender import PendingRequest, RequestSender
 from .state.fleet import HostReport
 from .state.observations import ReportRow
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from .coordination.confirmation import Confirmations
     from .events import HostReported, OutboundAnswer, OutboundFailure
-    from .protocol.outside import EngineInterface, HostsListInterface
+    from .protocol.external_systems import EngineInterface, HostsListInterface
     from .settings import Settings
     from .state.fleet import ListedHost
     from .state.observations import Observation
@@ -32,7 +32,7 @@
 NOT_MODIFIED = 304
 
 #: Maximum number of engines in other zones whose reports are polled too.
-MAX_FOREIGN = 100
+MAX_REMOTE_ENGINES = 100
 
 #: Maximum age, in seconds, of a report polled by this host that is sent to peers.
 MAX_ANNOUNCED_AGE = 5.0
@@ -70,14 +70,14 @@
         self._polled_by_name: dict[str, ListedHost] = {}
         self._list_due_at = 0.0
         self._list_tag = ""
-        self.shares = PollingShares(host=settings.host)
-        self._report_polling = ReportFollowing(
+        self.shares = PollingAssignment(host=settings.host)
+        self._report_polling = ReportPolling(
             shares=self.shares,
             availability_zone=settings.availability_zone,
             interval=settings.report_interval,
             max_age=settings.report_max_age,
         )
-        self._local_reports_by_host: dict[str, FreshReport] = {}
+        self._local_reports_by_host: dict[str, LatestReport] = {}
         self._unreadable: set[str] = set()
         self._contacted: set[str] = set()
 
@@ -89,7 +89,7 @@
 
     @handler("host_reported")
     def _on_host_reported(self, message: HostReported) -> None:
-        self._record_local(message.report, asked_at=message.asked_at)
+        self._record_local(message.report, requested_at=message.requested_at)
 
     def _request_list(self, *, now: float) -> None:
         if now < self._list_due_at:
@@ -111,7 +111,7 @@
     def _request_reports(self, *, now: float) -> None:
         for name, listed in self._polled_by_name.items():
             known = self.confirmations.reports_by_host.get(name)
-            reported_at = known.asked_at if known is not None else None
+            reported_at = known.requested_at if known is not None else None
             zone = listed.availability_zone
             if self._report_polling.is_due(
                 name, zone=zone, reported_at=reported_at, now=now
@@ -172,7 +172,7 @@
         }
         # Beyond this number of engines, polling the other zones' reports would exceed
         # the traffic limit of control.
-        return engines if len(engines) - len(local) <= MAX_FOREIGN else local
+        return engines if len(engines) - len(local) <= MAX_REMOTE_ENGINES else local
 
     def answered(self, pending: PendingRequest, answer: OutboundAnswer) -> None:
         """Process the list or a report."""
@@ -187,7 +187,7 @@
             return
         if report.is_ok():
             self._unreadable.discard(pending.subject)
-            self._record_local(report.ok, asked_at=answer.sent_at)
+            self._record_local(report.ok, requested_at=answer.sent_at)
         elif pending.subject not in self._unreadable:
             self._unreadable.add(pending.subject)
             log_warning(
@@ -208,17 +208,17 @@
 
     def refused(self, host: str, *, at: float) -> None:
         """Record that a host refuses connections, to be reported to peers too."""
-        self.confirmations.unreachable(host)
-        self._local_reports_by_host[host] = FreshReport(
-            report=HostReport(host=host, boot="", state=UNREACHABLE), asked_at=at
+        self.confirmations.record_unreachable(host)
+        self._local_reports_by_host[host] = LatestReport(
+            report=HostReport(host=host, boot="", state=UNREACHABLE), requested_at=at
         )
 
-    def _record_local(self, report: HostReport, *, asked_at: float) -> None:
-        self._confirm_unless_refused(report, asked_at=asked_at)
+    def _record_local(self, report: HostReport, *, requested_at: float) -> None:
+        self._confirm_unless_refused(report, requested_at=requested_at)
         known = self._local_reports_by_host.get(report.host)
-        if known is None or known.asked_at < asked_at:
-            self._local_reports_by_host[report.host] = FreshReport(
-                report=report, asked_at=asked_at
+        if known is None or known.requested_at < requested_at:
+            self._local_reports_by_host[report.host] = LatestReport(
+                report=report, requested_at=requested_at
             )
 
     # Exchange with the other entry hosts
@@ -226,9 +226,9 @@
     def aged_observations(self, *, now: float) -> list[tuple[Observation, float]]:
         """Return the recent reports that this entry host has polled itself."""
         return [
-            (ReportRow(report=fresh.report), fresh.asked_at)
+            (ReportRow(report=fresh.report), fresh.requested_at)
             for fresh in self._local_reports_by_host.values()
-            if now - fresh.asked_at <= MAX_ANNOUNCED_AGE
+            if now - fresh.requested_at <= MAX_ANNOUNCED_AGE
         ]
 
     def observed(
@@ -239,7 +239,7 @@
             return
         report = observation.report
         if report.state != UNREACHABLE:
-            self._confirm_unless_refused(report, asked_at=observed_at)
+            self._confirm_unless_refused(report, requested_at=observed_at)
             return
         # If only this one peer cannot reach a host, the host must stay available to
         # the other entry hosts.  A report from about the same time shows that the
@@ -247,15 +247,17 @@
         known = self.confirmations.reports_by_host.get(report.host)
         if (
             known is None
-            or known.asked_at < observed_at - self._settings.report_interval
+            or known.requested_at < observed_at - self._settings.report_interval
         ):
-            self.confirmations.unreachable(report.host)
+            self.confirmations.record_unreachable(report.host)
 
-    def _confirm_unless_refused(self, report: HostReport, *, asked_at: float) -> None:
+    def _confirm_unless_refused(
+        self, report: HostReport, *, requested_at: float
+    ) -> None:
         # Ignore a report that was requested before the host refused a connection
         # from this entry host.
         local = self._local_reports_by_host.get(report.host)
         refused = local is not None and local.report.state == UNREACHABLE
-        if refused and asked_at <= local.asked_at:
+        if refused and requested_at <= local.requested_at:
             return
-        self.confirmations.reported(report, asked_at=asked_at)
+        self.confirmations.reported(report, requested_at=requested_at)
--- a/ryelever/gauges.py
+++ b/ryelever/gauges.py
@@ -49,4 +49,4 @@
         "peer_datagrams_bytes_received", lambda: float(peers.n_bytes_received)
     )
     metrics.gauge("peer_datagrams_bytes_sent", lambda: float(peers.n_bytes_sent))
-    metrics.gauge("silent_connections", lambda: float(client.n_silent))
+    metrics.gauge("silent_connections", lambda: float(client.n_timed_out))
--- a/ryelever/peering.py
+++ b/ryelever/peering.py
@@ -112,7 +112,7 @@
             self._send(self.exchange.push_to_zone(now=now))
         unsettled_since = self._unsettled_since(now=now)
         if unsettled_since is not None:
-            self._send(self.exchange.ask_unheard(unsettled_since, now=now))
+            self._send(self.exchange.request_missing_reports(unsettled_since, now=now))
 
     def _unsettled_since(self, *, now: float) -> float | None:
         return None if self._urgent is None else self._urgent.unsettled_since(now=now)
@@ -199,7 +199,7 @@
                     "host": peer.name,
                     "availability_zone": peer.availability_zone,
                     "proven": peer.current is not None,
-                    "heard_for": round(now - peer.heard_at, 3)
+                    "heard_for": round(now - peer.last_received_at, 3)
                     if peer.current is not None
                     else None,
                 }
--- a/ryelever/planning.py
+++ b/ryelever/planning.py
@@ -10,11 +10,11 @@
 from circuits import handler
 
 from .coordination.actions import ChatWork, SendOrder
-from .coordination.planner import ModelDemand, PlannerView, Repairs
+from .coordination.planner import ModelDemand, PlacementHistory, PlannerView
 from .events import HostReported, append_record, host_reported
 from .logs import log_event, log_warning
 from .protocol.backend import Order
-from .protocol.outside import HTTP_ENGINE
+from .protocol.external_systems import HTTP_ENGINE
 from .request_sender import PendingRequest, RequestSender
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
     from .coordination.confirmation import Confirmations
     from .coordination.planner import Planner
     from .events import OutboundAnswer, OutboundFailure
-    from .protocol.outside import EngineInterface
+    from .protocol.external_systems import EngineInterface
     from .settings import Settings
     from .state.configuration_fold import ConfigurationFold
     from .state.fleet import ListedHost
@@ -65,7 +65,7 @@
         self._confirmations = confirmations
         self._demand = demand
         self._next_pass_at = 0.0
-        self.repairs = Repairs(
+        self.repairs = PlacementHistory(
             placements_by_zone=placements_by_zone, confirmations=confirmations
         )
 
@@ -84,7 +84,7 @@
         # balancer stops sending requests here.  If the append is lost, the lease
         # expires like that of a host that died.
         now = time.monotonic()
-        actions = self._planner.give_back_lease(self._view(), now=now)
+        actions = self._planner.release_lease(self._view(), now=now)
         if actions:
             log_event("lease_given_back")
         self._execute(actions)
@@ -151,7 +151,7 @@
         if answer.status != 200 or report.is_error():
             log_warning("order_refused", host=pending.subject, status=answer.status)
             return
-        message = HostReported(report=report.ok, asked_at=answer.sent_at)
+        message = HostReported(report=report.ok, requested_at=answer.sent_at)
         self.fire(host_reported(message), "fleet")
 
     def failed(self, pending: PendingRequest, failure: OutboundFailure) -> None:
--- a/ryelever/protocol/configuration_document.py
+++ b/ryelever/protocol/configuration_document.py
@@ -23,9 +23,9 @@
     Service,
     Weights,
 )
-from ..state.configuration_check import faults_of, place_of
+from ..state.configuration_check import find_faults, json_pointer
 
-__all__ = ["Change", "canonical", "check_document", "difference"]
+__all__ = ["Change", "encode_canonical", "check_document", "list_changes"]
 
 #: Maximum size of a document, in bytes.
 MAX_DOCUMENT = 1 << 20
@@ -86,17 +86,17 @@
     configuration = reader.configuration(values)
     faulty = {fault.place for fault in reader.faults}
     faults = reader.faults + [
-        fault for fault in faults_of(configuration) if fault.place not in faulty
+        fault for fault in find_faults(configuration) if fault.place not in faulty
     ]
     return Error(faults) if faults else Ok(configuration)
 
 
-def canonical(configuration: Configuration) -> bytes:
+def encode_canonical(configuration: Configuration) -> bytes:
     """Return the canonical encoding of a configuration: all fields, keys sorted."""
     return msgspec.json.encode(configuration, order="deterministic")
 
 
-def difference(before: Configuration, after: Configuration) -> list[Change]:
+def list_changes(before: Configuration, after: Configuration) -> list[Change]:
     """Return the differences between two configurations, sorted by place."""
     old = _values_by_place(before)
     new = _values_by_place(after)
@@ -125,7 +125,7 @@
 
     def _build_section(self, values: Any, cls: type, section: str) -> dict[str, Any]:
         if not isinstance(values, dict):
-            self.faults.append(_object_fault(place_of(section)))
+            self.faults.append(_object_fault(json_pointer(section)))
             return {}
         entries = {
             name: self._build_object(value, cls, (section, name))
@@ -135,14 +135,14 @@
 
     def _build_object(self, values: Any, cls: type, parts: tuple[str, ...]) -> Any:
         if not isinstance(values, dict):
-            self.faults.append(_object_fault(place_of(*parts)))
+            self.faults.append(_object_fault(json_pointer(*parts)))
             return None
         fields_by_name = {field.name: field for field in dataclasses.fields(cls)}
         self._report_unknown(values, known=set(fields_by_name), parts=parts)
         types_by_name = get_type_hints(cls)
         arguments = {}
         for name, field in fields_by_name.items():
-            place = place_of(*parts, name)
+            place = json_pointer(*parts, name)
             if name in values:
                 value = self._field_value(values[name], types_by_name[name], place)
                 if value is not None:
@@ -172,7 +172,7 @@
     ) -> None:
         self.faults += [
             Fault(
-                place=place_of(*parts, name),
+                place=json_pointer(*parts, name),
                 expected=f"one of the fields {', '.join(sorted(known))}",
                 remedy="remove the field or correct its spelling",
             )
@@ -246,6 +246,6 @@
             _flatten(item, (*parts, name), values)
         if not value and len(parts) == 2:
             # An entry without fields must still be part of the comparison.
-            values[place_of(*parts)] = "{}"
+            values[json_pointer(*parts)] = "{}"
         return
-    values[place_of(*parts)] = json.dumps(value, ensure_ascii=False)
+    values[json_pointer(*parts)] = json.dumps(value, ensure_ascii=False)
--- a/ryelever/protocol/openai.py
+++ b/ryelever/protocol/openai.py
@@ -15,7 +15,7 @@
 from .sse import DONE, sse_event
 
 __all__ = [
-    "ChatStreamShape",
+    "ChatStreamEncoder",
     "chat_completion",
     "error_body",
     "error_event",
@@ -220,7 +220,7 @@
     )
 
 
-class ChatStreamShape:
+class ChatStreamEncoder:
     """Encode the server-sent events of one streamed answer.
 
     All fields except the text are the same in each event of an answer and are encoded
--- a/ryelever/protocol/soft_state.py
+++ b/ryelever/protocol/soft_state.py
@@ -14,7 +14,6 @@
 from ..coordination.soft_state import (
     ALIVE_SLOT,
     AliveRow,
-    GoneRow,
     Have,
     Member,
     Message,
@@ -24,6 +23,7 @@
     TableUpdate,
     Update,
     Want,
+    WithdrawnRow,
 )
 from ..errors import Category, RyeleverError
 from ..state.fleet import HostReport
@@ -219,7 +219,7 @@
     if isinstance(row, AliveRow):
         entry.alive = _to_centiseconds(row.report_age)
         return
-    if isinstance(row, GoneRow):
+    if isinstance(row, WithdrawnRow):
         entry.gone = None
         return
     kind = _KINDS_BY_CLASS[type(row)]
@@ -334,7 +334,7 @@
     if kind == "alive":
         return AliveRow(report_age=row.alive / 100)
     if kind == "gone":
-        return GoneRow()
+        return WithdrawnRow()
     reader = getattr(row, kind)
     values = {
         attribute: tuple(getattr(reader, field))
--- a/ryelever/relay.py
+++ b/ryelever/relay.py
@@ -207,10 +207,10 @@
             reply_channel=self.channel,
             step="relay",
             streamed=True,
-            fresh=attempt.fresh,
+            new_connection=attempt.fresh,
             connect_timeout=CONNECT_TIMEOUT,
             progress_timeout=max(CLOSE_DELAY, attempt.deadline - now + CLOSE_DELAY),
-            send_before=attempt.deadline,
+            latest_start=attempt.deadline,
             resend_stale=False,
             verbatim=True,
         )
--- a/ryelever/relay_application.py
+++ b/ryelever/relay_application.py
@@ -139,7 +139,7 @@
         self.peers = Peers(
             bind=(settings.ip, self.peer_callers.port),
             reply_channel="exchange",
-            wakes=False,
+            read_on_arrival=False,
         )
         self.fleet = FleetDirectory(
             settings=settings,
--- a/ryelever/request_path.py
+++ b/ryelever/request_path.py
@@ -114,7 +114,7 @@
                 capacity=GroupCapacity(
                     targets=targets,
                     confirmations=confirmations,
-                    batch=lambda: settings.group_batch,
+                    batch_size=lambda: settings.group_batch,
                     n_hosts=n_hosts,
                     n_hosts_waiting=lambda now: limits.n_hosts_waiting(now=now),
                 ),
--- a/ryelever/serving.py
+++ b/ryelever/serving.py
@@ -192,7 +192,7 @@
 
     def _execute_and_admit(self, actions: list[Action]) -> None:
         self._execute(actions)
-        while admitted_actions := self._table.after_release(now=time.monotonic()):
+        while admitted_actions := self._table.admit_after_release(now=time.monotonic()):
             self._execute(admitted_actions)
 
     def _execute(self, actions: list[Action]) -> None:
--- a/ryelever/settings.py
+++ b/ryelever/settings.py
@@ -31,7 +31,7 @@
     "SETTINGS",
     "Setting",
     "Settings",
-    "reference",
+    "settings_table",
 ]
 
 #: Marks a setting that has no default.
@@ -316,7 +316,7 @@
         }
 
 
-def reference() -> str:
+def settings_table() -> str:
     """Return the table of all settings in Markdown, for docs/OPERATIONS.md."""
     lines = [
         "| setting | default | accepts | meaning |",
--- a/ryelever/settings_files.py
+++ b/ryelever/settings_files.py
@@ -11,7 +11,7 @@
     from .faults import Fault
     from .settings import Settings
 
-__all__ = ["checked_settings", "print_faults", "read_text"]
+__all__ = ["load_settings", "print_faults", "read_text"]
 
 
 def read_text(path: Path) -> str | None:
@@ -23,7 +23,7 @@
         return None
 
 
-def checked_settings(path: Path, text: str) -> Settings | None:
+def load_settings(path: Path, text: str) -> Settings | None:
     """Return the settings read from JSON, or None after printing every fault."""
     # The import is here because a host with the platform's settings does not need the
     # parser of JSON with comments, whose import takes a hundredth of its start.
--- a/ryelever/state/claims.py
+++ b/ryelever/state/claims.py
@@ -18,8 +18,8 @@
 
 __all__ = [
     "CLAIM_WINDOW",
-    "FREED_WITHIN",
-    "MAX_AHEAD",
+    "MAX_TIME_TO_FREE",
+    "MAX_KEY_LEAD",
     "ClaimState",
     "ClaimsFold",
     "ClaimsSnapshot",
@@ -31,12 +31,12 @@
 CLAIM_WINDOW = 600.0
 
 #: Maximum seconds by which a key's time of issue may be ahead of the log's clock.
-MAX_AHEAD = 30.0
+MAX_KEY_LEAD = 30.0
 
 #: Seconds after a claim, by the log's time, within which the claim's owner can free the
 #: key.  Later, a caller may have received the answer that the outcome stays unknown and
 #: may have acted on it; a resend that then ran would be a second booking.
-FREED_WITHIN = 90.0
+MAX_TIME_TO_FREE = 90.0
 
 #: ``_complete_since`` of a fold that has read no records yet.  A finite number, since
 #: JSON would encode infinity as null, which means that no record is missing.
@@ -80,15 +80,15 @@
     Parameters
     ----------
     window, max_ahead : float
-        Values in seconds that replace ``CLAIM_WINDOW`` and ``MAX_AHEAD``; they must be
-        the same for all readers.
+        Values in seconds that replace ``CLAIM_WINDOW`` and ``MAX_KEY_LEAD``; they must
+        be the same for all readers.
     """
 
     remember_for = 60.0
     snapshot_class = ClaimsSnapshot
 
     def __init__(
-        self, *, window: float = CLAIM_WINDOW, max_ahead: float = MAX_AHEAD
+        self, *, window: float = CLAIM_WINDOW, max_ahead: float = MAX_KEY_LEAD
     ) -> None:
         super().__init__()
         self.window = window
@@ -98,9 +98,9 @@
         # The log's time from which on no records are missing.
         self._complete_since = NO_HISTORY
 
-    def lost(self, *, before: int, reason: str) -> None:
+    def record_loss(self, *, before: int, reason: str) -> None:
         """Record that records below ``before`` can no longer be read."""
-        super().lost(before=before, reason=reason)
+        super().record_loss(before=before, reason=reason)
         self._complete_since = NO_HISTORY
 
     def refusal_reason(self, issued: float, *, at: float) -> str | None:
@@ -116,7 +116,7 @@
 
     # Snapshots and gaps
 
-    def improved_by(self, head: SnapshotPart) -> bool:
+    def is_improved_by(self, head: SnapshotPart) -> bool:
         """Return whether a snapshot contains records that this fold lacks."""
         if self.gap is None or head.as_of < self.gap.before:
             return False
@@ -124,7 +124,7 @@
             head.incomplete_since < self._complete_since
         )
 
-    def enough_history(self, *, oldest: float, newest: float) -> bool:
+    def has_enough_history(self, *, oldest: float, newest: float) -> bool:
         """Return whether the records from time ``oldest`` on give a complete state."""
         return newest - oldest > self.window + self.max_ahead
 
@@ -144,7 +144,9 @@
     def _drop_expired(self) -> None:
         if self.gap is not None:
             self._complete_since = min(self._complete_since, self.log_time)
-            if self.enough_history(oldest=self._complete_since, newest=self.log_time):
+            if self.has_enough_history(
+                oldest=self._complete_since, newest=self.log_time
+            ):
                 self.gap = None
         while self._issue_times:
             issued, key = self._issue_times[0]
@@ -157,7 +159,7 @@
         # A record of a kind that only a newer release knows may be a claim.  If its
         # key were treated as unclaimed, the request could run a second time.
         if not record.known_kind:
-            self.lost(before=entry.offset + 1, reason=record.reason)
+            self.record_loss(before=entry.offset + 1, reason=record.reason)
             self._complete_since = self.log_time
 
     def _contents(self) -> list[dict[str, Any]]:
@@ -171,7 +173,7 @@
     def _restore(self, parts: Sequence[SnapshotPart]) -> None:
         head = parts[0]
         if head.incomplete_since is not None:
-            super().lost(before=head.as_of, reason="the snapshot is incomplete")
+            super().record_loss(before=head.as_of, reason="the snapshot is incomplete")
             self._complete_since = head.incomplete_since
         self.claims_by_key = {}
         self._issue_times = []
@@ -232,8 +234,8 @@
         if claim.outcome is not None:
             return "outcome is known already"
         if record.run_state == NOT_RUN:
-            if self.log_time - claim.time > FREED_WITHIN:
-                return f"key was claimed more than {FREED_WITHIN:g} s ago"
+            if self.log_time - claim.time > MAX_TIME_TO_FREE:
+                return f"key was claimed more than {MAX_TIME_TO_FREE:g} s ago"
             # The request was not run.  The caller was asked to retry, and the resend
             # must be able to claim the key.
             del self.claims_by_key[record.key]
--- a/ryelever/state/configuration_check.py
+++ b/ryelever/state/configuration_check.py
@@ -1,6 +1,6 @@
 """Check a configuration against the rules that types cannot express.
 
-``ConfigurationFold`` and ``check_document`` both call ``faults_of``, which depends on
+``ConfigurationFold`` and ``check_document`` both call ``find_faults``, which depends on
 the configuration alone, so that every process finds the same faults in the same order.
 A rule must not become stricter while hosts of two releases run side by side: the newer
 hosts would ignore a publication that the older hosts have in force.
@@ -19,7 +19,7 @@
 
     from .configuration import ClientAccount, Configuration, Model, Service, Weights
 
-__all__ = ["faults_of", "place_of"]
+__all__ = ["find_faults", "json_pointer"]
 
 MAX_HOSTS_PER_GROUP = 64
 MAX_GROUPS = 10_000
@@ -39,12 +39,12 @@
 )
 
 
-def place_of(*parts: str) -> str:
+def json_pointer(*parts: str) -> str:
     """Return the JSON pointer (RFC 6901) to a place in the document."""
     return "".join("/" + part.replace("~", "~0").replace("/", "~1") for part in parts)
 
 
-def faults_of(configuration: Configuration) -> list[Fault]:
+def find_faults(configuration: Configuration) -> list[Fault]:
     """Return all faults of a configuration whose fields have the correct types."""
     faults: list[Fault] = []
     for name, model in configuration.models.items():
@@ -68,10 +68,10 @@
         model.hosts_per_group,
         1,
         MAX_HOSTS_PER_GROUP,
-        place_of("models", name, "hosts_per_group"),
+        json_pointer("models", name, "hosts_per_group"),
     )
     yield from _range_faults(
-        model.n_groups, 1, MAX_GROUPS, place_of("models", name, "n_groups")
+        model.n_groups, 1, MAX_GROUPS, json_pointer("models", name, "n_groups")
     )
     yield from _priority_faults(model.priority, "models", name)
 
@@ -82,30 +82,30 @@
     yield from _name_faults("client_accounts", name)
     if not _KEY_HASH.fullmatch(account.key_hash):
         yield Fault(
-            place=place_of("client_accounts", name, "key_hash"),
+            place=json_pointer("client_accounts", name, "key_hash"),
             expected="a salt, '$' and the SHA-256 digest in 64 hexadecimal digits",
             remedy="create a new key for this client account in the console",
         )
     yield from _priority_faults(account.priority, "client_accounts", name)
     if not (math.isfinite(account.rate) and account.rate > 0):
         yield Fault(
-            place=place_of("client_accounts", name, "rate"),
+            place=json_pointer("client_accounts", name, "rate"),
             expected="a number of requests per second above 0",
             remedy=f"replace {account.rate}",
         )
     if account.concurrency < 1:
         yield Fault(
-            place=place_of("client_accounts", name, "concurrency"),
+            place=json_pointer("client_accounts", name, "concurrency"),
             expected="a whole number of requests, at least 1",
             remedy=f"replace {account.concurrency}",
         )
     yield from _range_faults(
-        account.share, 0, 1, place_of("client_accounts", name, "share")
+        account.share, 0, 1, json_pointer("client_accounts", name, "share")
     )
     for model in account.models:
         if model not in models:
             yield Fault(
-                place=place_of("client_accounts", name, "models"),
+                place=json_pointer("client_accounts", name, "models"),
                 expected="names of declared models",
                 remedy=f"declare model {model!r} or remove it here",
             )
@@ -115,7 +115,7 @@
     total = sum(account.share for account in accounts)
     if total > 1 + SHARE_TOLERANCE:
         yield Fault(
-            place=place_of("client_accounts"),
+            place=json_pointer("client_accounts"),
             expected="shares that sum to at most 1",
             remedy=f"lower some: they sum to {total:g}",
         )
@@ -126,7 +126,7 @@
     for prefix in service.non_repeatable:
         if not _PREFIX.fullmatch(prefix):
             yield Fault(
-                place=place_of("services", name, "non_repeatable"),
+                place=json_pointer("services", name, "non_repeatable"),
                 expected="path prefixes that begin with '/' and contain no spaces",
                 remedy=f"replace {prefix!r}",
             )
@@ -138,10 +138,10 @@
         "stranded_accelerators": weights.stranded_accelerators,
     }
     for name, value in values_by_name.items():
-        yield from _range_faults(value, 0, 1, place_of("weights", name))
+        yield from _range_faults(value, 0, 1, json_pointer("weights", name))
     if all(value == 0 for value in values_by_name.values()):
         yield Fault(
-            place=place_of("weights"),
+            place=json_pointer("weights"),
             expected="at least one weight above 0",
             remedy="raise the weight of the more important measure",
         )
@@ -150,7 +150,7 @@
 def _name_faults(*parts: str) -> Iterator[Fault]:
     if not _NAME.fullmatch(parts[-1]):
         yield Fault(
-            place=place_of(*parts),
+            place=json_pointer(*parts),
             expected=_NAME_EXPECTED,
             remedy=f"rename {parts[-1]!r}",
         )
@@ -159,7 +159,7 @@
 def _version_faults(version: str, *parts: str) -> Iterator[Fault]:
     if not _VERSION.fullmatch(version):
         yield Fault(
-            place=place_of(*parts),
+            place=json_pointer(*parts),
             expected="a version of 1 to 200 printable characters without spaces",
             remedy="enter a version that the weight store contains",
         )
@@ -167,7 +167,7 @@
 
 def _priority_faults(priority: int, *parts: str) -> Iterator[Fault]:
     yield from _range_faults(
-        priority, -MAX_PRIORITY, MAX_PRIORITY, place_of(*parts, "priority")
+        priority, -MAX_PRIORITY, MAX_PRIORITY, json_pointer(*parts, "priority")
     )
 
 
--- a/ryelever/state/configuration_fold.py
+++ b/ryelever/state/configuration_fold.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from .configuration import Configuration
-from .configuration_check import faults_of
+from .configuration_check import find_faults
 from .fold import BaseFold
 from .records import Entry, Publication, SnapshotPart
 
@@ -19,7 +19,7 @@
 
 #: Start of the reason of a publication that was ignored because this fold could not
 #: determine whether the publication takes effect.
-NOT_JUDGED = "not judged"
+NOT_EVALUATED = "not judged"
 
 #: Number of accepted versions kept to tell operators that a publication took effect.
 MAX_ACCEPTED_VERSIONS = 1000
@@ -62,7 +62,7 @@
         self.accepted_versions: deque[int] = deque(maxlen=MAX_ACCEPTED_VERSIONS)
         self._last_unjudged_offset = NO_VERSION
 
-    def lost(self, *, before: int, reason: str) -> None:
+    def record_loss(self, *, before: int, reason: str) -> None:
         """Record that records below ``before`` can no longer be read.
 
         The loss opens no gap if the version in force, adopted from a peer, is at least
@@ -73,7 +73,7 @@
         if self.version + 1 >= before:
             self.next_offset = max(self.next_offset, before)
             return
-        super().lost(before=before, reason=reason)
+        super().record_loss(before=before, reason=reason)
 
     def adopt(self, *, version: int, document: Configuration, author: str) -> bool:
         """Put a version in force that was received from a peer.
@@ -104,7 +104,7 @@
         # The console checks a document before publishing it, but anyone with access
         # to the log can append records.  Without this check, a group of 0 hosts or a
         # share of 40 would be put into effect.
-        faults = faults_of(record.document)
+        faults = find_faults(record.document)
         if faults:
             return f"invalid document: {faults[0]}"
         reason = self._rejection_reason(entry, record)
@@ -120,7 +120,7 @@
         if self.gap is not None and not self._replaces_any_version(record):
             self._last_unjudged_offset = entry.offset
             return (
-                f"{NOT_JUDGED}: the version in force is not known here, since "
+                f"{NOT_EVALUATED}: the version in force is not known here, since "
                 f"{self.gap.reason}"
             )
         if record.base_version == self.version:
--- a/ryelever/state/fold.py
+++ b/ryelever/state/fold.py
@@ -107,7 +107,7 @@
             self._record_ignored(entry, reason)
         return reason
 
-    def lost(self, *, before: int, reason: str) -> None:
+    def record_loss(self, *, before: int, reason: str) -> None:
         """Record that records below ``before`` can no longer be read."""
         self.gap = Gap(before=before, reason=reason)
         self.next_offset = max(self.next_offset, before)
@@ -117,7 +117,7 @@
         remembered = self._remembered_by_id.get(record_id)
         return None if remembered is None else remembered.offset
 
-    def reason_of(self, record_id: str) -> str | None:
+    def ignored_reason(self, record_id: str) -> str | None:
         """Return why the record with this id was ignored.
 
         Returns None if the record was not ignored or the reason is no longer kept.
@@ -179,7 +179,7 @@
         )
         self._restore(parts)
 
-    def improved_by(self, head: SnapshotPart) -> bool:
+    def is_improved_by(self, head: SnapshotPart) -> bool:
         """Return whether a snapshot contains the records that this fold lacks."""
         return (
             self.gap is not None
@@ -187,7 +187,7 @@
             and head.as_of >= self.gap.before
         )
 
-    def enough_history(self, *, oldest: float, newest: float) -> bool:
+    def has_enough_history(self, *, oldest: float, newest: float) -> bool:
         """Return whether the records from time ``oldest`` on give a complete state.
 
         Parameters
--- a/ryelever/state/placement.py
+++ b/ryelever/state/placement.py
@@ -141,9 +141,9 @@
         self.changes: deque[PlacementChange] = deque(maxlen=MAX_CHANGES)
         self._lease_unknown = False
 
-    def lost(self, *, before: int, reason: str) -> None:
+    def record_loss(self, *, before: int, reason: str) -> None:
         """Record that records below ``before`` can no longer be read."""
-        super().lost(before=before, reason=reason)
+        super().record_loss(before=before, reason=reason)
         self._lease_unknown = True
 
     def _apply_record(self, entry: Entry) -> str | None:
--- a/ryelever/streams.py
+++ b/ryelever/streams.py
@@ -23,18 +23,18 @@
 from .errors import RunState
 from .events import ClaimReadBack, claim_read_back
 from .logs import log_event, log_warning
+from .protocol.external_systems import HTTP_LOG
 from .protocol.log import decode_entry, encode_record, placement_stream
-from .protocol.outside import HTTP_LOG
 from .request_sender import PendingRequest, RequestSender
-from .state.claims import MAX_AHEAD
+from .state.claims import MAX_KEY_LEAD
 from .state.records import Claim, Outcome, SnapshotPart
 
 if TYPE_CHECKING:
     from .coordination.actions import AppendRecord
-    from .coordination.log_reader import Applied
+    from .coordination.log_reader import AppliedEntry
     from .coordination.requests import Claims
     from .events import OutboundAnswer, OutboundFailure
-    from .protocol.outside import LogInterface
+    from .protocol.external_systems import LogInterface
     from .settings import Settings
     from .state.fold import BaseFold
     from .state.records import Record
@@ -130,7 +130,7 @@
     def _on_control_tick(self) -> None:
         now = time.monotonic()
         wall = time.time()
-        self._claims.observe_wall(wall, now=now)
+        self._claims.set_wall_clock(wall, now=now)
         for stream in self.streams_by_name.values():
             self._read(stream, now=now)
             self._expire_appends(stream, now=now)
@@ -146,7 +146,7 @@
             stream,
             action.record,
             record_id=action.record_id,
-            deadline=now + (action.kept_for or APPEND_DEADLINE),
+            deadline=now + (action.retry_for or APPEND_DEADLINE),
         )
         self._append(stream, now=now)
 
@@ -200,19 +200,19 @@
             ],
             expired=answer.status == STATUS_GONE,
         )
-        self._process_page(stream, page, asked_at=answer.sent_at, now=now)
+        self._process_page(stream, page, requested_at=answer.sent_at, now=now)
         self._read(stream, now=now)
         self._append(stream, now=now)
 
     def _process_page(
-        self, stream: Stream, page: ReadPage, *, asked_at: float, now: float
+        self, stream: Stream, page: ReadPage, *, requested_at: float, now: float
     ) -> None:
         reader = stream.reader
         gap, n_restored, problem = stream.fold.gap, reader.n_restored, reader.problem
-        for applied in reader.read(page, asked_at=asked_at, now=now):
+        for applied in reader.process_page(page, requested_at=requested_at, now=now):
             self._process_applied(stream, applied, now=now)
         if stream.name in self._claims.folds_by_stream:
-            self._claims.caught_up(stream.name, at=reader.caught_up_at)
+            self._claims.record_caught_up(stream.name, at=reader.caught_up_at)
         if reader.n_restored != n_restored:
             log_event(
                 "snapshot_restored",
@@ -226,7 +226,9 @@
         if reader.problem and reader.problem != problem and stream.fold.gap is None:
             log_warning("read_failed", stream=stream.name, message=reader.problem)
 
-    def _process_applied(self, stream: Stream, applied: Applied, *, now: float) -> None:
+    def _process_applied(
+        self, stream: Stream, applied: AppliedEntry, *, now: float
+    ) -> None:
         entry = applied.entry
         stream.writer.read_back(entry.id)
         if applied.reason is not None:
@@ -249,9 +251,9 @@
         self._report_claim(stream, applied, record, now=now)
 
     def _report_claim(
-        self, stream: Stream, applied: Applied, record: Claim, *, now: float
+        self, stream: Stream, applied: AppliedEntry, record: Claim, *, now: float
     ) -> None:
-        if applied.reason is None and not applied.certain:
+        if applied.reason is None and not applied.is_certain:
             # Records are missing, and an earlier claim of the same key may be among
             # them, so the request is not run.  If this claim is the first one after
             # all, the outcome appended here frees the key.
@@ -269,13 +271,13 @@
                 deadline=now + OUTCOME_KEPT,
             )
         message = ClaimReadBack(
-            claim_id=applied.entry.id, claim=record, is_first=applied.certain
+            claim_id=applied.entry.id, claim=record, is_first=applied.is_certain
         )
         self.fire(claim_read_back(message), "serving")
 
     def _check_clock(self, log_time: float) -> None:
         difference = time.time() - log_time
-        differs = abs(difference) > MAX_AHEAD / 2
+        differs = abs(difference) > MAX_KEY_LEAD / 2
         if differs and not self._clock_reported:
             log_warning("clock_differs_from_log", seconds=round(difference, 3))
         self._clock_reported = differs
@@ -304,7 +306,7 @@
             )
 
     def _expire_appends(self, stream: Stream, *, now: float) -> None:
-        for pending in stream.writer.give_up_late(now=now):
+        for pending in stream.writer.expire_pending(now=now):
             log_warning(
                 "append_given_up",
                 stream=stream.name,
--- a/ryelever/transport/callers.py
+++ b/ryelever/transport/callers.py
@@ -372,7 +372,7 @@
         if connection.closing and connection.closes_at == float("inf"):
             self._half_close(connection)
 
-    def n_unsent(self) -> int:
+    def n_waiting_callers(self) -> int:
         """Return the number of callers that wait for an answer or part of one.
 
         Callers whose request is still arriving or whose connection is being closed
--- a/ryelever/transport/http_client.py
+++ b/ryelever/transport/http_client.py
@@ -58,7 +58,7 @@
     ----------
     n_opened : int
         Connections opened.
-    n_silent : int
+    n_timed_out : int
         Requests that timed out because their connection made no progress.
     n_bytes_received_by_step, n_bytes_sent_by_step : Counter of str
         Bytes on the connections, including heads, by the ``step`` of the request.
@@ -73,7 +73,7 @@
         self._connections_by_request: dict[str, Connection] = {}
         self._idle = IdleConnections(close=self._close)
         self.n_opened = 0
-        self.n_silent = 0
+        self.n_timed_out = 0
         self.n_bytes_received_by_step: Counter[str] = Counter()
         self.n_bytes_sent_by_step: Counter[str] = Counter()
 
@@ -81,7 +81,9 @@
 
     @handler("outbound_send")
     def _on_outbound_send(self, request: OutboundRequest) -> None:
-        connection = None if request.fresh else self._idle.take(request.address)
+        connection = (
+            None if request.new_connection else self._idle.take(request.address)
+        )
         if connection is None:
             connection = self._open(request)
         if connection is not None:
@@ -195,7 +197,7 @@
         request = connection.request
         now = time.monotonic()
         unsent = request is not None and not connection.bytes_sent
-        if unsent and now >= request.send_before:
+        if unsent and now >= request.latest_start:
             # The deadline passed before the first byte was sent, for example while
             # this process was paused; the requester no longer waits for an answer.
             message = "was reached only after the deadline"
@@ -336,7 +338,7 @@
         # A network device between the two ends may have dropped the state of this
         # connection while new connections work.  Idle connections to the same peer
         # use the same network path and may be affected too, so they are closed.
-        self.n_silent += 1
+        self.n_timed_out += 1
         self._idle.purge(connection.address)
         verb = "connect" if connection.connecting else "answer"
         self._fail(
@@ -360,7 +362,7 @@
         if request is None:
             return
         stale = connection.reused and unanswered and category is Category.BROKEN
-        if stale and request.resend_stale and not request.fresh:
+        if stale and request.resend_stale and not request.new_connection:
             # The peer closed the connection while it was idle, which is not a failure
             # of the peer: send the request once more, over a new connection.
             replacement = self._open(request, bytes_sent=bytes_sent)
--- a/ryelever/transport/peers.py
+++ b/ryelever/transport/peers.py
@@ -39,7 +39,7 @@
         Local address, at which peers reach this host.
     reply_channel : str
         Channel on which ``peers_received`` is fired.
-    wakes : bool
+    read_on_arrival : bool
         Whether an arriving datagram wakes the process.  If not, datagrams are read
         only at each ``peers_poll``: with dozens of hosts that send several datagrams
         a second each, waking up for each datagram costs more than processing it, and
@@ -49,11 +49,11 @@
     channel = "peers"
 
     def __init__(
-        self, *, bind: tuple[str, int], reply_channel: str, wakes: bool = True
+        self, *, bind: tuple[str, int], reply_channel: str, read_on_arrival: bool = True
     ) -> None:
         super().__init__()
         self._reply_channel = reply_channel
-        self._wakes = wakes
+        self._read_on_arrival = read_on_arrival
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.setblocking(False)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
@@ -68,7 +68,7 @@
 
     @handler("started", channel="*")
     def _on_started(self, *args: object) -> None:
-        if self._wakes:
+        if self._read_on_arrival:
             findcmp(self.root, BasePoller).addReader(self, self._sock)
 
     @handler("peers_send")
--- a/ryelever/wiring.py
+++ b/ryelever/wiring.py
@@ -17,7 +17,7 @@
 
 from .exit_codes import ExitCode
 from .logs import configure, configure_stdout, log_error, log_event
-from .settings_files import checked_settings, print_faults, read_text
+from .settings_files import load_settings, print_faults, read_text
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -63,7 +63,7 @@
     from .application import Application
 
     text = read_text(path)
-    settings = None if text is None else checked_settings(path, text)
+    settings = None if text is None else load_settings(path, text)
     if settings is None:
         return ExitCode.FAULTY_INPUT
     configure()
--- a/tests/memory_log.py
+++ b/tests/memory_log.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ryelever.coordination.log_reader import Applied, LogReader, Read, ReadPage
+from ryelever.coordination.log_reader import AppliedEntry, LogReader, Read, ReadPage
 from ryelever.protocol.log import RawEntry, decode_entry, encode_record
 from ryelever.state.fold import BaseFold
 from ryelever.state.records import Entry, Record
@@ -57,15 +57,15 @@
 
 def read_to_end(
     reader: LogReader, log: MemoryLog, *, max_reads: int = 200
-) -> list[Applied]:
+) -> list[AppliedEntry]:
     """Read to the end of the log and return the applied entries."""
-    applied: list[Applied] = []
+    applied: list[AppliedEntry] = []
     now = max(0.0, reader.caught_up_at)
     for _ in range(max_reads):
         now += 10.0
         read = reader.next_read(now=now)
         assert read is not None
-        applied += reader.read(log.page(read), asked_at=now, now=now)
+        applied += reader.process_page(log.page(read), requested_at=now, now=now)
         if reader.caught_up_at == now:
             return applied
     raise AssertionError(f"not at the end after {max_reads} reads: {reader.problem}")
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -30,7 +30,7 @@
     target = Target(name="g", address="127.0.0.1:1")
     attempts.send(SendAttempt(attempt_id="t", arrival=arrival, target=target))
     attempts.cancel("t")
-    assert [(request.step, request.fresh) for request in sent] == [
+    assert [(request.step, request.new_connection) for request in sent] == [
         ("generate", False),
         ("cancel", True),
     ]
--- a/tests/test_console/test_publications.py
+++ b/tests/test_console/test_publications.py
@@ -59,7 +59,7 @@
     console would report a version as rejected that is in force on other hosts.
     """
     fold = ConfigurationFold()
-    fold.lost(before=3, reason="offsets 0 to 2 have expired")
+    fold.record_loss(before=3, reason="offsets 0 to 2 have expired")
     record = Publication(base_version=2, author="ana", document=Configuration())
     fold.apply(Entry(offset=3, time=0.0, id="mine", record=record))
     assert outcome_of("mine", fold).kind is OutcomeKind.UNKNOWN
--- a/tests/test_coordination/test_admission/test_admission.py
+++ b/tests/test_coordination/test_admission/test_admission.py
@@ -11,7 +11,7 @@
 from ryelever.coordination.actions import Arrival, ChatWork, ServiceWork
 from ryelever.coordination.admission.admission import Admitted, Queued, Refused
 from ryelever.coordination.admission.capacity import FixedCapacity
-from ryelever.coordination.admission.fair import FairAdmission
+from ryelever.coordination.admission.fair_admission import FairAdmission
 from ryelever.coordination.admission.pools import LOSS_GRACE_PERIOD
 from ryelever.state.configuration import ClientAccount
 
--- a/tests/test_coordination/test_admission/test_admission_capacity.py
+++ b/tests/test_coordination/test_admission/test_admission_capacity.py
@@ -37,7 +37,7 @@
             for target in targets
         )
         self._found = CandidateSet(
-            own_zone=candidates,
+            local_zone=candidates,
             other_zones=(),
             names=(),
             keys=(),
@@ -62,11 +62,11 @@
         host = f"h{index}"
         targets.append(Target(name=f"g{index}", address="", hosts=(host,)))
         report = HostReport(host=host, boot="b", state="ready", running=running)
-        confirmations.reported(report, asked_at=0.0)
+        confirmations.reported(report, requested_at=0.0)
     return GroupCapacity(
         targets=FakeTargets(targets),
         confirmations=confirmations,
-        batch=lambda: 16,
+        batch_size=lambda: 16,
         n_hosts=lambda: n_hosts,
         n_hosts_waiting=lambda now: n_hosts_waiting,
     )
@@ -124,7 +124,7 @@
     group_capacity = GroupCapacity(
         targets=view,
         confirmations=Confirmations(max_age=2.0),
-        batch=lambda: 16,
+        batch_size=lambda: 16,
         n_hosts=lambda: 4,
         n_hosts_waiting=lambda now: 1,
     )
--- a/tests/test_coordination/test_admission/test_admission_table.py
+++ b/tests/test_coordination/test_admission/test_admission_table.py
@@ -16,10 +16,10 @@
     Usage,
 )
 from ryelever.coordination.admission.capacity import FixedCapacity
-from ryelever.coordination.admission.fair import FairAdmission
+from ryelever.coordination.admission.fair_admission import FairAdmission
 from ryelever.coordination.requests.keyed_claims import Claims
 from ryelever.coordination.requests.requests import RequestTable
-from ryelever.coordination.routing.plain import LeastInFlightRouter
+from ryelever.coordination.routing.least_in_flight import LeastInFlightRouter
 from ryelever.coordination.routing.retry import RetryBudget
 from ryelever.errors import Category
 from ryelever.state.claims import ClaimsFold
@@ -114,10 +114,10 @@
     (sent,) = arrive(table, "first")
     for name in ("second", "third"):
         assert arrive(table, name) == []
-    assert table.after_release(now=0.5) == []
+    assert table.admit_after_release(now=0.5) == []
     table.finished(sent.attempt_id, finish_reason="stop", usage=Usage(), now=1.0)
-    assert kinds(table.after_release(now=1.0)) == [SendAttempt]
-    assert table.after_release(now=1.0) == []
+    assert kinds(table.admit_after_release(now=1.0)) == [SendAttempt]
+    assert table.admit_after_release(now=1.0) == []
     table.caller_disconnected("second", now=1.0)
-    (sent,) = table.after_release(now=1.0)
+    (sent,) = table.admit_after_release(now=1.0)
     assert sent.arrival.request_id == "third"
--- a/tests/test_coordination/test_lease.py
+++ b/tests/test_coordination/test_lease.py
@@ -34,8 +34,8 @@
         for entry in self.log[self.fold.next_offset :]:
             self.fold.apply(entry)
 
-    def tick(self, now: float, *, wanted: bool = True) -> None:
-        self.unsent += self.lease.tick(self.fold, wanted=wanted, now=now)
+    def tick(self, now: float, *, can_plan: bool = True) -> None:
+        self.unsent += self.lease.tick(self.fold, can_plan=can_plan, now=now)
 
     def send(self) -> None:
         for action in self.unsent:
@@ -158,7 +158,7 @@
     holder.take(0.0)
     other.read()
     other.tick(0.0)
-    holder.unsent = holder.lease.give_back(holder.fold, now=1.0)
+    holder.unsent = holder.lease.release(holder.fold, now=1.0)
     assert not holder.holds(1.0)
     holder.send()
     holder.read()
@@ -172,7 +172,7 @@
     """Check that a process that reaches no host leaves the lease to another one."""
     holder = _Candidate("a", log)
     holder.take(0.0)
-    holder.tick(TERM / 2, wanted=False)
+    holder.tick(TERM / 2, can_plan=False)
     assert holder.unsent == []
 
 
--- a/tests/test_coordination/test_log_reader.py
+++ b/tests/test_coordination/test_log_reader.py
@@ -158,7 +158,7 @@
     reader = new_reader(ClaimsFold())
     applied = read_to_end(reader, log)[-1]
     assert applied.reason is None
-    assert applied.certain is not missing
+    assert applied.is_certain is not missing
 
 
 def test_configuration_is_kept_when_its_record_and_all_snapshots_expired() -> None:
@@ -176,7 +176,7 @@
     log.append(new_publication(0, "rival"), record_id="rival")
     read_to_end(reader, log)
     assert reader.fold.version == 0 and not reader.fold.complete
-    assert "not judged" in (reader.fold.reason_of("rival") or "")
+    assert "not judged" in (reader.fold.ignored_reason("rival") or "")
 
 
 def test_gap_is_closed_by_a_later_snapshot() -> None:
@@ -284,7 +284,7 @@
     assert read is not None
     entries = log.page(read).entries
     page = ReadPage(first=0, next=1, entries=entries[:1])
-    reader.read(page, asked_at=0.0, now=0.0)
+    reader.process_page(page, requested_at=0.0, now=0.0)
     return reader, log
 
 
@@ -312,7 +312,7 @@
     entries = log.page(Read(offset=0, limit=10, wait=0.0)).entries
     page = ReadPage(first=0, next=3, entries=[entries[index] for index in offsets])
     reader.next_read(now=10.0)
-    reader.read(page, asked_at=10.0, now=10.0)
+    reader.process_page(page, requested_at=10.0, now=10.0)
     assert reader.fold.next_offset == reached
     assert (reader.caught_up_at == 10.0) is caught_up
 
@@ -331,11 +331,11 @@
         assert reader.fold.next_offset == 1
         now += 10.0
         reader.next_read(now=now)
-        reader.read(page, asked_at=now, now=now)
+        reader.process_page(page, requested_at=now, now=now)
         if reader.fold.gap is not None:
             break
     reader.next_read(now=now + 10.0)
-    reader.read(page, asked_at=now + 10.0, now=now + 10.0)
+    reader.process_page(page, requested_at=now + 10.0, now=now + 10.0)
     assert reader.fold.next_offset == 3
     assert not reader.fold.complete
 
@@ -349,7 +349,7 @@
     reader, _ = _reader_at_one()
     caught_up_at = reader.caught_up_at
     reader.next_read(now=10.0)
-    reader.read(ReadPage(first=0, next=0), asked_at=10.0, now=10.0)
+    reader.process_page(ReadPage(first=0, next=0), requested_at=10.0, now=10.0)
     assert reader.fold.version == 0
     assert reader.caught_up_at == caught_up_at
     assert "it was replaced or cut" in reader.problem
--- a/tests/test_coordination/test_log_snapshots.py
+++ b/tests/test_coordination/test_log_snapshots.py
@@ -86,7 +86,7 @@
     as the complete state would treat a claimed host as free.
     """
     fold = _fold()
-    fold.lost(before=10, reason="expired")
+    fold.record_loss(before=10, reason="expired")
     assert not _schedule().due(fold, wall=EPOCH + RETENTION, now=1000.0)
 
 
--- a/tests/test_coordination/test_log_writer.py
+++ b/tests/test_coordination/test_log_writer.py
@@ -70,7 +70,7 @@
     writer.add(RECORD, record_id="sent", deadline=5.0)
     assert _ids(writer, 0.0) == ["sent"]
     writer.add(RECORD, record_id="never sent", deadline=5.0)
-    expired = writer.give_up_late(now=5.0)
+    expired = writer.expire_pending(now=5.0)
     assert {pending.record_id: pending.sent for pending in expired} == {
         "sent": True,
         "never sent": False,
--- a/tests/test_coordination/test_measures.py
+++ b/tests/test_coordination/test_measures.py
@@ -52,7 +52,7 @@
                 group="g" if grouped else "",
                 fencing=7 if grouped else -1,
             )
-            self.confirmations.reported(report, asked_at=now)
+            self.confirmations.reported(report, requested_at=now)
 
     def run(self, *hosts: str, start: int, stop: int) -> None:
         """Tick once a second while the named hosts report."""
--- a/tests/test_coordination/test_planner/test_fencing.py
+++ b/tests/test_coordination/test_planner/test_fencing.py
@@ -75,7 +75,7 @@
     """
     engine = Engine(host="h", checks_fencing=checks_fencing)
     for at, order in orders:
-        engine.obey(order, now=float(at))
+        engine.execute(order, now=float(at))
     assert engine.group == (checking if checks_fencing else ignoring)
 
 
@@ -139,7 +139,7 @@
     zone.order_fate = lambda order: (0.0, delay) if order in first.sent else (0.0,)
     zone.run_until(lambda: first.sent, at_most=5)
     zone.run(0.2)
-    zone.do(first, first.planner.give_back_lease(zone.view(first), now=zone.now))
+    zone.do(first, first.planner.release_lease(zone.view(first), now=zone.now))
     zone.run_until(zone.groups, at_most=2)
     zone.engines_by_host["a-0"].refuses = True
     first.paused = True
--- a/tests/test_coordination/test_planner/test_planner_outage.py
+++ b/tests/test_coordination/test_planner/test_planner_outage.py
@@ -98,7 +98,9 @@
     zone.run(5)
     if has_restarted:
         stale_process.fold = PlacementFold()
-    stale_process.fold.lost(before=len(zone.entries), reason="records have expired")
+    stale_process.fold.record_loss(
+        before=len(zone.entries), reason="records have expired"
+    )
     stale_process.paused = False
     zone.run(40)
     assert stale_process.fold.lease.offset == zone.truth.lease.offset
@@ -121,7 +123,9 @@
     for process in zone.planners:
         process.paused = True
         zone.run(6)
-        process.fold.lost(before=len(zone.entries), reason="records have expired")
+        process.fold.record_loss(
+            before=len(zone.entries), reason="records have expired"
+        )
     zone.run(6)
     for process in zone.planners[n_paused:]:
         process.paused = False
@@ -149,5 +153,5 @@
     process.paused = False
     n_sent = len(process.sent)
     process.planner.tick(zone.view(process), now=zone.now)
-    assert not process.planner.lease.log_is_away(now=zone.now)
+    assert not process.planner.lease.is_log_unreachable(now=zone.now)
     assert len(process.sent) == n_sent
--- a/tests/test_coordination/test_planner/test_planner_repair.py
+++ b/tests/test_coordination/test_planner/test_planner_repair.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ryelever.coordination.planner.placement_history import Repairs
+from ryelever.coordination.planner.placement_history import PlacementHistory
 from ryelever.state.configuration import Configuration, Model
 
 from ...zone import Zone, new_zone
@@ -296,7 +296,7 @@
     """Check cause, decision and outcome of the lines for a repair."""
     zone = _assert_formed_in_domain_a(_make_zone(a=5))
     process = zone.planners[0]
-    repairs = Repairs(
+    repairs = PlacementHistory(
         placements_by_zone={"z": process.fold}, confirmations=process.confirmations
     )
     repairs.observe(now=zone.now)
--- a/tests/test_coordination/test_polling.py
+++ b/tests/test_coordination/test_polling.py
@@ -7,8 +7,8 @@
 from ryelever.coordination.confirmation import Confirmations
 from ryelever.coordination.polling import (
     UNKNOWN_SERVER_INTERVAL,
-    PollingShares,
-    ReportFollowing,
+    PollingAssignment,
+    ReportPolling,
     rendezvous,
 )
 from ryelever.events import HostReported, OutboundAnswer, host_reported
@@ -23,8 +23,8 @@
 SERVERS = [f"w{index}" for index in range(60)]
 
 
-def shares(host: str, *members: str) -> PollingShares:
-    result = PollingShares(host=host)
+def shares(host: str, *members: str) -> PollingAssignment:
+    result = PollingAssignment(host=host)
     result.set_members(members)
     return result
 
@@ -127,14 +127,18 @@
     ],
 )
 def test_when_a_server_is_polled(
-    poll_shares: PollingShares, server: str, age: float | None, since: float, due: bool
+    poll_shares: PollingAssignment,
+    server: str,
+    age: float | None,
+    since: float,
+    due: bool,
 ) -> None:
     """Guard against groups that no longer count as complete though their hosts work.
 
     Both pollers of a host die or are cut off from this entry host.  The other hosts
     must poll themselves instead of waiting for reports that no host sends.
     """
-    following = ReportFollowing(
+    following = ReportPolling(
         shares=poll_shares, availability_zone="a", interval=0.5, max_age=2.0
     )
     assert following.is_due(server, zone="a", reported_at=None, now=100.0)
@@ -224,7 +228,7 @@
     record_report(fleet, "ready", at=9.4, now=10.0)
     assert fleet.confirmations.fresh("w1", now=10.0) is None
     late = HostReported(
-        report=HostReport(host="w1", boot="b", state="ready"), asked_at=9.3
+        report=HostReport(host="w1", boot="b", state="ready"), requested_at=9.3
     )
     fleet.fire(host_reported(late), "fleet")
     fleet.flush()
--- a/tests/test_coordination/test_quarantine/test_quarantine.py
+++ b/tests/test_coordination/test_quarantine/test_quarantine.py
@@ -22,7 +22,7 @@
 from ryelever.state.configuration import ClientAccount
 from ryelever.state.observations import SuspicionRow
 
-from ..test_requests.request_fakes import FakeLog, OpenAdmission
+from ..test_requests.request_fakes import FakeAdmission, FakeLog
 
 # Each case: steps, the time of the check and the fingerprints condemned by then.
 # Steps: ("crash", target, fingerprints that ran, time), ("done", fingerprint, time),
@@ -235,7 +235,7 @@
     first.crashed("g1", {"poison"}, now=2.0)
     second.crashed("g1", {"bystander"}, now=2.0)
     _exchange({"e1": first, "e2": second}, now=2.2)
-    assert first.is_held("poison", now=2.3)
+    assert first.must_not_run("poison", now=2.3)
     for quarantine in (first, second):
         assert quarantine.verdict("poison", now=3.5) is not None
         assert quarantine.verdict("bystander", now=3.5) is None
@@ -273,18 +273,18 @@
     assert is_crash(error, refused=refused) is crash
 
 
-class _FullAdmission(OpenAdmission):
+class _FullAdmission(FakeAdmission):
     def admit(self, arrival, account, *, now):
         super().admit(arrival, account, now=now)
         return Queued()
 
 
 def _table(
-    fleet: FakeFleet, *, admission: OpenAdmission | None = None, **options: Any
+    fleet: FakeFleet, *, admission: FakeAdmission | None = None, **options: Any
 ) -> RequestTable:
     ids = iter(range(10**6))
     return RequestTable(
-        admission=admission or OpenAdmission(),
+        admission=admission or FakeAdmission(),
         router=fleet.router(**options),
         retry_policy=fleet.retry_budget,
         claims=FakeLog(),
@@ -313,7 +313,7 @@
     without regard to its fingerprint.
     """
     fleet = FakeFleet(zones={"a": 12})
-    fleet.report_all(asked_at=0.0)
+    fleet.report_all(requested_at=0.0)
     table = _table(fleet)
     waiting: list[SendAttempt] = []
     answers: dict[str, object] = {}
@@ -454,7 +454,7 @@
         self.now = round(self.now + 0.1, 3)
         for at, fleet in enumerate(self.fleets):
             for name in set(fleet.groups) - self.dead:
-                fleet.report(f"{name}-0", asked_at=self.now)
+                fleet.report(f"{name}-0", requested_at=self.now)
             self._process(at, self.tables[at].tick(now=self.now))
         if round(self.now * 10) % 5 == 0:
             self._exchange_suspicions()
@@ -548,7 +548,7 @@
         if isinstance(answer, StreamFinished)
     ]
     assert len(completed_ids) == 10 * n_hosts
-    assert [table.n_left() for table in zone.tables] == [0] * n_hosts
+    assert [table.n_tracked() for table in zone.tables] == [0] * n_hosts
 
 
 def test_resent_quarantined_request_is_refused_without_queueing() -> None:
--- a/tests/test_coordination/test_readiness.py
+++ b/tests/test_coordination/test_readiness.py
@@ -58,5 +58,5 @@
     requests would be refused that other hosts could serve.
     """
     readiness = Readiness()
-    results = [readiness.look(inputs, now=at) for at, inputs in inputs_at]
+    results = [readiness.update(inputs, now=at) for at, inputs in inputs_at]
     assert results[-1] is ready
--- a/tests/test_coordination/test_requests/request_fakes.py
+++ b/tests/test_coordination/test_requests/request_fakes.py
@@ -29,7 +29,7 @@
 KEY = f"{int(ISSUED * 1000)}-k"
 
 
-class OpenAdmission:
+class FakeAdmission:
     """Admit all requests unless ``decision`` is set; hold those not yet released."""
 
     def __init__(self) -> None:
@@ -94,7 +94,7 @@
     def available(self, *, now):
         return self.reachable
 
-    def knows(self, key, *, since):
+    def has_all_claims(self, key, *, since):
         return self.caught_up_at > since
 
     def lookup(self, key):
@@ -118,7 +118,7 @@
         self.now = 0.0
         self.log = FakeLog()
         self.router = FakeRouter()
-        self.admission = OpenAdmission()
+        self.admission = FakeAdmission()
         self.table = RequestTable(
             admission=self.admission,
             router=self.router,
@@ -191,7 +191,7 @@
             stream=self.log.stream,
             record=claim,
             record_id=f"rival-{key}",
-            kept_for=0.0,
+            retry_for=0.0,
         )
         self.log.unread.append(append)
         return True
--- a/tests/test_coordination/test_requests/test_claims.py
+++ b/tests/test_coordination/test_requests/test_claims.py
@@ -27,7 +27,7 @@
         max_lag=MAX_LAG,
     )
     for name in STREAMS:
-        claims.caught_up(name, at=0.0)
+        claims.record_caught_up(name, at=0.0)
     return claims
 
 
@@ -51,9 +51,9 @@
     """
     claims = _claims()
     for name in caught_up:
-        claims.caught_up(name, at=10.0)
+        claims.record_caught_up(name, at=10.0)
     if missing:
-        claims.folds_by_stream[missing].lost(before=5, reason="expired")
+        claims.folds_by_stream[missing].record_loss(before=5, reason="expired")
     assert claims.available(now=now) is available
 
 
@@ -94,10 +94,10 @@
     entry = Entry(offset=0, time=EPOCH + age, id="x", record=record)
     claims.folds_by_stream[KEY_PARTITION].apply(entry)
     if caught_up:
-        claims.caught_up(caught_up, at=6.0)
+        claims.record_caught_up(caught_up, at=6.0)
     if missing:
-        claims.folds_by_stream[missing].lost(before=5, reason="expired")
-    assert claims.knows(KEY, since=5.0) is known
+        claims.folds_by_stream[missing].record_loss(before=5, reason="expired")
+    assert claims.has_all_claims(KEY, since=5.0) is known
 
 
 OWNER_TIMEOUTS = [
@@ -142,8 +142,8 @@
     other = replace(end, key="acme/other")
     record = end if outcome else other
     fold.apply(Entry(offset=1, time=EPOCH + record_age, id="o", record=record))
-    claims.observe_wall(EPOCH + age, now=1000.0)
-    claims.caught_up(KEY_PARTITION, at=1000.0 if caught_up else 1000.0 - age)
+    claims.set_wall_clock(EPOCH + age, now=1000.0)
+    claims.record_caught_up(KEY_PARTITION, at=1000.0 if caught_up else 1000.0 - age)
     found = claims.lookup(KEY)
     state = "free" if found is None else "in progress"
     if found is not None and found.outcome is not None:
--- a/tests/test_coordination/test_requests/test_idempotency.py
+++ b/tests/test_coordination/test_requests/test_idempotency.py
@@ -17,7 +17,7 @@
 from ryelever.errors import Category, RunState
 from ryelever.events import CallerRequest
 from ryelever.settings import Settings
-from ryelever.state.claims import CLAIM_WINDOW, MAX_AHEAD, ClaimState
+from ryelever.state.claims import CLAIM_WINDOW, MAX_KEY_LEAD, ClaimState
 from ryelever.state.configuration import ClientAccount, Configuration, Service
 from ryelever.state.configuration_fold import ConfigurationFold
 from ryelever.state.records import Outcome
@@ -35,13 +35,13 @@
     (f"{MILLISECONDS}-rex", 0.0, None, None),
     (f"{MILLISECONDS}-rex/b\u00e9", 0.0, None, None),
     (UUID7, CLAIM_WINDOW - 1, None, None),
-    (UUID7, 1 - MAX_AHEAD, None, None),
+    (UUID7, 1 - MAX_KEY_LEAD, None, None),
     (UUID7, CLAIM_WINDOW + 1, "idempotency_key_expired", RunState.OUTCOME_UNKNOWN),
     # An entry host whose clock is right may have accepted a key that this one refuses.
-    (UUID7, -1 - MAX_AHEAD, "idempotency_key_in_future", RunState.OUTCOME_UNKNOWN),
+    (UUID7, -1 - MAX_KEY_LEAD, "idempotency_key_in_future", RunState.OUTCOME_UNKNOWN),
     (
         UUID7,
-        -1 - MAX_AHEAD - MAX_CLOCK_ERROR,
+        -1 - MAX_KEY_LEAD - MAX_CLOCK_ERROR,
         "idempotency_key_in_future",
         RunState.NOT_RUN,
     ),
@@ -64,7 +64,7 @@
     again an hour later, when its claim has been forgotten.  On the answer "not run"
     the caller would send it once more under a new key.
     """
-    result = check_key(key, wall=EPOCH + age)
+    result = check_key(key, wall_time=EPOCH + age)
     if code is None:
         assert result.ok == pytest.approx(EPOCH, abs=0.001)
         return
@@ -77,9 +77,9 @@
     # seconds that the host's clock is behind, seconds that the newest log time read is
     # behind, error code
     (0.0, 0.0, None),
-    (MAX_AHEAD + 30, 0.0, None),
+    (MAX_KEY_LEAD + 30, 0.0, None),
     (0.0, 3600.0, None),
-    (MAX_AHEAD + 30, 3600.0, "idempotency_key_in_future"),
+    (MAX_KEY_LEAD + 30, 3600.0, "idempotency_key_in_future"),
     (-CLAIM_WINDOW - 30, 0.0, "idempotency_key_expired"),
     (0.0, -CLAIM_WINDOW - 30, "idempotency_key_expired"),
 ]
--- a/tests/test_coordination/test_requests/test_requests.py
+++ b/tests/test_coordination/test_requests/test_requests.py
@@ -417,7 +417,7 @@
     for step in steps.split():
         driver.step(step)
     assert summary(driver) == expected
-    assert driver.table.n_left() == 0
+    assert driver.table.n_tracked() == 0
     assert not driver.admission.admitted
     assert not driver.router.in_flight
 
--- a/tests/test_coordination/test_requests/test_requests_machine.py
+++ b/tests/test_coordination/test_requests/test_requests_machine.py
@@ -232,7 +232,7 @@
         self.driver.take(self.driver.table.tick(now=self.driver.now))
         self.check_actions()
         self.check_tables()
-        assert self.driver.table.n_left() == 0
+        assert self.driver.table.n_tracked() == 0
 
 
 TestRequestMachine = RequestMachine.TestCase
--- a/tests/test_coordination/test_routing/test_affinity.py
+++ b/tests/test_coordination/test_routing/test_affinity.py
@@ -41,7 +41,7 @@
 
 def _candidates(n_groups: int) -> tuple:
     fleet = FakeFleet(zones={"a": n_groups})
-    return fleet.targets.candidates(chat().work, now=0.0).own_zone
+    return fleet.targets.candidates(chat().work, now=0.0).local_zone
 
 
 @pytest.mark.parametrize(("n_groups", "n_other_moves"), [(20, 0), (100, 8)])
--- a/tests/test_coordination/test_routing/test_departures.py
+++ b/tests/test_coordination/test_routing/test_departures.py
@@ -9,9 +9,9 @@
 from ryelever.state.observations import LeavingRow, LoadRow
 
 
-def _fleet(asked_at: float = 9.0) -> FakeFleet:
+def _fleet(requested_at: float = 9.0) -> FakeFleet:
     fleet = FakeFleet(zones={"a": 2})
-    fleet.report_all(asked_at=asked_at)
+    fleet.report_all(requested_at=requested_at)
     return fleet
 
 
@@ -41,7 +41,7 @@
 
 EVIDENCE = {
     "listed": lambda fleet: fleet.relist("a-0-0", state="leaving"),
-    "reported": lambda fleet: fleet.report("a-0-0", asked_at=9.9, state="leaving"),
+    "reported": lambda fleet: fleet.report("a-0-0", requested_at=9.9, state="leaving"),
     "refused": _refused,
     "died": _died,
     "told by a peer": _announced,
@@ -60,14 +60,14 @@
     list lags seconds behind the host's own report, or the report behind the list, and
     only the source that lags was used.
     """
-    fleet = _fleet(asked_at=9.5)
+    fleet = _fleet(requested_at=9.5)
     assert _names(fleet, 9.6) == ["a-0", "a-1"]
     evidence(fleet)
     assert _names(fleet, 10.0) == ["a-1"]
 
 
 @pytest.mark.parametrize(
-    ("evidence", "asked_at", "now", "readmitted"),
+    ("evidence", "requested_at", "now", "readmitted"),
     [
         (_refused, 9.9, 10.2, False),
         (_refused, 10.1, 10.2, True),
@@ -83,7 +83,7 @@
     ],
 )
 def test_only_a_newer_report_ends_evidence(
-    evidence, asked_at: float, now: float, readmitted: bool
+    evidence, requested_at: float, now: float, readmitted: bool
 ) -> None:
     """A report ends the evidence only if it was requested after the evidence.
 
@@ -94,7 +94,7 @@
     fleet = _fleet()
     evidence(fleet)
     for host in ("a-0-0", "a-1-0"):
-        fleet.report(host, asked_at=asked_at)
+        fleet.report(host, requested_at=requested_at)
     assert ("a-0" in _names(fleet, now)) is readmitted
 
 
--- a/tests/test_coordination/test_routing/test_retry.py
+++ b/tests/test_coordination/test_routing/test_retry.py
@@ -43,7 +43,7 @@
 def _broken_off(budget: RetryBudget, times: list[float]) -> int:
     n_allowed = 0
     for now in times:
-        budget.died("group", now=now)
+        budget.record_death("group", now=now)
         n_allowed += budget.allow(n_attempts=1, now=now)
     return n_allowed
 
@@ -81,5 +81,5 @@
     """
     budget = RetryBudget(reserve=0.0)
     for number in range(100):
-        budget.died(f"group-{number}", now=float(number))
+        budget.record_death(f"group-{number}", now=float(number))
         assert not budget.allow(n_attempts=1, now=float(number))
--- a/tests/test_coordination/test_routing/test_routing.py
+++ b/tests/test_coordination/test_routing/test_routing.py
@@ -14,7 +14,7 @@
 
 def _fleet(**zones: int) -> FakeFleet:
     fleet = FakeFleet(zones=zones or {"a": 8})
-    fleet.report_all(asked_at=0.0)
+    fleet.report_all(requested_at=0.0)
     return fleet
 
 
@@ -79,17 +79,17 @@
 
 def _lose_local_zone(fleet: FakeFleet) -> None:
     for host in ("a-0-0", "a-1-0"):
-        fleet.confirmations.unreachable(host)
+        fleet.confirmations.record_unreachable(host)
 
 
 def _load_local_zone(fleet: FakeFleet) -> None:
     for host in ("a-0-0", "a-1-0"):
-        fleet.report(host, asked_at=0.1, running=30)
+        fleet.report(host, requested_at=0.1, running=30)
 
 
 def _load_all_zones(fleet: FakeFleet) -> None:
     for host in fleet.hosts_by_name:
-        fleet.report(host, asked_at=0.1, running=30)
+        fleet.report(host, requested_at=0.1, running=30)
 
 
 @pytest.mark.parametrize(
@@ -117,7 +117,7 @@
 
 
 def _load_in_report(fleet: FakeFleet) -> None:
-    fleet.report("a-0-0", asked_at=0.1, running=30)
+    fleet.report("a-0-0", requested_at=0.1, running=30)
 
 
 def _load_in_peer_count(fleet: FakeFleet) -> None:
@@ -152,7 +152,7 @@
     assert (
         fleet.router(seed=1)
         ._choose_from_all(
-            fleet.targets.candidates(chat().work, now=0.2).own_zone,
+            fleet.targets.candidates(chat().work, now=0.2).local_zone,
             excluded=(),
             now=0.2,
         )
@@ -165,7 +165,7 @@
 def test_old_counts_of_peers_are_ignored(now: float, load: float) -> None:
     fleet = _fleet(a=2)
     _load_in_peer_count(fleet)
-    candidate = fleet.targets.candidates(chat().work, now=0.0).own_zone[0]
+    candidate = fleet.targets.candidates(chat().work, now=0.0).local_zone[0]
     assert fleet.loads.estimate(candidate, now=now) == load
 
 
@@ -194,7 +194,7 @@
     names = _fill(router, 100, text="short") + _fill(router, 100)
     assert "a-2" not in names and len(names) == 3
     for name in ("a-0", "a-1", "a-3"):
-        fleet.confirmations.unreachable(f"{name}-0")
+        fleet.confirmations.record_unreachable(f"{name}-0")
     assert router.choose(chat(), tried=(), now=0.2).name == "a-2"
 
 
@@ -209,7 +209,7 @@
     suspects = ["s-0", "s-1", "s-2"]
     fleet.quarantine.crashed("dead", suspects, now=0.0)
     for number, running in enumerate((30, 0, 5, 6)):
-        fleet.report(f"a-{number}-0", asked_at=0.1, running=running)
+        fleet.report(f"a-{number}-0", requested_at=0.1, running=running)
     router = fleet.router()
     names = []
     for suspect in suspects:
@@ -243,5 +243,5 @@
     fleet = _fleet(a=2)
     router = fleet.router()
     assert router.choose(chat(), tried=(), now=9.0) is None
-    fleet.report_all(asked_at=9.01)
+    fleet.report_all(requested_at=9.01)
     assert router.choose(chat(), tried=(), now=9.1) is not None
--- a/tests/test_coordination/test_routing/test_targets.py
+++ b/tests/test_coordination/test_routing/test_targets.py
@@ -17,7 +17,7 @@
         adapters=("pt",),
         services=(("s-1", "b"), ("s-2", "a")),
     )
-    fleet.report_all(asked_at=0.0)
+    fleet.report_all(requested_at=0.0)
     return fleet
 
 
@@ -26,9 +26,9 @@
     [
         (lambda fleet: None, 1.0, ["a-0", "a-1"]),
         (lambda fleet: None, 2.1, []),
-        (lambda fleet: fleet.confirmations.unreachable("a-0-1"), 1.0, ["a-1"]),
+        (lambda fleet: fleet.confirmations.record_unreachable("a-0-1"), 1.0, ["a-1"]),
         (
-            lambda fleet: fleet.report("a-0-1", asked_at=0.5, state="leaving"),
+            lambda fleet: fleet.report("a-0-1", requested_at=0.5, state="leaving"),
             1.0,
             ["a-1"],
         ),
@@ -55,7 +55,7 @@
     ("apply_fault", "now", "lost"),
     [
         (lambda fleet: None, 1.0, False),
-        (lambda fleet: fleet.confirmations.unreachable("a-0-1"), 1.0, True),
+        (lambda fleet: fleet.confirmations.record_unreachable("a-0-1"), 1.0, True),
         (lambda fleet: fleet.relist("a-0-1", state="leaving"), 1.0, False),
         (lambda fleet: None, 2.1, False),
     ],
@@ -73,7 +73,7 @@
 def test_other_zone_serves_when_local_zone_cannot() -> None:
     fleet = _fleet()
     for group in ("a-0", "a-1"):
-        fleet.confirmations.unreachable(f"{group}-0")
+        fleet.confirmations.record_unreachable(f"{group}-0")
     assert [t.name for t in fleet.targets.for_arrival(chat(), 1.0)] == ["b-0"]
 
 
@@ -120,7 +120,7 @@
     coming because a complete group was taken for a usable one.
     """
     fleet = _fleet()
-    candidate = fleet.targets.candidates(chat().work, now=0.0).own_zone[0]
+    candidate = fleet.targets.candidates(chat().work, now=0.0).local_zone[0]
     names = ("name", "fencing", "members", "dissolved")
     fields = {name: getattr(candidate.group, name) for name in names}
     group = SimpleNamespace(draining=draining, **fields)
--- a/tests/test_coordination/test_soft_state/test_soft_state.py
+++ b/tests/test_coordination/test_soft_state/test_soft_state.py
@@ -130,7 +130,7 @@
     assert n_checked
 
 
-def test_a_paused_peer_wakes_to_old_datagrams_and_calls_them_old() -> None:
+def test_paused_peer_reports_old_datagrams_as_old() -> None:
     """Add the length of a pause to the age of datagrams buffered during it.
 
     Guards against a dead backend server that counts as confirmed after a pause.  A
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -147,7 +147,7 @@
     crashed_at = clock.now
     for target in ("group-1", "group-2"):
         first.crashed(target, ["poison"], now=crashed_at)
-    while not second.is_held("poison", now=clock.now):
+    while not second.must_not_run("poison", now=clock.now):
         clock.run(clock.now + TICK / 10)
         assert clock.now < crashed_at + SUSPICION_SETTLE
 
@@ -213,4 +213,4 @@
         clock.run(clock.now + TICK / 10)
         assert clock.now < crashed_at + (2 * LIVE_AGE) + 1.0
     waited = clock.now - crashed_at
-    assert second_view.is_held("poison", now=clock.now) or waited >= LIVE_AGE
+    assert second_view.must_not_run("poison", now=clock.now) or waited >= LIVE_AGE
--- a/tests/test_protocol/test_configuration_document.py
+++ b/tests/test_protocol/test_configuration_document.py
@@ -10,9 +10,9 @@
 
 from ryelever.accounts import hash_key
 from ryelever.protocol.configuration_document import (
-    canonical,
     check_document,
-    difference,
+    encode_canonical,
+    list_changes,
 )
 from ryelever.state.configuration import Configuration, Model
 
@@ -130,8 +130,8 @@
 def test_canonical_encoding_does_not_depend_on_order() -> None:
     one = {"b": Model(version="1"), "a": Model(version="2")}
     other = dict(reversed(one.items()))
-    first = canonical(Configuration(models=one))
-    assert first == canonical(Configuration(models=other))
+    first = encode_canonical(Configuration(models=one))
+    assert first == encode_canonical(Configuration(models=other))
     assert check_document(first).ok == Configuration(models=one)
 
 
@@ -155,7 +155,7 @@
 ) -> None:
     checked = check_document(json.dumps(document).encode())
     if checked.is_ok():
-        assert check_document(canonical(checked.ok)).ok == checked.ok
+        assert check_document(encode_canonical(checked.ok)).ok == checked.ok
     else:
         assert checked.error
         assert all(fault.place.startswith("/") for fault in checked.error)
@@ -165,15 +165,15 @@
     before = check_document(json.dumps(_document()).encode()).ok
     document = _document("models.notes.version", "v9")
     after = check_document(json.dumps(document).encode()).ok
-    assert difference(before, before) == []
-    (change,) = difference(before, after)
+    assert list_changes(before, before) == []
+    (change,) = list_changes(before, after)
     assert change.place == "/models/notes/version"
     assert (change.before, change.after) == ('"v1"', '"v9"')
 
 
 def test_difference_lists_every_added_field() -> None:
     after = Configuration(models={"m": Model(version="1")})
-    changes = difference(Configuration(), after)
+    changes = list_changes(Configuration(), after)
     after_by_place = {change.place: change.after for change in changes}
     assert after_by_place["/models/m/version"] == '"1"'
     assert {change.before for change in changes} == {""}
--- a/tests/test_protocol/test_outside.py
+++ b/tests/test_protocol/test_external_systems.py
@@ -9,14 +9,14 @@
 
 from ryelever.coordination.actions import Arrival, ServiceWork
 from ryelever.protocol.backend import GenerateRequest, Order
-from ryelever.protocol.log import encode_record
-from ryelever.protocol.outside import (
+from ryelever.protocol.external_systems import (
     HTTP_ENGINE,
     HTTP_HOSTS_LIST,
     HTTP_LOG,
     HTTP_PLAIN_SERVICE,
     Call,
 )
+from ryelever.protocol.log import encode_record
 from ryelever.state.records import Claim
 
 INTERFACES = Path(__file__).parents[2] / "docs" / "INTERFACES.md"
--- a/tests/test_protocol/test_openai.py
+++ b/tests/test_protocol/test_openai.py
@@ -9,7 +9,7 @@
 from ryelever.coordination.actions import Usage
 from ryelever.errors import Category, RunState, RyeleverError
 from ryelever.protocol.openai import (
-    ChatStreamShape,
+    ChatStreamEncoder,
     error_body,
     error_event,
     error_headers,
@@ -64,7 +64,7 @@
     "text", ['"quoted"\n', "line\u2028end", "\x00", "ção 🐕", "</script>", ""]
 )
 def test_stream_carries_any_text(text: str) -> None:
-    shape = ChatStreamShape(request_id="r", model='m"', created=1, include_usage=True)
+    shape = ChatStreamEncoder(request_id="r", model='m"', created=1, include_usage=True)
     data = shape.started() + shape.tokens((text, "."))
     data += shape.finished(finish_reason="stop", usage=Usage(n_prompt_tokens=1))
     *events, done = SseSplitter().feed(data)
--- a/tests/test_protocol/test_soft_state.py
+++ b/tests/test_protocol/test_soft_state.py
@@ -11,7 +11,6 @@
 
 from ryelever.coordination.soft_state.messages import (
     AliveRow,
-    GoneRow,
     Have,
     Member,
     Message,
@@ -20,6 +19,7 @@
     TableUpdate,
     Update,
     Want,
+    WithdrawnRow,
 )
 from ryelever.protocol.soft_state import (
     MAC_SIZE,
@@ -52,7 +52,7 @@
 
 rows = st.one_of(
     st.builds(AliveRow, report_age=ages),
-    st.builds(GoneRow),
+    st.builds(WithdrawnRow),
     st.builds(DemandRow, client_account=text, rate=f32, n_in_flight=u32, n_waiting=u32),
     st.builds(SuspicionRow, fingerprint=text, n_crashes=u32),
     st.builds(LeavingRow, host=text),
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -25,7 +25,7 @@
             self.queued.clear()
         return []
 
-    def after_release(self, *, now: float) -> list[AppendRecord]:
+    def admit_after_release(self, *, now: float) -> list[AppendRecord]:
         if not self.queued:
             return []
         name = self.queued.pop(0)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ryelever.settings import REQUIRED, SETTINGS, reference
+from ryelever.settings import REQUIRED, SETTINGS, settings_table
 from ryelever.settings_reader import read_settings
 
 OPERATIONS = Path(__file__).parents[1] / "docs" / "OPERATIONS.md"
@@ -108,4 +108,4 @@
         re.S,
     )
     assert found is not None
-    assert found[1].strip() == reference().strip()
+    assert found[1].strip() == settings_table().strip()
--- a/tests/test_state/test_claims.py
+++ b/tests/test_state/test_claims.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ryelever.state.claims import FREED_WITHIN, ClaimsFold
+from ryelever.state.claims import MAX_TIME_TO_FREE, ClaimsFold
 from ryelever.state.records import Claim, Outcome, Record, Unreadable
 
 from ..builders import new_claim, new_entry
@@ -54,17 +54,17 @@
         "claim is of request r2",
     ),
     "key freed after a caller may have been told that the outcome is unknown": (
-        [(0, _claim("e1")), (FREED_WITHIN + 1, _outcome("e1", "not_run"))],
+        [(0, _claim("e1")), (MAX_TIME_TO_FREE + 1, _outcome("e1", "not_run"))],
         "e1",
         "key was claimed more than 90 s ago",
     ),
     "key freed in time": (
-        [(0, _claim("e1")), (FREED_WITHIN, _outcome("e1", "not_run"))],
+        [(0, _claim("e1")), (MAX_TIME_TO_FREE, _outcome("e1", "not_run"))],
         None,
         None,
     ),
     "late outcome of a request that was run": (
-        [(0, _claim("e1")), (FREED_WITHIN + 9, _outcome("e1", "run"))],
+        [(0, _claim("e1")), (MAX_TIME_TO_FREE + 9, _outcome("e1", "run"))],
         "e1",
         None,
     ),
@@ -137,7 +137,7 @@
     """
     fold = ClaimsFold(window=WINDOW, max_ahead=MAX_AHEAD)
     if kind == "expired":
-        fold.lost(before=1, reason="expired")
+        fold.record_loss(before=1, reason="expired")
     else:
         fold.apply(new_entry(0, UNKNOWN, time=EPOCH))
     for offset, second in enumerate(seconds, start=1):
--- a/tests/test_state/test_configuration_fold.py
+++ b/tests/test_state/test_configuration_fold.py
@@ -116,7 +116,7 @@
 
 def _gap_before(offset: int) -> ConfigurationFold:
     fold = _fold()
-    fold.lost(before=offset, reason="records have expired")
+    fold.record_loss(before=offset, reason="records have expired")
     return fold
 
 
@@ -206,7 +206,7 @@
     """
     fold = ConfigurationFold()
     fold.adopt(version=version, document=declared("v"), author="ana")
-    fold.lost(before=before, reason="records have expired")
+    fold.record_loss(before=before, reason="records have expired")
     for offset in range(before, version + 1):
         fold.apply(_publication(offset, offset - 1, author="ana"))
     offset = max(version + 1, before)
@@ -235,7 +235,7 @@
 def test_reason_of_a_refused_publication_names_the_accepted_one() -> None:
     """Look up the reason why a publication was refused by the publication's id."""
     fold = _fold(_publication(1, -1, author="bia", id="lost"))
-    assert fold.reason_of("first") is None
-    assert fold.reason_of("lost") == (
+    assert fold.ignored_reason("first") is None
+    assert fold.ignored_reason("lost") == (
         "based on version -1, but version 0 by ana is in force"
     )
--- a/tests/test_state/test_folds_machine.py
+++ b/tests/test_state/test_folds_machine.py
@@ -231,7 +231,7 @@
 
     def _flush(self, host: Host, stream: str, fate: str) -> None:
         writer = host.writers[stream]
-        writer.give_up_late(now=self.now)
+        writer.expire_pending(now=self.now)
         self.now += 10.0
         for pending in writer.due(now=self.now):
             if fate == "delayed":
@@ -285,12 +285,12 @@
             reader.failed("no answer", now=self.now)
             return
         page = _spoil(self.logs[stream].page(read), fault)
-        for applied in reader.read(page, asked_at=self.now, now=self.now):
+        for applied in reader.process_page(page, requested_at=self.now, now=self.now):
             host.writers[stream].read_back(applied.entry.id)
             record = applied.entry.record
             own = isinstance(record, Claim) and record.owner == host.owner
             new = not applied.repeated and not applied.seen_before
-            if own and applied.certain and new:
+            if own and applied.is_certain and new:
                 self.runs_by_key[record.key].append(record.request_id)
 
     # Snapshots, exchange between hosts, and replacement of hosts
@@ -339,7 +339,7 @@
         for host in self.hosts:
             for stream, reader in host.readers.items():
                 fold = reader.fold
-                if not fold.complete or reader.searching:
+                if not fold.complete or reader.is_searching:
                     continue
                 if stream == "configuration" and fold.version >= fold.next_offset:
                     continue
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -46,5 +46,5 @@
     streams = Streams(settings=settings, folds_by_stream=folds, claims=_Claims())
     reader: LogReader = streams.streams_by_name[stream].reader
     assert reader.next_read(now=0.0).wait == 0.0
-    reader.read(ReadPage(first=0, next=0), asked_at=0.0, now=0.0)
+    reader.process_page(ReadPage(first=0, next=0), requested_at=0.0, now=0.0)
     assert reader.next_read(now=0.0).wait == wait
--- a/tests/test_transport/test_http_client.py
+++ b/tests/test_transport/test_http_client.py
@@ -170,7 +170,7 @@
     "silent": ([[NO_ANSWER]], {}, "timeout sent"),
     "not HTTP": ([[b"220 mail ready\r\n\r\n"]], {}, "broken sent"),
     "too long": ([[answer("x" * 100)]], {"max_body": 10}, "broken sent"),
-    "late": ([[OK]], {"send_before": 0.0}, "timeout unsent"),
+    "late": ([[OK]], {"latest_start": 0.0}, "timeout unsent"),
     "unwritable header": (
         [[OK]],
         {"headers": (("Content-Type", "a\r\nX: b"),)},
@@ -292,7 +292,7 @@
     """
     server.scripts = [[OK, CLOSE], [answer("fresh")]]
     assert harness.fetch(server.address) == "ok"
-    assert harness.fetch(server.address, fresh=True) == "fresh"
+    assert harness.fetch(server.address, new_connection=True) == "fresh"
     assert server.n_requests == 2
 
 
--- a/tests/test_transport/test_peers.py
+++ b/tests/test_transport/test_peers.py
@@ -51,7 +51,7 @@
     root = DatagramReceiver()
     Poller().register(root)
     root.peers = Peers(
-        bind=("127.0.0.1", 0), reply_channel="receiver", wakes=False
+        bind=("127.0.0.1", 0), reply_channel="receiver", read_on_arrival=False
     ).register(root)
     root.start()
     yield root
--- a/tests/write_reference.py
+++ b/tests/write_reference.py
@@ -4,7 +4,7 @@
 
 import re
 
-from ryelever.settings import reference
+from ryelever.settings import settings_table
 
 from .test_settings import OPERATIONS
 
@@ -13,7 +13,7 @@
     """Replace the table between its two marks."""
     text = re.sub(
         r"(<!-- settings -->\n).*?(<!-- end of settings -->)",
-        lambda found: f"{found[1]}{reference()}{found[2]}",
+        lambda found: f"{found[1]}{settings_table()}{found[2]}",
         OPERATIONS.read_text(),
         flags=re.S,
     )
--- a/tests/zone.py
+++ b/tests/zone.py
@@ -64,7 +64,7 @@
         """Return whether the process runs, even if the host is unreachable."""
         return not self.refuses
 
-    def obey(self, order: SendOrder, *, now: float) -> bool:
+    def execute(self, order: SendOrder, *, now: float) -> bool:
         """Execute an order unless it has expired or its fencing token is too old.
 
         Returns
@@ -140,7 +140,7 @@
     cut_from_log: bool = False
     cut_from_hosts: bool = False
     next_report_at: float = 0.0
-    heard_at_by_host: dict[str, float] = field(default_factory=dict)
+    last_report_at_by_host: dict[str, float] = field(default_factory=dict)
     sent: list[SendOrder] = field(default_factory=list)
 
     def fold_entries(self, entries: Sequence[Entry]) -> None:
@@ -311,11 +311,11 @@
             if process.cut_from_hosts:
                 continue
             if engine.refuses:
-                process.confirmations.unreachable(host)
+                process.confirmations.record_unreachable(host)
             elif engine.answers:
-                process.heard_at_by_host[host] = self.now
+                process.last_report_at_by_host[host] = self.now
                 report = engine.report(now=self.now)
-                process.confirmations.reported(report, asked_at=self.now)
+                process.confirmations.reported(report, requested_at=self.now)
 
     def do(self, process: PlannerProcess, actions: list[Action]) -> None:
         """Carry out a planner's actions."""
@@ -336,7 +336,11 @@
     def _deliver(self, order: SendOrder) -> None:
         engine = self.engines_by_host[order.host]
         before = engine.group
-        if engine.answers and not engine.refuses and engine.obey(order, now=self.now):
+        if (
+            engine.answers
+            and not engine.refuses
+            and engine.execute(order, now=self.now)
+        ):
             self.on_obey(engine, order, before)
 
     def _append(self, process: PlannerProcess) -> None:
