--- a/tests/test_system/test_leaving.py
+++ b/tests/test_system/test_leaving.py
@@ -91,7 +91,7 @@
     members = start_two_groups(fleet)
     rank_0, leaving_host = members[0], members[rank]
     before = asyncio.run(stream_answers(fleet, step="before"))
-    assert all(answer.whole for answer in before)
+    assert all(answer.is_complete for answer in before)
     assert n_requests_by_host(fleet, [rank_0])[rank_0] > 0
 
     leave(fleet, leaving_host)
@@ -102,5 +102,5 @@
     n_requests_before = n_requests_by_host(fleet, [rank_0])
     after = asyncio.run(stream_answers(fleet, step="after"))
 
-    assert [answer.error for answer in after if not answer.whole] == []
+    assert [answer.error for answer in after if not answer.is_complete] == []
     assert n_requests_by_host(fleet, [rank_0]) == n_requests_before
--- a/tests/test_system/test_promises.py
+++ b/tests/test_system/test_promises.py
@@ -112,7 +112,7 @@
 
     wait_until(refused, what="bookings are refused")
     chat = asyncio.run(caller.stream(cut, "notes of the gate", n_tokens=20))
-    assert chat.whole, chat
+    assert chat.is_complete, chat
     again = caller.book(cut, before)
     assert (again.status_code, again.content) == (201, first.content)
     assert caller.book(cut, during).status_code == 503
--- a/tests/test_system/test_silent.py
+++ b/tests/test_system/test_silent.py
@@ -33,10 +33,10 @@
             fleet.entries_by_name.values(),
             n_streams=40,
             n_tokens=100,
-            disturb=silence,
+            inject_fault=silence,
         )
     )
-    assert [answer.error for answer in answers if not answer.whole] == []
+    assert [answer.error for answer in answers if not answer.is_complete] == []
     assert sum(fleet.counts(f"{name}-cut")["n_silenced"] for name in LEADERS) > 30
 
 
@@ -102,7 +102,7 @@
         return await asyncio.gather(*streams)
 
     answers = asyncio.run(run())
-    assert [answer.error for answer in answers if not answer.whole] == []
+    assert [answer.error for answer in answers if not answer.is_complete] == []
     assert entry.process.events("attempt_failed")
 
 
--- a/tests/write_reference.py
+++ b/tests/write_reference.py
@@ -4,7 +4,7 @@
 
 import re
 
-from ryelever.settings import reference
+from ryelever.settings import settings_table
 
 from .test_settings import OPERATIONS
 
@@ -13,7 +13,7 @@
     """Replace the table between the two comments that mark its beginning and end."""
     text = re.sub(
         r"(<!-- settings -->\n).*?(<!-- end of settings -->)",
-        lambda match: f"{match[1]}{reference()}{match[2]}",
+        lambda match: f"{match[1]}{settings_table()}{match[2]}",
         OPERATIONS.read_text(),
         flags=re.S,
     )
