--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -1,8 +1,8 @@
-"""Measure admission against one first-in first-out queue of the same capacity.
+"""Compare fair admission with one first-in first-out queue of the same capacity.
 
-Both policies serve the same arrivals in the same run, in simulated time, as pure
-decision code.  Three large and seven small accounts share the slots; one of the
-large ones bursts.  Run: ``python -m benchmarks.admission``
+Both policies serve the same arrivals in simulated time, without sockets.  Three large
+and seven small accounts share the slots, and one large account sends a burst.  Run:
+``python -m benchmarks.admission``
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 if TYPE_CHECKING:
     from ryelever.coordination.admission.admission import Admission
 
-#: Seconds between two looks, as in the process.
+#: Seconds between two ticks, as in the entry host.
 TICK = 0.05
 
-#: Accounts: share, priority, part of the capacity that they ask for, mean tokens.
+#: Share of the capacity and priority of each client account.
 LARGE = {"large-1": (0.3, 0), "large-2": (0.2, 1), "large-3": (0.2, 0)}
 SMALL = {f"small-{index}": (0.04, 1 if index == 1 else 0) for index in range(1, 8)}
 
 
 class FifoAdmission:
-    """Keep one queue for all accounts: the plain policy."""
+    """Admit in order of arrival, from one queue for all accounts."""
 
     def __init__(self, *, n_slots: int) -> None:
         self._n_slots = n_slots
@@ -45,7 +45,7 @@
         self._waiting: deque[Arrival] = deque()
 
     def admit(self, arrival: Arrival, account: ClientAccount, *, now: float):
-        """Admit while there is room and nobody waits."""
+        """Admit if a slot is free and no request is queued; queue otherwise."""
         if not self._waiting and len(self._held) < self._n_slots:
             self._held.add(arrival.request_id)
             return Admitted()
@@ -53,11 +53,11 @@
         return Queued()
 
     def release(self, request_id: str, *, now: float) -> None:
-        """Take the slot back."""
+        """Free the slot of a request that has ended."""
         self._held.discard(request_id)
 
     def ready(self, *, now: float) -> list[str]:
-        """Grant in order of arrival."""
+        """Grant free slots in order of arrival; return the granted request ids."""
         granted = []
         while self._waiting and len(self._held) < self._n_slots:
             arrival = self._waiting.popleft()
@@ -66,7 +66,7 @@
         return granted
 
     def expired(self, *, now: float) -> list[tuple[str, Refused]]:
-        """Refuse those whose deadline has passed."""
+        """Refuse and return the queued requests whose deadline has passed."""
         ended = [arrival for arrival in self._waiting if arrival.deadline < now]
         for arrival in ended:
             self._waiting.remove(arrival)
@@ -77,8 +77,20 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Course:
-    """Hold what happened under one policy."""
+class PolicyResult:
+    """Waits, refusals and costs of one run under one policy; times in seconds.
+
+    Attributes
+    ----------
+    idle : float
+        Slot-seconds that were free while requests were queued.
+    slot_seconds : float
+        Slot-seconds of the run in all.
+    regained_after : float or None
+        Seconds from the lender's return until the lender holds 95% of its share.
+    lender_slots : list of tuple of float and int
+        Time, and slots that the returning lender holds then.
+    """
 
     waits_by_account: dict[str, list[float]] = field(
         default_factory=lambda: defaultdict(list)
@@ -90,13 +102,13 @@
     processor_time: float = 0.0
     idle: float = 0.0
     slot_seconds: float = 0.0
-    back_after: float | None = None
-    held_by_lender: list[tuple[float, int]] = field(default_factory=list)
+    regained_after: float | None = None
+    lender_slots: list[tuple[float, int]] = field(default_factory=list)
 
 
 @dataclass(slots=True, kw_only=True)
 class Load:
-    """Describe the load of one run."""
+    """Capacity, load and burst of one run; times in seconds."""
 
     n_slots: int = 64
     seconds: float = 180.0
@@ -109,8 +121,8 @@
 
 
 def arrivals(load: Load, seed: int) -> list[tuple[Arrival, float]]:
-    """Return arrivals with their service times, in order of time."""
-    chance = random.Random(seed)
+    """Return arrivals in order of time, each with its service time in seconds."""
+    rng = random.Random(seed)
     made = []
     per_second = load.n_slots / load.mean_service
     for name, (share, priority) in (LARGE | SMALL).items():
@@ -125,10 +137,10 @@
             if not factor:
                 now += 0.25
                 continue
-            now += chance.expovariate(usual * per_second * factor)
-            # Answers are longer or shorter than announced, by up to a half.
-            tokens = max(8, int(chance.expovariate(1 / 200.0)))
-            service = tokens / 200.0 * load.mean_service * chance.uniform(0.5, 1.5)
+            now += rng.expovariate(usual * per_second * factor)
+            # The service time differs from the announced length by up to a half.
+            tokens = max(8, int(rng.expovariate(1 / 200.0)))
+            service = tokens / 200.0 * load.mean_service * rng.uniform(0.5, 1.5)
             work = ChatWork(model="m", messages=[], max_tokens=tokens, streamed=True)
             arrival = Arrival(
                 request_id=f"{name}-{len(made)}",
@@ -144,7 +156,7 @@
 
 
 def accounts() -> dict[str, ClientAccount]:
-    """Return the declared accounts."""
+    """Return the client accounts of the configuration by name."""
     return {
         name: ClientAccount(
             key_hash="", share=share, priority=priority, rate=1e6, concurrency=10**6
@@ -155,16 +167,16 @@
 
 def serve(
     admission: Admission, load: Load, offered: list, *, at_release: bool = False
-) -> Course:
-    """Serve all arrivals under one policy.
+) -> PolicyResult:
+    """Serve all arrivals under one policy and return the result.
 
     Parameters
     ----------
     at_release : bool
-        Also look for waiting requests whenever one ends, as the process does, not
+        Grant freed slots whenever a request ends, as the entry host does, and not
         only at each tick.
     """
-    course = Course()
+    result = PolicyResult()
     declared = accounts()
     by_id = {arrival.request_id: (arrival, service) for arrival, service in offered}
     ends: list[tuple[float, str]] = []
@@ -178,16 +190,16 @@
         arrival, service = by_id[request_id]
         waiting.discard(request_id)
         running.add(request_id)
-        course.waits_by_account[arrival.client_account].append(now - arrival.arrived_at)
+        result.waits_by_account[arrival.client_account].append(now - arrival.arrived_at)
         heapq.heappush(ends, (now + service, request_id))
 
-    def look(now: float) -> None:
+    def run_tick(now: float) -> None:
         for request_id, refused in admission.expired(now=now):
             waiting.discard(request_id)
             arrival = by_id[request_id][0]
             waited = now - arrival.arrived_at
-            course.refused_by_account[arrival.client_account].append(waited)
-            course.retry_afters.append(refused.retry_after)
+            result.refused_by_account[arrival.client_account].append(waited)
+            result.retry_afters.append(refused.retry_after)
         for request_id in admission.ready(now=now):
             start(request_id, now)
 
@@ -200,8 +212,8 @@
             if at >= until:
                 break
             spent = at - now
-            course.idle += _idle(load, running, waiting) * spent
-            course.slot_seconds += load.n_slots * spent
+            result.idle += _idle(load, running, waiting) * spent
+            result.slot_seconds += load.n_slots * spent
             now = at
             if next_end <= next_arrival:
                 _, request_id = heapq.heappop(ends)
@@ -218,20 +230,20 @@
             elif isinstance(decision, Queued):
                 waiting.add(arrival.request_id)
             else:
-                course.refused_by_account[arrival.client_account].append(0.0)
-                course.retry_afters.append(decision.retry_after)
-        course.idle += _idle(load, running, waiting) * (until - now)
-        course.slot_seconds += load.n_slots * (until - now)
+                result.refused_by_account[arrival.client_account].append(0.0)
+                result.retry_afters.append(decision.retry_after)
+        result.idle += _idle(load, running, waiting) * (until - now)
+        result.slot_seconds += load.n_slots * (until - now)
         now = until
-        look(now)
+        run_tick(now)
         if load.lender_returns and now >= load.lender_returns:
             held = sum(name.startswith("large-2-") for name in running)
-            course.held_by_lender.append((now, held))
+            result.lender_slots.append((now, held))
             share = LARGE["large-2"][0] * load.n_slots
-            if course.back_after is None and held >= 0.95 * share:
-                course.back_after = now - load.lender_returns
-    course.processor_time = time.process_time() - started
-    return course
+            if result.regained_after is None and held >= 0.95 * share:
+                result.regained_after = now - load.lender_returns
+    result.processor_time = time.process_time() - started
+    return result
 
 
 def _idle(load: Load, running: set[str], waiting: set[str]) -> int:
@@ -239,7 +251,7 @@
 
 
 def percentile(values: list[float], percent: float) -> float:
-    """Return a percentile; 0 of nothing."""
+    """Return a percentile (0 to 100) of the values; 0 if there are no values."""
     ordered = sorted(values)
     if not ordered:
         return 0.0
@@ -247,7 +259,7 @@
 
 
 def policies(load: Load) -> dict[str, tuple[Admission, bool]]:
-    """Return the policies by name, and whether they look at each release."""
+    """Return the policies by name, and whether each grants at every release."""
 
     def fair() -> FairAdmission:
         return FairAdmission(
@@ -265,14 +277,14 @@
 def main(
     *, seed: int = 5, parts: tuple[str, ...] = ("waits", "burst", "return", "cost")
 ):
-    """Print the measurements.
+    """Print the results of the chosen measurements.
 
     Parameters
     ----------
     seed : int
         Seed of arrivals and service times.
     parts : tuple[str, ...]
-        Which to run: waits, burst (twelve seeds), return, cost.
+        Measurements to run: waits, burst (twelve seeds), return, cost.
     """
     print(f"seed {seed}")
     if "waits" in parts:
@@ -295,14 +307,14 @@
     )
     print(
         f"{'policy':18} {'account':8} {'prio':>4} {'served':>6} {'p50':>6} {'p95':>6} "
-        f"{'p99':>6} {'refused':>7} {'told after':>10}"
+        f"{'p99':>6} {'refused':>7} {'ref. p95 s':>10}"
     )
     plain: dict[str, float] = {}
     for policy, (admission, at_release) in policies(load).items():
-        course = serve(admission, load, offered, at_release=at_release)
+        result = serve(admission, load, offered, at_release=at_release)
         for name, (_, priority) in (LARGE | SMALL).items():
-            waits = course.waits_by_account[name]
-            refused = course.refused_by_account[name]
+            waits = result.waits_by_account[name]
+            refused = result.refused_by_account[name]
             p99 = percentile(waits, 99)
             if policy == "fifo":
                 plain[name] = p99
@@ -312,19 +324,20 @@
                 f"{p99:6.2f} {len(refused):7d} {percentile(refused, 95):10.2f}"
                 f"  p99 is {p99 / plain[name]:.3f} of fifo's"
             )
-        small = [wait for name in SMALL for wait in course.waits_by_account[name]]
+        small = [wait for name in SMALL for wait in result.waits_by_account[name]]
         print(
             f"{policy:18} all small: p50 {percentile(small, 50):.3f} "
             f"p95 {percentile(small, 95):.3f} p99 {percentile(small, 99):.3f} s; "
-            f"idle while callers wait {course.idle / course.slot_seconds:.2%}; "
-            f"{len(set(course.retry_afters))} values in "
-            f"{len(course.retry_afters)} retry-afters; "
-            f"{course.processor_time / len(offered) * 1e6:.0f} us a request"
+            f"slots idle while requests wait "
+            f"{result.idle / result.slot_seconds:.2%}; "
+            f"{len(set(result.retry_afters))} distinct values in "
+            f"{len(result.retry_afters)} retry-afters; "
+            f"{result.processor_time / len(offered) * 1e6:.0f} us a request"
         )
 
 
 def _print_burst(seed: int, n_seeds: int = 12) -> None:
-    print(f"all small accounts' waits, fair at release, seeds {seed} to ", end="")
+    print(f"waits of the small accounts, fair at release, seeds {seed} to ", end="")
     print(f"{seed + n_seeds - 1}: mean (largest)")
     for factor in (1.0, 10.0):
         load = Load(burst_factor=factor)
@@ -332,8 +345,8 @@
         for offset in range(n_seeds):
             admission, at_release = policies(load)["fair, at release"]
             offered = arrivals(load, seed + offset)
-            course = serve(admission, load, offered, at_release=at_release)
-            small = [wait for name in SMALL for wait in course.waits_by_account[name]]
+            result = serve(admission, load, offered, at_release=at_release)
+            small = [wait for name in SMALL for wait in result.waits_by_account[name]]
             for percent, values in by_percent.items():
                 values.append(percentile(small, percent))
         figures = ", ".join(
@@ -346,29 +359,36 @@
 def _print_return(seed: int) -> None:
     load = Load(burst_from=0.0, burst_until=180.0, lender_returns=60.0)
     offered = arrivals(load, seed)
-    print("large-1 overloads throughout; large-2 is idle until 60 s, then asks")
+    print("large-1 overloads throughout; large-2 sends nothing until 60 s, then 3x")
     for policy, (admission, at_release) in policies(load).items():
-        course = serve(admission, load, offered, at_release=at_release)
-        later = [held for at, held in course.held_by_lender if 70.0 <= at < 180.0]
+        result = serve(admission, load, offered, at_release=at_release)
+        later = [held for at, held in result.lender_slots if 70.0 <= at < 180.0]
         share = LARGE["large-2"][0] * load.n_slots
-        back = "never" if course.back_after is None else f"{course.back_after:.2f} s"
+        back = (
+            "never"
+            if result.regained_after is None
+            else f"{result.regained_after:.2f} s"
+        )
         print(
             f"{policy:18} large-2 holds its share of {share:.1f} slots after {back}; "
-            f"mean held afterwards {sum(later) / len(later):.1f}"
+            f"mean slots held from 70 s on {sum(later) / len(later):.1f}"
         )
 
 
 def _print_cost(seed: int) -> None:
-    print("processor time of one request: admit, grant, release; limits of 8 hosts")
+    print("processor time to admit, grant and release a request; limits of 8 hosts")
     for n_accounts, n_waiting in itertools.product((10, 100), (10, 100, 1000)):
         print(
             f"{n_accounts:4d} accounts {n_waiting:5d} waiting: "
             f"{_cost(n_accounts, n_waiting) * 1e6:7.1f} us a request; "
-            f"a look at nothing to do {_look_cost(n_accounts, n_waiting) * 1e6:7.1f} us"
+            f"a tick with nothing to do "
+            f"{_idle_tick_cost(n_accounts, n_waiting) * 1e6:7.1f} us"
         )
 
 
-def _full(n_accounts: int, n_waiting: int) -> tuple[FairAdmission, dict, list[str]]:
+def _busy_admission(
+    n_accounts: int, n_waiting: int
+) -> tuple[FairAdmission, dict, list[str]]:
     declared = {
         f"account-{index}": ClientAccount(
             key_hash="", share=1 / n_accounts, rate=1e6, concurrency=10**6
@@ -409,7 +429,7 @@
 
 
 def _cost(n_accounts: int, n_waiting: int, n_rounds: int = 2000) -> float:
-    admission, declared, running = _full(n_accounts, n_waiting)
+    admission, declared, running = _busy_admission(n_accounts, n_waiting)
     queue = deque(running)
     started = time.process_time()
     for index in range(n_rounds):
@@ -420,8 +440,8 @@
     return (time.process_time() - started) / n_rounds
 
 
-def _look_cost(n_accounts: int, n_waiting: int, n_rounds: int = 500) -> float:
-    admission, _, _ = _full(n_accounts, n_waiting)
+def _idle_tick_cost(n_accounts: int, n_waiting: int, n_rounds: int = 500) -> float:
+    admission, _, _ = _busy_admission(n_accounts, n_waiting)
     started = time.process_time()
     for index in range(n_rounds):
         now = 1.0 + index * TICK
--- a/benchmarks/admission_lending.py
+++ b/benchmarks/admission_lending.py
@@ -1,9 +1,11 @@
-"""Measure how several entry hosts lend each other the room of the same engines.
+"""Measure how entry hosts share the capacity of the same engines under uneven load.
 
-In-process and in simulated time, with the decisions that an entry host uses:
-``FairAdmission``, ``GroupCapacity`` and ``AccountLimits``.  Reports of the engines and
-rows of the hosts are as old as in the process.  One host has nearly all callers; later
-the others get theirs.  Run: ``python -m benchmarks.admission_lending``
+Runs in one process and in simulated time, with the decision code of an entry host:
+``FairAdmission``, ``GroupCapacity`` and ``AccountLimits``.  Engine reports and demand
+rows of other hosts arrive as late as at a real entry host.  The cases range from one
+host with all the load to an even spread::
+
+    .venv/bin/python -m benchmarks.admission_lending
 """
 
 from __future__ import annotations
@@ -26,10 +28,10 @@
 
 from .admission import percentile
 
-#: Seconds between two looks.
+#: Seconds between two ticks.
 TICK = 0.05
 
-#: Seconds between two rows of a host, and until a row has arrived.
+#: Seconds between two demand rows of a host, and seconds until a row arrives.
 ROWS_EVERY = 1.0
 ROWS_LAG = 1.0
 
@@ -41,7 +43,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Group:
-    """Hold the requests that a group runs, and those in the engine's own queue."""
+    """Requests that a group runs, and requests in the engine's own queue."""
 
     running: set[str] = field(default_factory=set)
     queued: list[str] = field(default_factory=list)
@@ -49,7 +51,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Host:
-    """Hold one entry host."""
+    """Admission state of one entry host.
+
+    ``others_by_group`` is the load that other hosts put on each group.
+    """
 
     name: str
     limits: AccountLimits
@@ -62,7 +67,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Request:
-    """Hold one request and where it runs."""
+    """One request, its entry host and its group; ``service`` in seconds."""
 
     arrival: Arrival
     host: int
@@ -72,7 +77,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Phase:
-    """Sum what happened in one phase."""
+    """Waits and totals of one phase.
+
+    ``idle`` and ``in_engine_queues`` are integrals over time: slot-seconds free while
+    requests wait at an entry host, and request-seconds in engine queues.
+    """
 
     waits: list[float] = field(default_factory=list)
     n_refused: int = 0
@@ -82,14 +91,14 @@
 
 
 class Driver:
-    """Drive the hosts and the engines.
+    """Simulate the entry hosts and the engines.
 
     Parameters
     ----------
     n_hosts, n_groups : int
         Entry hosts, and groups of backend servers behind them.
     report_interval : float
-        Seconds between two reports of a group, as each host asks for them.
+        Seconds between two polls of a group by one entry host.
     mean_service : float
         Mean seconds of a request.
     """
@@ -117,8 +126,10 @@
             for index in range(n_groups)
         ]
         self._hosts = [self._host(index, n_hosts) for index in range(n_hosts)]
-        self._asks = [self._random.uniform(0, report_interval) for _ in self._hosts]
-        self._tells = [self._random.uniform(0, ROWS_EVERY) for _ in self._hosts]
+        self._poll_due_at = [
+            self._random.uniform(0, report_interval) for _ in self._hosts
+        ]
+        self._row_due_at = [self._random.uniform(0, ROWS_EVERY) for _ in self._hosts]
         for index in range(n_hosts):
             self._report(index)
 
@@ -144,7 +155,7 @@
         )
 
     def run(self, *, until: float, per_second: list[float]) -> _Phase:
-        """Run on with the given arrivals a second at each host."""
+        """Simulate until a time, given the arrivals a second at each host."""
         phase = _Phase(seconds=until - self.now)
         while self.now < until:
             self.now += TICK
@@ -156,7 +167,7 @@
                 for request_id, _ in host.admission.expired(now=self.now):
                     host.waiting.discard(request_id)
                     phase.n_refused += 1
-                self._let_in(index, phase)
+                self._send_granted(index, phase)
             self._count(phase)
         return phase
 
@@ -193,7 +204,7 @@
                 host.waiting.add(arrival.request_id)
             passed += self._random.expovariate(rate)
 
-    def _let_in(self, index: int, phase: _Phase) -> None:
+    def _send_granted(self, index: int, phase: _Phase) -> None:
         host = self._hosts[index]
         for request_id in host.admission.ready(now=self.now):
             host.waiting.discard(request_id)
@@ -210,7 +221,7 @@
         self._fill(group)
 
     def _least_loaded(self, host: _Host) -> int:
-        """Return the group with the lowest load, reports corrected by own counts."""
+        """Return the group with the lowest load: other hosts' plus the host's own."""
         own = host.n_in_flight_by_group
         indices = list(range(len(self._groups)))
         self._random.shuffle(indices)
@@ -233,7 +244,7 @@
             host = self._hosts[request.host]
             host.n_in_flight_by_group[request.group] -= 1
             host.admission.release(request_id, now=self.now)
-            self._let_in(request.host, phase)
+            self._send_granted(request.host, phase)
 
     def _exchange(self) -> None:
         while self._rows and self._rows[0][0] <= self.now:
@@ -246,11 +257,11 @@
                     now=self.now,
                 )
         for index, host in enumerate(self._hosts):
-            if self.now >= self._asks[index]:
-                self._asks[index] += self._report_interval
+            if self.now >= self._poll_due_at[index]:
+                self._poll_due_at[index] += self._report_interval
                 self._report(index)
-            if self.now >= self._tells[index]:
-                self._tells[index] += ROWS_EVERY
+            if self.now >= self._row_due_at[index]:
+                self._row_due_at[index] += ROWS_EVERY
                 rows = host.limits.observations(now=self.now)
                 for receiver in range(len(self._hosts)):
                     if receiver != index:
@@ -286,7 +297,7 @@
     mean_service: float = 2.0,
     seeds: tuple[int, ...] = (5, 6, 7, 8),
 ) -> None:
-    """Print waits, idle capacity and engine queues for each course of load.
+    """Print waits, idle capacity and engine queues for each distribution of load.
 
     Parameters
     ----------
@@ -297,23 +308,23 @@
     report_interval : float
         Seconds between two reports of each group.
     mean_service : float
-        Mean seconds of a request.
+        Mean service time of a request in seconds.
     seeds : tuple[int, ...]
         Seeds, one run each.
     """
     n_slots = n_groups * BATCH
-    whole = n_slots / mean_service
+    max_load = n_slots / mean_service
     print(
         f"{n_hosts} hosts, {n_slots} slots, {mean_service:g} s each, reports every",
         end=" ",
     )
-    print(f"{report_interval:g} s; load in parts of the capacity, per host")
+    print(f"{report_interval:g} s; load of a host as a share of the whole capacity")
     cases = {
-        "one host, 0.8 in all": [0.8] + [0.0] * (n_hosts - 1),
-        "one host, 1.5 in all": [1.5] + [0.0] * (n_hosts - 1),
-        "even, 0.8 in all": [0.8 / n_hosts] * n_hosts,
+        "one host, 0.8 in total": [0.8] + [0.0] * (n_hosts - 1),
+        "one host, 1.5 in total": [1.5] + [0.0] * (n_hosts - 1),
+        "even, 0.8 in total": [0.8 / n_hosts] * n_hosts,
         "one 1.5, others 0.05 each": [1.5] + [0.05] * (n_hosts - 1),
-        "even, 1.5 in all": [1.5 / n_hosts] * n_hosts,
+        "even, 1.5 in total": [1.5 / n_hosts] * n_hosts,
     }
     for seed in seeds:
         for case, parts in cases.items():
@@ -324,14 +335,14 @@
                 mean_service=mean_service,
                 seed=seed,
             )
-            per_second = [part * whole for part in parts]
+            per_second = [part * max_load for part in parts]
             driver.run(until=20.0, per_second=per_second)
             phase = driver.run(until=80.0, per_second=per_second)
             print(
                 f"seed {seed} {case:26} wait p50 {percentile(phase.waits, 50):5.2f} "
                 f"p95 {percentile(phase.waits, 95):5.2f} s; "
-                f"served {len(phase.waits) / phase.seconds / whole:.2f} of capacity; "
-                f"idle while callers wait {phase.idle / phase.seconds / n_slots:.2%}; "
+                f"served {len(phase.waits) / phase.seconds / max_load:.2f} of max; "
+                f"idle while requests wait {phase.idle / phase.seconds / n_slots:.2%}; "
                 f"in engine queues {phase.in_engine_queues / phase.seconds:.1f}"
             )
 
--- a/benchmarks/compare_days.py
+++ b/benchmarks/compare_days.py
@@ -1,11 +1,11 @@
-"""Compare variants of the code on the same played days, in pairs.
+"""Compare variants of the code pairwise on the same emulated days.
 
-Each variant is a checkout of its own.  A player is any command that plays one day of a
-deployment inside a checkout and writes what came of it as JSON, with the worth under
-``G`` and broken promises under ``breaks``; ``{deployment}``, ``{day}``, ``{seed}`` and
-``{report}`` in its words are filled in.  The first variant is the one that the others
-are held against.  What has been played is kept and not played again, so that a run
-that was stopped goes on where it was::
+Each variant is a checkout of its own.  The player is a command that plays one day of a
+deployment inside a checkout and writes a JSON report, with the day's score under ``G``
+and broken promises under ``breaks``.  ``{deployment}``, ``{day}``, ``{seed}`` and
+``{report}`` in the player's arguments are filled in.  The first variant is the baseline
+of the others.  Results are saved as they come in, and a stopped run resumes without
+playing a saved day again::
 
     python -m benchmarks.compare_days --results FILE --player "PLAYER run {deployment}
         {day} --seed {seed} --small --report {report}" --variant stands=DIR
@@ -29,14 +29,14 @@
 from pathlib import Path
 from typing import Any
 
-#: Columns of the plot, on each side of no difference, and the worth that one shows.
+#: Columns of the plot on each side of zero difference, and the score of one column.
 PLOT_SIDE = 30
 PLOT_STEP = 0.005
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Play:
-    """Name one day as one variant plays it."""
+    """Identify one play: a day of a deployment with a seed, played by a variant."""
 
     variant: str
     deployment: str
@@ -44,23 +44,23 @@
     seed: str
 
     @property
-    def pair(self) -> tuple[str, str, str]:
-        """Return what plays of other variants are held against."""
+    def day_key(self) -> tuple[str, str, str]:
+        """Return the key that the plays of all variants on one day share."""
         return self.deployment, self.day, self.seed
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Played:
-    """Hold what came of a day.
+    """Outcome of one play.
 
     Attributes
     ----------
     worth : float or None
-        None where the day was not played to its end.
+        Score of the day; None if the day was not played to its end.
     breaks : dict of str to int
         Broken promises by name.
     credit : float
-        Worth of the whole day before prices.
+        Sum of the weighted parts of the score, before prices.
     """
 
     play: Play
@@ -70,7 +70,7 @@
 
 
 class Results:
-    """Keep what was played, one line of JSON a day."""
+    """Store outcomes in a file, one line of JSON for each play."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -81,7 +81,7 @@
                 self._put(Played(**(read | {"play": Play(**read["play"])})))
 
     def add(self, played: Played) -> None:
-        """Take the outcome of a day; one that failed is played again next time."""
+        """Store an outcome; a failed play is not saved, and the next run repeats it."""
         self._put(played)
         if played.worth is not None:
             with self._path.open("a") as file:
@@ -92,16 +92,16 @@
 
 
 def play_day(play: Play, *, player: str, folder: Path, deployment: Path) -> Played:
-    """Play one day in a variant's checkout."""
+    """Play one day in a variant's checkout and return the outcome."""
     with tempfile.TemporaryDirectory() as reports:
         report = Path(reports) / "report.json"
-        words = [
-            word.format(
+        command = [
+            argument.format(
                 deployment=deployment, day=play.day, seed=play.seed, report=report
             )
-            for word in shlex.split(player)
+            for argument in shlex.split(player)
         ]
-        ended = subprocess.run(words, cwd=folder, capture_output=True, check=False)
+        ended = subprocess.run(command, cwd=folder, capture_output=True, check=False)
         if not report.exists():
             print(f"{play}: no report, {ended.stdout[-300:]!r}", flush=True)
             return Played(play=play, worth=None)
@@ -115,11 +115,11 @@
 def differences(
     results: Results, *, variant: str, first: str, deployment: str
 ) -> list[float]:
-    """Return by how much a variant's days are worth more than the first one's."""
+    """Return the scores of a variant's days minus those of the first variant's."""
     worth_by_pair: dict[tuple[str, str, str], dict[str, float]] = defaultdict(dict)
     for play, played in results.by_play.items():
         if play.deployment == deployment and played.worth is not None:
-            worth_by_pair[play.pair][play.variant] = played.worth
+            worth_by_pair[play.day_key][play.variant] = played.worth
     return [
         worths[variant] - worths[first]
         for worths in worth_by_pair.values()
@@ -128,7 +128,7 @@
 
 
 def table(results: Results, *, variants: list[str]) -> Iterator[str]:
-    """Yield the lines of the table: means, and differences in pairs."""
+    """Yield the lines of the table: mean scores, and mean pairwise differences."""
     yield "| deployment | variant | days | worth | credit | difference | broken |"
     yield "|---|---|---|---|---|---|---|"
     for deployment in sorted({play.deployment for play in results.by_play}):
@@ -161,8 +161,8 @@
 
 
 def plot(results: Results, *, variants: list[str]) -> Iterator[str]:
-    """Yield a line a day and variant that shows the difference to the first one."""
-    for played in sorted(results.by_play.values(), key=lambda item: item.play.pair):
+    """Yield a line for each day and variant: the difference to the first variant."""
+    for played in sorted(results.by_play.values(), key=lambda item: item.play.day_key):
         play = played.play
         first = results.by_play.get(
             Play(**(asdict(play) | {"variant": variants[0]})),
@@ -189,24 +189,24 @@
     parser.add_argument("--day", action="append", default=[])
     parser.add_argument("--seed", action="append", default=[])
     parser.add_argument("--jobs", type=int, default=1)
-    asked = parser.parse_args()
+    arguments = parser.parse_args()
     folders = {
         name: Path(folder)
-        for name, _, folder in (item.partition("=") for item in asked.variant)
+        for name, _, folder in (item.partition("=") for item in arguments.variant)
     }
-    deployments = {path.stem: path for path in asked.deployment}
-    results = Results(asked.results)
+    deployments = {path.stem: path for path in arguments.deployment}
+    results = Results(arguments.results)
     plays = [
         Play(variant=variant, deployment=deployment, day=day, seed=seed)
         for deployment, day, seed, variant in product(
-            deployments, asked.day, asked.seed, folders
+            deployments, arguments.day, arguments.seed, folders
         )
     ]
-    with ThreadPoolExecutor(asked.jobs) as pool:
+    with ThreadPoolExecutor(arguments.jobs) as pool:
         for played in pool.map(
             lambda play: play_day(
                 play,
-                player=asked.player,
+                player=arguments.player,
                 folder=folders[play.variant],
                 deployment=deployments[play.deployment],
             ),
--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -1,7 +1,8 @@
-"""Measure the time from a publication to its being in force on 8 real entry hosts.
+"""Measure how long a published configuration takes to be in force on 8 entry hosts.
 
-One of them cannot reach the log.  Three availability zones, stand-ins for the log and
-the list of hosts, all on one machine.
+The entry hosts are real processes in three availability zones on one machine, with
+stand-ins for the log and the list of hosts.  One of the entry hosts cannot reach the
+log and receives configurations from the other hosts only::
 
     .venv/bin/python -m benchmarks.configuration_spread
 """
@@ -83,14 +84,14 @@
 
 
 def main(*, n_rounds: int = 10, n_accounts: int = 100) -> None:
-    """Publish several times and print the times until all hosts follow.
+    """Publish several configurations and print the times until all hosts use them.
 
     Parameters
     ----------
     n_rounds : int
-        Publications.
+        Number of publications.
     n_accounts : int
-        Client accounts in each, which make up its length.
+        Client accounts in each configuration, which make up most of its size.
     """
     with running_fleet(Path(tempfile.mkdtemp())) as fleet:
         _start(fleet)
--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -1,8 +1,8 @@
-"""Measure what control costs an entry host that serves nobody.
+"""Measure what the control loops of an entry host cost when no requests arrive.
 
-Starts real entry hosts in one availability zone before idle engines, and reads
-processor time and memory of each from the kernel and bytes from ``/metrics`` over a
-window.  Run: ``python -m benchmarks.control_cost``
+Starts real entry hosts and idle engines in one availability zone.  Over a window it
+reads each entry host's processor time and memory from the kernel, and the bytes sent
+and received from ``/metrics``.  Run: ``python -m benchmarks.control_cost``
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
-#: Prints the resident memory of the interpreter with all that ryelever imports.
+#: Program that prints the resident pages of an interpreter with ryelever imported.
 BARE = """
 import ryelever.application
 from pathlib import Path
@@ -45,23 +45,33 @@
     r'^ryelever_bytes_(received|sent)_total\{kind="(\w+)"\} (\S+)$', re.MULTILINE
 )
 
-#: Seconds between the last group's forming and the window.
+#: Seconds between the forming of the last group and the start of the window.
 SETTLE = 3.0
 
-#: Lines of a profile that are printed.
+#: Number of functions of a profile that are printed.
 N_LINES = 45
 
 
 @dataclass(slots=True, kw_only=True)
 class Cost:
-    """Hold what one entry host spent, on average over the entry hosts."""
+    """Average cost of one entry host.
+
+    Attributes
+    ----------
+    percent : float
+        Processor time in percent of a core.
+    resident : float
+        Resident memory in megabytes.
+    bytes_by_kind : Counter
+        Bytes a second by direction and kind of message.
+    """
 
     percent: float
     resident: float
     bytes_by_kind: Counter[tuple[str, str]]
 
     def bytes_a_second(self, direction: str) -> float:
-        """Return the bytes of one direction."""
+        """Return the bytes a second of one direction, over all kinds."""
         return sum(
             n_bytes
             for (kind_direction, _), n_bytes in self.bytes_by_kind.items()
@@ -81,14 +91,14 @@
     Parameters
     ----------
     n_workers : tuple[int, ...]
-        Backend servers in the zone, one run each.
+        Numbers of backend servers in the zone, one run for each number.
     n_entries : int
         Entry hosts in the zone.
     window : float
-        Seconds measured in each run.
+        Length of the measured window in seconds.
     profile : bool
-        Run the first entry host under cProfile and print where its time went; its
-        share is then left out of the figures.
+        Run the first entry host under cProfile, print the profile, and leave this host
+        out of the figures.
     """
     bare = _bare_mb()
     print(f"bare interpreter with the libraries: {bare:.1f} MB resident")
@@ -166,13 +176,13 @@
             entry.n_complete_groups() == n_groups
             for entry in fleet.entries_by_name.values()
         ),
-        what="all groups are whole",
+        what="all groups are complete",
         timeout=60,
     )
 
 
 def _measure(fleet: Fleet, *, window: float, skipped: str) -> Cost:
-    # What starts and forms groups is not what an entry host spends later.
+    # Starting hosts and forming groups is no part of what an entry host spends later.
     time.sleep(SETTLE)
     entries = [
         entry for name, entry in fleet.entries_by_name.items() if name != skipped
--- a/benchmarks/day_account.py
+++ b/benchmarks/day_account.py
@@ -1,9 +1,9 @@
-"""Account for a day: groups against demand, idle servers, and what requests met.
+"""Summarize the entry hosts' logs of a day: groups, idle servers, request outcomes.
 
-Reads what the entry hosts wrote on a day that was played, one line of JSON each after
-whatever stands before it, and prints three tables: every two seconds the groups that
-serve and the demand by model; server-seconds that served nobody by what they waited
-for; and requests by what became of them, with the time that they waited for a place::
+Reads log lines (a JSON object after an optional time and host name) and prints three
+tables: the serving groups and the demand of each model every two seconds; the idle
+server-seconds by the reason for idleness; and durations of group phases, failures and
+answers by kind::
 
     .venv/bin/python -m benchmarks.day_account LOG [LOG ...]
 """
@@ -20,16 +20,16 @@
 from pathlib import Path
 from typing import Any
 
-#: A line may begin with a time in seconds from the start of traffic, and the host.
+#: A log line: optional seconds since the start of traffic, optional host, JSON object.
 LINE = re.compile(r"^\s*(?P<at>-?\d+\.\d+)?\s*(?P<host>\S+)?\s*(?P<json>\{.*\})\s*$")
 
-#: Seconds of a row of the first table.
+#: Seconds that one row of the first table covers.
 STEP = 2.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Line:
-    """Hold one line: seconds from the start of traffic, who wrote it, and fields."""
+    """One log line: seconds since the start of traffic, writing host, and fields."""
 
     at: float
     host: str
@@ -38,7 +38,11 @@
 
 @dataclass(slots=True)
 class Day:
-    """Add up what the lines of a day tell."""
+    """Totals of a day's log lines; times and durations in seconds.
+
+    Events are handled by the method named after the event with a leading underscore;
+    other events are ignored.
+    """
 
     serving: dict[str, tuple[str, str]] = field(default_factory=dict)
     groups_at: dict[int, Counter[str]] = field(default_factory=dict)
@@ -54,7 +58,7 @@
     answers: Counter[str] = field(default_factory=Counter)
 
     def take(self, line: Line) -> None:
-        """Take one line."""
+        """Add one line to the totals."""
         step = int(line.at // STEP)
         handler = getattr(self, f"_{line.fields['event']}", None)
         if handler is not None:
@@ -103,7 +107,7 @@
 
 
 def read(path: Path) -> Iterator[Line]:
-    """Yield the lines of a file that are a host's."""
+    """Yield the lines of a file that hold an event of an entry host."""
     for text in path.read_text(errors="replace").splitlines():
         match = LINE.match(text)
         if match is None:
--- a/benchmarks/day_of_faults.py
+++ b/benchmarks/day_of_faults.py
@@ -1,8 +1,8 @@
 """Measure group downtime and stranded accelerators over a day of faults.
 
-Runs the planner's own code against zones faked in memory, through the table of
-day_of_faults_table.py.  While nothing happens the state does not change, so the
-driver jumps to the next fault and only the ledger goes on::
+Runs the planner's own code against zones simulated in memory, through the faults of
+``day_of_faults_table``.  Once a zone is quiet its state no longer changes, and the
+simulation jumps to the next fault and adds the skipped time to the totals::
 
     .venv/bin/python -m benchmarks.day_of_faults
 """
@@ -38,7 +38,7 @@
     faults_of,
 )
 
-#: What is declared for each zone; a host has 8 accelerators.
+#: Models declared for each zone; a host has 8 accelerators.
 MODELS = {
     "notes": Model(version="v1", n_groups=1, priority=2),
     "chat": Model(version="v1", n_groups=1, priority=1),
@@ -46,34 +46,38 @@
 }
 N_ACCELERATORS = 8
 
-#: Seconds until the last request of a draining group is done.
+#: Seconds until the last request of a draining group has ended.
 REQUEST_TIME = 20.0
 
-#: Seconds to load weights, and for an append to be readable.
+#: Seconds to load weights, and seconds until an append can be read.
 LOAD_TIME = 30.0
 LOG_LATENCY = 0.02
 
 #: Seconds without a decision after which nothing more happens until the next fault.
-QUIET = 100.0
+QUIET_TIME = 100.0
 
 PAWROUTE = Weights(group_downtime=0.8, stranded_accelerators=0.2)
 CONSORTIUM = Weights(group_downtime=0.2, stranded_accelerators=0.8)
 
 
 @dataclass(slots=True, kw_only=True)
-class Ledger:
-    """Add up the measures of one zone over the day.
+class ZoneTotals:
+    """Totals of one zone over the day.
 
     Attributes
     ----------
     downtime : float
-        Seconds by which declared groups did not serve, over all groups.
+        Group-seconds in which declared groups did not serve.
     downtime_in_outage : float
-        The part of it while the log was away.
+        The part of ``downtime`` during the log outage.
     stranded : float
-        Accelerator-seconds in live hosts outside of a group at work.
+        Accelerator-seconds of live hosts that belong to no serving or draining group.
     spanning : float
-        Seconds of groups that served across fabric domains, which is slow.
+        Group-seconds served by groups that span fabric domains, which is slow.
+    n_decisions : int
+        Records that planners appended, other than leases.
+    n_bytes : int
+        Bytes of all appended records.
     """
 
     downtime: float = 0.0
@@ -83,14 +87,22 @@
     n_decisions: int = 0
     n_bytes: int = 0
 
-    def add(self, other: Ledger) -> None:
-        """Add another zone's measures."""
+    def add(self, other: ZoneTotals) -> None:
+        """Add the totals of another zone."""
         for name in self.__slots__:
             setattr(self, name, getattr(self, name) + getattr(other, name))
 
 
 class ZoneDay:
-    """Lead one zone through its day."""
+    """Simulate one zone over the day and total its downtime and decisions.
+
+    Attributes
+    ----------
+    time_of_day : float
+        Seconds since midnight, including skipped quiet times.
+    last_change_at : float
+        Time of ``zone`` at the last event (fault, recovery, log outage) or decision.
+    """
 
     def __init__(
         self, *, name: str, weights: Weights, planner: Callable, outage: bool
@@ -112,10 +124,10 @@
             planner_class=planner,
         )
         self.zone.append_fate = lambda _: (LOG_LATENCY,)
-        self.ledger = Ledger()
-        self.wall = 0.0
-        self.active_at = 0.0
-        self.n_seen = 0
+        self.totals = ZoneTotals()
+        self.time_of_day = 0.0
+        self.last_change_at = 0.0
+        self.n_counted = 0
         self.down_until: dict[str, float] = {}
         self.events = self._events(faults_of(name), outage=outage)
 
@@ -124,9 +136,9 @@
     ) -> list[tuple[float, Callable[[], None]]]:
         events: list[tuple[float, Callable[[], None]]] = []
         for fault in faults:
-            goes_at = fault.at + (NOTICE if fault.kind == "leaves" else 0.0)
+            lost_at = fault.at + (NOTICE if fault.kind == "leaves" else 0.0)
             events.append((fault.at, lambda fault=fault: self._announce(fault)))
-            events.append((goes_at, lambda fault=fault: self._begin(fault)))
+            events.append((lost_at, lambda fault=fault: self._begin(fault)))
             events.append((fault.until, lambda fault=fault: self._end(fault)))
         if outage:
             start, end = LOG_OUTAGE
@@ -136,9 +148,9 @@
 
     def _announce(self, fault: Fault) -> None:
         if fault.kind == "leaves":
-            self._list(fault.hosts, "leaving")
+            self._set_listed_state(fault.hosts, "leaving")
 
-    def _list(self, hosts: tuple[str, ...], state: str) -> None:
+    def _set_listed_state(self, hosts: tuple[str, ...], state: str) -> None:
         for host in hosts:
             row = self.zone.listed_by_host[host]
             self.zone.listed_by_host[host] = replace(row, state=state)
@@ -156,40 +168,40 @@
             if self.down_until.get(host, 0.0) <= fault.until:
                 self.down_until.pop(host, None)
                 self.zone.engines_by_host[host].restart()
-                self._list((host,), "live")
+                self._set_listed_state((host,), "live")
 
-    def run(self) -> Ledger:
-        """Go through the day and return its measures."""
-        self.zone.run(QUIET * 2)
+    def run(self) -> ZoneTotals:
+        """Simulate the whole day and return its totals."""
+        self.zone.run(QUIET_TIME * 2)
         for at, call in [*self.events, (DAY, lambda: None)]:
             if at > DAY:
                 continue
-            while self.wall < at:
-                self._go_on(at)
+            while self.time_of_day < at:
+                self._advance_once(at)
             call()
-            self.active_at = self.zone.now
-        return self.ledger
+            self.last_change_at = self.zone.now
+        return self.totals
 
-    def _go_on(self, until: float) -> None:
-        if self.zone.now - self.active_at >= QUIET:
-            self._account(until - self.wall)
-            self.wall = until
+    def _advance_once(self, until: float) -> None:
+        if self.zone.now - self.last_change_at >= QUIET_TIME:
+            self._add_time(until - self.time_of_day)
+            self.time_of_day = until
             return
         self.zone.advance()
         self._run_requests()
-        self._account(self.zone.step)
-        self.wall += self.zone.step
-        new = self.zone.entries[self.n_seen :]
-        self.n_seen = len(self.zone.entries)
+        self._add_time(self.zone.step)
+        self.time_of_day += self.zone.step
+        new = self.zone.entries[self.n_counted :]
+        self.n_counted = len(self.zone.entries)
         for entry in new:
             item = encode_record(entry.record, record_id="0" * 32)
-            self.ledger.n_bytes += len(append_request([item]))
+            self.totals.n_bytes += len(append_request([item]))
             if not isinstance(entry.record, LeaseTaken):
-                self.ledger.n_decisions += 1
-                self.active_at = self.zone.now
+                self.totals.n_decisions += 1
+                self.last_change_at = self.zone.now
 
     def _run_requests(self) -> None:
-        """Keep every serving group busy, and a draining one for a while."""
+        """Set one running request a group; a draining group's ends after 20 s."""
         zone = self.zone
         for group in zone.truth.groups_by_name.values():
             drained_for = 0.0
@@ -199,17 +211,17 @@
             if engine.group == group.name:
                 engine.running = int(drained_for < REQUEST_TIME)
 
-    def _account(self, seconds: float) -> None:
-        ledger, zone = self.ledger, self.zone
+    def _add_time(self, seconds: float) -> None:
+        totals, zone = self.totals, self.zone
         serving_by_model = {name: zone.groups(name) for name in MODELS}
         serving = list(itertools.chain.from_iterable(serving_by_model.values()))
         down = seconds * sum(
             max(0, model.n_groups - len(serving_by_model[name]))
             for name, model in MODELS.items()
         )
-        ledger.downtime += down
-        if LOG_OUTAGE[0] <= self.wall < LOG_OUTAGE[1]:
-            ledger.downtime_in_outage += down
+        totals.downtime += down
+        if LOG_OUTAGE[0] <= self.time_of_day < LOG_OUTAGE[1]:
+            totals.downtime_in_outage += down
         n_alive = sum(
             engine.answers and not engine.refuses
             for engine in zone.engines_by_host.values()
@@ -219,13 +231,15 @@
             for group in zone.truth.groups_by_name.values()
             if group.draining and not group.dissolved
         )
-        ledger.stranded += max(0, n_alive - n_at_work) * N_ACCELERATORS * seconds
-        ledger.spanning += seconds * sum(
+        totals.stranded += max(0, n_alive - n_at_work) * N_ACCELERATORS * seconds
+        totals.spanning += seconds * sum(
             len({host.partition("-")[0] for host in members}) > 1 for members in serving
         )
 
 
-def _run_zone(name: str, weights: Weights, planner: Callable, outage: bool) -> Ledger:
+def _run_zone(
+    name: str, weights: Weights, planner: Callable, outage: bool
+) -> ZoneTotals:
     day = ZoneDay(name=name, weights=weights, planner=planner, outage=outage)
     return day.run()
 
@@ -235,16 +249,16 @@
         "baseline": (PAWROUTE, Baseline, True),
         "Pawroute": (PAWROUTE, Planner, True),
         "consortium": (CONSORTIUM, Planner, True),
-        "baseline, log never away": (PAWROUTE, Baseline, False),
-        "Pawroute, log never away": (PAWROUTE, Planner, False),
-        "consortium, log never away": (CONSORTIUM, Planner, False),
+        "baseline, no log outage": (PAWROUTE, Baseline, False),
+        "Pawroute, no log outage": (PAWROUTE, Planner, False),
+        "consortium, no log outage": (CONSORTIUM, Planner, False),
     }
     print(
-        f"{'day':28}{'downtime':>10}{'of it, log':>12}{'stranded':>12}"
+        f"{'day':28}{'downtime':>10}{'in the 1 h':>12}{'stranded':>12}"
         f"{'spanning':>10}{'decisions':>11}{'bytes':>9}"
     )
     print(
-        f"{'':28}{'group-s':>10}{'away 1 h':>12}{'accel.-h':>12}"
+        f"{'':28}{'group-s':>10}{'log outage':>12}{'accel.-h':>12}"
         f"{'group-h':>10}{'':>11}{'':>9}"
     )
     with concurrent.futures.ProcessPoolExecutor(n_processes) as pool:
@@ -254,7 +268,7 @@
             for zone in DOMAINS_BY_ZONE
         }
         for day in days:
-            total = Ledger()
+            total = ZoneTotals()
             for zone in DOMAINS_BY_ZONE:
                 total.add(futures[day, zone].result())
             print(
@@ -264,18 +278,18 @@
             )
 
 
-# The parts of one repair
+# Phases of the repair of one group
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class _Split:
+class _RepairTimes:
     detection: float
     agreement: float
     loading: float
     confirmation: float
 
 
-def _split(fault: str, planner: Callable, phase: float) -> _Split:
+def _time_repair(fault: str, planner: Callable, phase: float) -> _RepairTimes:
     configuration = Configuration(
         models={"m": Model(version="v1", n_groups=1)}, weights=Weights(group_downtime=1)
     )
@@ -329,7 +343,7 @@
     )
     loaded = zone.now
     zone.run_until(zone.groups, at_most=20)
-    return _Split(
+    return _RepairTimes(
         detection=decided - start,
         agreement=agreed - decided,
         loading=loaded - agreed,
@@ -337,16 +351,16 @@
     )
 
 
-def _measure_split() -> None:
+def _measure_repairs() -> None:
     print(
-        f"\n{'a member is ...':28}{'detection':>12}{'agreement':>12}"
+        f"\n{'fault of a member, planner':28}{'detection':>12}{'agreement':>12}"
         f"{'loading':>12}{'confirmation':>14}   seconds, median (largest) of 20"
     )
     for planner, fault in itertools.product((Planner, Baseline), ("killed", "silent")):
-        splits = [_split(fault, planner, 0.1 * phase) for phase in range(20)]
+        repairs = [_time_repair(fault, planner, 0.1 * phase) for phase in range(20)]
         cells = []
-        for part in _Split.__slots__:
-            values = [getattr(split, part) for split in splits]
+        for part in _RepairTimes.__slots__:
+            values = [getattr(repair, part) for repair in repairs]
             cells.append(f"{statistics.median(values):.2f} ({max(values):.2f})")
         name = f"{fault}, {planner.__name__.lower()}"
         print(f"{name:28}" + "".join(f"{cell:>13}" for cell in cells))
@@ -356,7 +370,7 @@
 
 
 def tick_times(n_hosts: int, n_ticks: int) -> list[float]:
-    """Return the processor time of each look at a zone, in ms."""
+    """Return the processor time of each planner tick of a zone, in ms."""
     configuration = Configuration(
         models={"m": Model(version="v1", n_groups=n_hosts // 4 - n_hosts // 40)}
     )
@@ -392,7 +406,7 @@
     if arguments.only in (None, "days"):
         _measure_days(arguments.processes)
     if arguments.only in (None, "split"):
-        _measure_split()
+        _measure_repairs()
     if arguments.only in (None, "cost"):
         _measure_cost()
 
--- a/benchmarks/day_of_faults_baseline.py
+++ b/benchmarks/day_of_faults_baseline.py
@@ -1,9 +1,9 @@
-"""Plan as simply as one can: at each read of the log, take any free hosts.
+"""Provide the simplest safe planner, as the baseline of ``day_of_faults``.
 
-The baseline of the measurement.  It ends a group as soon as a member does not
-report, lets each host leave, and forms groups of whichever hosts are free, whatever
-their fabric domain; it neither drains, nor keeps or takes spare hosts, nor frees a
-dead host before the platform's list has forgotten it.
+At each read of the log the baseline dissolves every group with a member that does not
+report, releases the hosts of dissolved groups, and forms groups of any free hosts,
+whatever their fabric domain.  The baseline does not drain groups, keep spare hosts or
+use them, or release a dead host before the platform's list has removed the host.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 __all__ = ["Baseline"]
 
-#: Seconds of one read that waits for records.
+#: Seconds that one long-polling read of the log takes.
 READ_INTERVAL = 1.0
 
 
 class Baseline:
-    """Stand in for ``Planner`` with the plainest decisions that are still safe."""
+    """Replace ``Planner`` with the simplest decisions that are still safe."""
 
     def __init__(
         self, *, holder: str, stream: str, new_id: Callable[[], str], **_: object
@@ -44,7 +44,7 @@
         self._was_complete: set[str] = set()
 
     def tick(self, view: PlannerView, *, now: float) -> list[Action]:
-        """Decide, if a read has just come back."""
+        """Renew the lease, and decide whenever a read of the log has returned."""
         actions = self.lease.tick(view.placement, wanted=True, now=now)
         for group in view.live_groups:
             if view.confirmations.is_complete(group, now=now):
@@ -59,15 +59,17 @@
             if group.dissolved:
                 actions += self._release(group, view, now=now)
             else:
-                actions += self._keep(group, view, now=now)
+                actions += self._check_group(group, view, now=now)
         return actions + self._form(view, now=now)
 
-    def _keep(self, group: Group, view: PlannerView, *, now: float) -> list[Action]:
+    def _check_group(
+        self, group: Group, view: PlannerView, *, now: float
+    ) -> list[Action]:
         silent = any(
             view.confirmations.fresh(host, now=now) is None for host in group.members
         )
-        whole = view.confirmations.is_complete(group, now=now)
-        if silent or (group.name in self._was_complete and not whole):
+        complete = view.confirmations.is_complete(group, now=now)
+        if silent or (group.name in self._was_complete and not complete):
             record = GroupDissolved(
                 group=group.name, lease=view.placement.lease.tenure, reason="lost"
             )
--- a/benchmarks/fold.py
+++ b/benchmarks/fold.py
@@ -1,8 +1,8 @@
-"""Measure folding a stream against restoring it from a snapshot.
+"""Compare folding all records of a stream with restoring the state from a snapshot.
 
-Prints, for each kind of stream and number of records: the time to decode and fold
-them all, the time to write a snapshot and to restore from it, the snapshot's size,
-and the memory that the state takes.
+Prints for each kind of stream and number of records the time to decode and fold all
+records, the times to write a snapshot and to restore from the snapshot, the size of the
+snapshot, and the memory that the folded state takes.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 EPOCH = 1_800_000_000.0
 
-#: Groups in the placement stream; the other records renew the lease.
+#: Groups formed in the placement stream; its other records renew the lease.
 N_GROUPS = 195
 
 HEADER = (
@@ -42,7 +42,7 @@
 
 
 def _claims(n_records: int) -> Iterator[Record]:
-    # Issued over half the window, so that all are kept.
+    # Issued over half of the retention window, which keeps all claims in the fold.
     for index in range(n_records // 2):
         issued = int((EPOCH + 300.0 * index / n_records) * 1000)
         key = f"account-{index % 10}/{issued}-{index:032x}"
@@ -97,20 +97,20 @@
 
 
 def main(*, n_records: list[int] = [1_000, 10_000, 100_000]) -> None:  # noqa: B006
-    """Print the table.
+    """Print the times, sizes and memory of each stream.
 
     Parameters
     ----------
     n_records : list[int]
-        Numbers of records to fold.
+        Numbers of records to fold, one row each.
     """
     print(HEADER)
     for name, (fold_class, records) in KINDS.items():
         for n in n_records:
-            _measure(name, fold_class, _page(records(n), n))
+            _measure(name, fold_class, _encode_page(records(n), n))
 
 
-def _page(records: Iterator[Record], n_records: int) -> bytes:
+def _encode_page(records: Iterator[Record], n_records: int) -> bytes:
     raw = []
     for offset, record in enumerate(records):
         item = encode_record(record, record_id=f"{offset:032x}")
@@ -157,11 +157,11 @@
     assert restored.to_snapshot(snapshot="0" * 32) == parts
     n_entries = fold.next_offset
     memory = _memory(fold_class, page)
-    kept = _n_kept(fold)
+    n_kept = _n_kept(fold)
     print(
-        f"{name:<14}{n_entries:>8}{kept:>8}{(folded - started) * 1e3:>9.1f}"
+        f"{name:<14}{n_entries:>8}{n_kept:>8}{(folded - started) * 1e3:>9.1f}"
         f"{(written - folded) * 1e3:>9.1f}{(done - written) * 1e3:>11.1f}"
-        f"{len(body) / 1024:>12.1f}{memory / 1024:>10.1f}{memory / kept:>8.0f}"
+        f"{len(body) / 1024:>12.1f}{memory / 1024:>10.1f}{memory / n_kept:>8.0f}"
     )
 
 
--- a/benchmarks/group_days.py
+++ b/benchmarks/group_days.py
@@ -1,9 +1,9 @@
-"""Measure what groups earn over many emulated days on which servers are lost.
+"""Measure the credit that groups earn over many emulated days with server losses.
 
-Plays the planners' own code (ryelever.emulator) on several deployments and prints for
-each the mean credit over models, that of each model and that of the worst two seconds,
-with the standard error over days.  ``--set`` changes a constant of a module, so that
-variants are compared on the same days::
+Runs the planners' own code (``ryelever.emulator``) on several deployments.  For each
+deployment it prints the mean credit over all models with the standard error over days,
+the credit of each model, the credit of the worst two seconds, and the number of loads.
+``--set`` changes a constant of a module, which compares variants on the same days::
 
     .venv/bin/python -m benchmarks.group_days --days 60
     .venv/bin/python -m benchmarks.group_days --set forming.SPARE_SHARE=0
@@ -33,7 +33,10 @@
     n_domains: int = 2,
     share: float = 0.67,
 ) -> Deployment:
-    """Return three zones; the weight store's rates grow with the servers."""
+    """Return a deployment of three zones with a large and a small model.
+
+    The load rates of the weight store grow in proportion to the number of servers.
+    """
     large, small = sizes
     scale = n_domains * domain_size / 22
     return Deployment(
@@ -58,7 +61,8 @@
     )
 
 
-#: Each with what befalls it.  Demands are those of a calm day and of a loaded one.
+#: Deployment and server losses by name of the day.  Calm days have lower demands than
+#: loaded ones.
 DAYS = {
     "66 servers, calm": (
         _deployment(domain_size=11, sizes=(6, 3), demand=(3.3, 4.3)),
@@ -80,19 +84,19 @@
         _deployment(domain_size=8, sizes=(4, 2), demand=(4.0, 5.0)),
         LossPattern(n_at_once=2, every=(3.0, 5.0)),
     ),
-    "171 servers, small model asked for, calm": (
+    "171 servers, small model in demand, calm": (
         _deployment(
             n_domains=3, domain_size=19, sizes=(8, 4), demand=(2.7, 11.9), share=0.5
         ),
         LossPattern(n_at_once=2, domain_at=11.0, domain_for=8.0),
     ),
-    "171 servers, small model asked for, loaded": (
+    "171 servers, small model in demand, loaded": (
         _deployment(
             n_domains=3, domain_size=19, sizes=(8, 4), demand=(3.3, 14.7), share=0.5
         ),
         LossPattern(n_at_once=3),
     ),
-    "36 servers, small model asked for, calm": (
+    "36 servers, small model in demand, calm": (
         _deployment(
             n_domains=1, domain_size=12, sizes=(4, 2), demand=(0.7, 2.3), share=0.5
         ),
@@ -102,7 +106,7 @@
 
 
 def play(name: str, seed: int, changes: tuple[str, ...]) -> DayResult:
-    """Play one day with some constants changed."""
+    """Emulate one day after applying changes of the form ``MODULE.NAME=VALUE``."""
     for change in changes:
         place, _, value = change.partition("=")
         module_name, _, constant = place.partition(".")
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -188,7 +188,7 @@
 
 def _folding(name: str, n_at: float, sizes: Sequence[int]) -> Iterator[Slope]:
     fold_class, records = fold.KINDS[name]
-    pages = {n: fold._page(records(n), n) for n in sizes}
+    pages = {n: fold._encode_page(records(n), n) for n in sizes}
 
     def time_of(n_records: int) -> float:
         return ms(lambda: fold._fold(fold_class, pages[n_records]), n_times=1)
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Build the entries and records that many tests need, with defaults."""
+"""Build log entries, records, groups and test parameters with default values."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     "new_publication",
 ]
 
-#: What a group of the tests serves.
+#: Fields of the model that every group built here serves.
 GROUP = {"model": "m", "version": "v1", "adapters": (), "configuration_version": 0}
 
 
@@ -30,35 +30,35 @@
 
 
 def new_entry(offset: int, record: Record, *, time: float = 0.0, id: str = "") -> Entry:
-    """Return an entry of the log; its id names its offset if none is given."""
+    """Return a log entry; without an ``id`` the entry is named after its offset."""
     return Entry(offset=offset, time=time, id=id or f"id{offset}", record=record)
 
 
 def new_publication(
     base: int, version: str = "v1", *, author: str = "ana", **fields: object
 ) -> Publication:
-    """Return a publication of the model "m" in a version."""
+    """Return the publication of a configuration whose one model is "m"."""
     return Publication(
         base_version=base, author=author, document=declared(version), **fields
     )
 
 
 def new_claim(key: str, owner: str, request_id: str) -> Claim:
-    """Return a claim of a key."""
+    """Return the claim of an idempotency key."""
     return Claim(key=key, fingerprint="f", owner=owner, request_id=request_id)
 
 
 def formed(group: str, *members: str, **fields: object) -> GroupFormed:
-    """Return the forming of a group that serves the model "m"."""
+    """Return the record that forms a group for the model "m"."""
     return GroupFormed(group=group, members=members, **GROUP | {"lease": 0} | fields)
 
 
 def new_group(name: str, *members: str, **fields: object) -> Group:
-    """Return a group that serves the model "m" and holds all its members."""
+    """Return a group for the model "m" that has released no member yet."""
     defaults = {"reason": "", "unreleased": set(members)} | GROUP
     return Group(name=name, members=members, **defaults | fields)
 
 
 def named(rows: list[tuple]) -> list:
-    """Return the parameters of a table whose rows begin with their names."""
+    """Return pytest parameters; the first item of each row is the test id."""
     return [pytest.param(*row[1:], id=row[0]) for row in rows]
