--- a/benchmarks/host_cost.py
+++ b/benchmarks/host_cost.py
@@ -1,12 +1,15 @@
-"""Measure what an entry host on the platform costs for being there.
+"""Measure what an entry host on the platform costs while no requests arrive.
 
-Starts one real entry host without callers, before a stand-in of the store in which the
-servers' records are renewed, and sends it what the other hosts of a fleet would: words
-of its zone, words for other zones, and news of servers.  Prints its processor time and
-memory by the size of the fleet, for a host that leaves reading and planning to others
-and for the first of its zone, which reads, speaks and plans.  With ``--before`` an
-earlier checkout is measured by turns in the same run, as speeds of machines drift.  One
-whose words have another form hears nobody, and is not to be compared::
+Starts one real entry host with a stand-in for the store, in which the servers' records
+are renewed, and sends the host the datagrams of all other hosts of a fleet: heartbeats
+of its own zone, zone heartbeats of the other zones, and server updates.  Prints
+processor time and memory by the size of the fleet and by role: a host that ``rests``
+leaves reading and planning to others, and a host that ``leads`` is the first of its
+zone, reads the store, represents the zone and plans.
+
+With ``--before`` an earlier checkout is measured alternately in the same run, because
+the speed of a machine drifts.  A checkout with another encoding of heartbeats receives
+no heartbeats at all, and its figures can't be compared::
 
     .venv/bin/python -m benchmarks.host_cost --before ../earlier
 """
@@ -39,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetSize:
-    """Hold how many hosts, availability zones and backend servers there are."""
+    """Numbers of entry hosts, availability zones and backend servers of a fleet."""
 
     n_hosts: int
     n_zones: int
@@ -47,11 +50,11 @@
 
     @property
     def n_near(self) -> int:
-        """Return the hosts of one zone."""
+        """Return the number of entry hosts in one zone."""
         return -(-self.n_hosts // self.n_zones)
 
 
-#: Fleets as the users run them, and the one to design for.
+#: Fleets that the users run, and last the largest fleet to design for.
 SIZES = (
     FleetSize(n_hosts=6, n_zones=3, n_servers=66),
     FleetSize(n_hosts=30, n_zones=3, n_servers=150),
@@ -60,23 +63,23 @@
     FleetSize(n_hosts=392, n_zones=11, n_servers=780),
 )
 
-#: Names that come after and before those of the hosts that are played.
+#: Name of the measured host by role; it sorts after or before all simulated hosts.
 NAMES_BY_ROLE = {"rests": "zz", "leads": "aa"}
 
-#: Seconds between two records of one backend server.
+#: Seconds between two record renewals of one backend server.
 RENEWAL_INTERVAL = 1.2
 
-#: Seconds between two news of backend servers that changed, and how many did.
+#: Seconds between two server updates, and changed servers in each update.
 UPDATE_INTERVAL = 0.3
 N_CHANGED = 1
 
-#: Seconds before the measured window, in which a host takes up what there is.
+#: Seconds before the measured window, in which the host reads the state of the fleet.
 SETTLE = 4.0
 
-#: Heads that a host's word tells the load of.
+#: Group heads whose load a host's heartbeat reports.
 N_LOADED = 6
 
-#: Settings of a host as the platform writes them.
+#: Settings file of a host, in the form that the platform writes.
 SETTINGS = """\
 node={name}
 ip=127.0.0.1
@@ -90,25 +93,25 @@
 heartbeat_ms=1200
 """
 
-#: Lines of a profile that are printed.
+#: Number of functions of a profile that are printed.
 N_LINES = 45
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Cost:
-    """Hold the share of a core in percent, and megabytes that are resident."""
+    """Processor time in percent of a core, and resident memory in megabytes."""
 
     percent: float
     resident: float
 
 
-class PlayedFleet:
-    """Play all but one host of a fleet, and the store.
+class SimulatedFleet:
+    """Simulate the store and all hosts of a fleet but the measured one.
 
     Parameters
     ----------
     leads : bool
-        Whether the measured host reads, speaks and plans for its zone.
+        Whether the measured host reads the store, represents its zone and plans.
     """
 
     def __init__(self, *, size: FleetSize, leads: bool) -> None:
@@ -116,19 +119,24 @@
         self._leads = leads
         self._store = PlatformStore()
         self._store.put("keyed.op", "config", json.dumps(configuration(1)).encode())
-        self._entries = [self._entry(index) for index in range(size.n_servers)]
-        for key, value in self._entries:
+        self._server_records = [
+            self._server_record(index) for index in range(size.n_servers)
+        ]
+        for key, value in self._server_records:
             self._store.put("keyed.servers", key, value)
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sequence = 0
         self._updates_end = size.n_servers
         self.host_address: tuple[str, int] | None = None
 
-    def _entry(self, index: int, *, draining: bool = False) -> tuple[str, bytes]:
+    def _server_record(
+        self, index: int, *, draining: bool = False
+    ) -> tuple[str, bytes]:
         entry = {
             "service": "engines",
             "address": f"127.0.0.1:{1 + index % 9}",
-            # Those of other zones, so that no order is given to a server that isn't.
+            # Servers of other zones only: the measured host must send no orders to
+            # servers that don't exist.
             "zone": f"z{1 + index % (self._size.n_zones - 1)}",
             "version": 1,
             "slots": 13,
@@ -142,15 +150,15 @@
         return f"i-{index:010x}", json.dumps(entry).encode()
 
     async def start(self) -> str:
-        """Start the store; return its address."""
+        """Start the store and return its address."""
         runner = web.AppRunner(self._store.app(), access_log=None, shutdown_timeout=0.1)
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", 0).start()
         host, port = runner.addresses[0]
         return f"{host}:{port}"
 
-    async def play(self) -> None:
-        """Send what the other hosts send, and renew the records of the servers."""
+    async def simulate(self) -> None:
+        """Send the other hosts' datagrams and renew the servers' records."""
         await asyncio.gather(
             self._send_heartbeats(), self._send_updates(), self._renew_records()
         )
@@ -175,7 +183,7 @@
     def _heartbeat(self, host: str, zone: str, *, n_ticks: int) -> bytes:
         first = zone != "z0" or (host == "h001" and not self._leads)
         loads = N_LOADED if zone == "z0" else self._size.n_servers // 16
-        # Each host's own, and the same in each run.
+        # Each host reports other servers, the same ones in each run.
         first_loaded = zlib.crc32(host.encode())
         heartbeat = HostHeartbeat(
             host=host,
@@ -199,7 +207,7 @@
         return encode_heartbeat(heartbeat)
 
     async def _send_updates(self) -> None:
-        """Tell of one server that changes, as who reads for others would."""
+        """Send updates of one changing server, as the reader of the zone does."""
         while not self._leads:
             await asyncio.sleep(UPDATE_INTERVAL)
             start = self._updates_end
@@ -207,7 +215,7 @@
                 self._size.n_servers * UPDATE_INTERVAL / RENEWAL_INTERVAL
             )
             index = self._updates_end % self._size.n_servers
-            key, value = self._entry(index, draining=self._updates_end % 2 == 0)
+            key, value = self._server_record(index, draining=self._updates_end % 2 == 0)
             record = KeyedRecord(key=key, value=value, offset=start)
             updates = ServerUpdates(
                 reader="h001", start=start, end=self._updates_end, records=[record]
@@ -217,9 +225,9 @@
 
     async def _renew_records(self) -> None:
         while True:
-            for key, value in self._entries:
+            for key, value in self._server_records:
                 self._store.put("keyed.servers", key, value)
-                await asyncio.sleep(RENEWAL_INTERVAL / len(self._entries))
+                await asyncio.sleep(RENEWAL_INTERVAL / len(self._server_records))
 
     def _send(self, data: bytes) -> None:
         if self.host_address is not None:
@@ -229,10 +237,10 @@
 async def measure(
     tree: Path, *, size: FleetSize, role: str, window: float, profile: bool
 ) -> Cost:
-    """Run one host of a checkout in a fleet, and return what it cost."""
-    fleet = PlayedFleet(size=size, leads=role == "leads")
+    """Run one entry host of a checkout in a simulated fleet and return its cost."""
+    fleet = SimulatedFleet(size=size, leads=role == "leads")
     store = await fleet.start()
-    playing = asyncio.create_task(fleet.play())
+    simulation = asyncio.create_task(fleet.simulate())
     with tempfile.TemporaryDirectory() as directory:
         settings = Path(directory) / "node.conf"
         zones = "\n".join(f"zones.z{index}=r" for index in range(size.n_zones))
@@ -263,7 +271,7 @@
         finally:
             process.send_signal(signal.SIGTERM if profile else signal.SIGKILL)
             await process.wait()
-        playing.cancel()
+        simulation.cancel()
         await drain
         if profile:
             pstats.Stats(str(stats)).sort_stats("tottime").print_stats(N_LINES)
@@ -289,7 +297,7 @@
 
 
 async def run(arguments: argparse.Namespace) -> None:
-    """Measure each size and role in each checkout, and print a table."""
+    """Measure each fleet size and role in each checkout, and print a table."""
     trees = [Path.cwd(), *([arguments.before] if arguments.before else [])]
     print("| hosts | servers | role | checkout | % of a core | MB resident |")
     print("|---|---|---|---|---|---|")
@@ -318,7 +326,7 @@
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--before", type=Path, help="an earlier checkout")
-    parser.add_argument("--hosts", type=int, nargs="*", help="sizes to measure")
+    parser.add_argument("--hosts", type=int, nargs="*", help="fleet sizes to measure")
     parser.add_argument("--role", choices=list(NAMES_BY_ROLE))
     parser.add_argument("--window", type=float, default=10.0, help="seconds")
     parser.add_argument("--profile", action="store_true")
--- a/benchmarks/host_start.py
+++ b/benchmarks/host_start.py
@@ -1,9 +1,10 @@
-"""Measure what an entry host on the platform takes until it can listen.
+"""Measure the start of an entry host on the platform, up to reading its settings.
 
-Starts a host whose settings file is missing: it imports all that it serves with, finds
-the file missing and ends.  Prints the processor time, the peak memory and the modules
-of each start, as medians.  With ``--before`` an earlier checkout is measured by turns
-in the same run, as speeds of machines drift::
+Starts an entry host whose settings file is missing: the process imports all modules
+that serving needs, finds no settings file and exits.  Prints the medians of processor
+time and peak memory, and the number of imported modules.  With ``--before`` an earlier
+checkout is measured alternately in the same run, because the speed of a machine
+drifts::
 
     .venv/bin/python -m benchmarks.host_start --before ../earlier
 """
@@ -18,10 +19,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-#: Commands that start a host, the newest first.
+#: Modules and arguments that start an entry host, those of newer checkouts first.
 COMMANDS = (("ryelever.relay_host",), ("ryelever", "serve"))
 
-#: Imports what the command does, and prints how many modules there are then.
+#: Program that runs a start command and prints the number of modules then imported.
 COUNT = """
 import runpy, sys
 sys.argv[1:] = {arguments}
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Start:
-    """Hold one start: seconds of processor time, and bytes of memory at its peak."""
+    """Cost of one start: seconds of processor time, and peak memory in bytes."""
 
     processor: float
     memory: int
@@ -51,7 +52,7 @@
     for run in range(arguments.runs + 1):
         for tree in trees:
             start = measure(tree)
-            # The first one may compile.
+            # The first start isn't counted, because it may compile bytecode.
             if run:
                 starts_by_tree[tree].append(start)
     print("| checkout | s of processor time | MB at the peak | modules |")
@@ -64,7 +65,7 @@
 
 
 def measure(tree: Path) -> Start:
-    """Start a host of a checkout once."""
+    """Start an entry host of a checkout once and return the cost."""
     process = subprocess.Popen(
         [sys.executable, "-m", *_command(tree)],
         cwd=tree,
@@ -79,7 +80,7 @@
 
 
 def n_modules(tree: Path) -> int:
-    """Count the modules that a host of a checkout has imported."""
+    """Return the number of modules that an entry host of a checkout imports."""
     module, *rest = _command(tree)
     module = f"{module}.__main__" if rest else module
     code = COUNT.format(module=module, arguments=rest)
@@ -98,7 +99,7 @@
         path = tree.joinpath(*command[0].split("."))
         if path.with_suffix(".py").exists() or path.is_dir():
             return command
-    raise SystemExit(f"{tree}: no entry host here")
+    raise SystemExit(f"{tree}: no module of an entry host in this checkout")
 
 
 def _environment() -> dict[str, str]:
--- a/benchmarks/interfaces.py
+++ b/benchmarks/interfaces.py
@@ -1,8 +1,9 @@
-"""Compare what a request and a passed event cost on the two callers' interfaces.
+"""Compare the cost of a request and of a forwarded event on both callers' interfaces.
 
-Each interface has an entry host of its own before stand-ins, driven through sockets in
-the same run, the two in turn.  Streams of one event give the requests a second that a
-whole core would carry; streams of many give the microseconds of a passed event.
+Each interface has an entry host of its own with stand-ins behind it.  Both hosts are
+driven through sockets, alternately in the same run.  Streams of one event give the
+requests a second that a whole core can serve; long streams give the microseconds that
+one forwarded event takes::
 
     .venv/bin/python -m benchmarks.interfaces
 """
@@ -24,26 +25,26 @@
 
 from .speed import Load, cpu_seconds, set_engines, start
 
-#: Callers that ask at the same time, one request after the other.
+#: Concurrent callers, each of which sends one request after the other.
 N_CALLERS = 12
 
-#: Events of the short and of the long streams.
+#: Number of events of a short and of a long stream.
 SHORT, LONG = 1, 41
 
 #: Milliseconds between two events.
 STEP = 2.0
 
-#: Seconds after which a stream that says nothing has failed.
+#: Seconds without data after which a stream has failed.
 SILENCE = 15.0
 
-Ask = Callable[[int], Awaitable[None]]
+SendRequest = Callable[[int], Awaitable[None]]
 
 
-def _relay_asker(zone: RelayZone) -> Ask:
+def _relay_sender(zone: RelayZone) -> SendRequest:
     host, _, port = zone.hosts_by_name["h1"].callers_address.rpartition(":")
     numbers = itertools.count(1)
 
-    async def ask(n_events: int) -> None:
+    async def send_request(n_events: int) -> None:
         reader, writer = await asyncio.open_connection(host, int(port))
         names = HEADERS | {
             "Request-Id": f"q{next(numbers)}",
@@ -61,25 +62,27 @@
             data += chunk
         writer.transport.abort()
 
-    return ask
+    return send_request
 
 
-def _openai_asker(load: Load) -> Ask:
-    async def ask(n_events: int) -> None:
+def _openai_sender(load: Load) -> SendRequest:
+    async def send_request(n_events: int) -> None:
         await load.stream(n_tokens=n_events)
 
-    return ask
+    return send_request
 
 
-async def _cost(ask: Ask, pid: int, *, n_events: int, seconds: float) -> float:
-    """Return the seconds of processor time that one stream takes at an entry host."""
+async def _cost(
+    send_request: SendRequest, pid: int, *, n_events: int, seconds: float
+) -> float:
+    """Return the processor time of one stream at an entry host, in seconds."""
     n_done = 0
     ends_at = time.monotonic() + seconds
 
     async def caller() -> None:
         nonlocal n_done
         while time.monotonic() < ends_at:
-            await ask(n_events)
+            await send_request(n_events)
             n_done += 1
 
     before = cpu_seconds(pid)
@@ -93,39 +96,41 @@
     print(
         f"{name}: {1 / short:.0f} requests a second of a core "
         f"({short * 1e6:.0f} us each), "
-        f"{(long - short) / (LONG - SHORT) * 1e6:.0f} us a passed event",
+        f"{(long - short) / (LONG - SHORT) * 1e6:.0f} us a forwarded event",
         flush=True,
     )
 
 
 async def _compare(
-    asker_by_name: dict[str, tuple[Ask, int]],
+    senders_by_name: dict[str, tuple[SendRequest, int]],
     set_events: Callable[[int], None],
     *,
     rounds: int,
     seconds: float,
 ) -> None:
-    costs = {name: {SHORT: [], LONG: []} for name in asker_by_name}
+    costs = {name: {SHORT: [], LONG: []} for name in senders_by_name}
     for _ in range(rounds):
         for n_events in (SHORT, LONG):
             await asyncio.to_thread(set_events, n_events)
-            for name, (ask, pid) in asker_by_name.items():
-                await ask(n_events)
-                cost = await _cost(ask, pid, n_events=n_events, seconds=seconds)
+            for name, (send_request, pid) in senders_by_name.items():
+                await send_request(n_events)
+                cost = await _cost(
+                    send_request, pid, n_events=n_events, seconds=seconds
+                )
                 costs[name][n_events].append(cost)
     for name, costs_by_events in costs.items():
         _report(name, costs_by_events)
 
 
 def main(*, rounds: int = 3, seconds: float = 4.0) -> None:
-    """Compare the two interfaces.
+    """Measure both interfaces and print the costs of requests and events.
 
     Parameters
     ----------
     rounds : int
-        Measurements of each interface and length, of which the median counts.
+        Measurements of each interface and stream length; their median is printed.
     seconds : float
-        Seconds of each measurement.
+        Length of each measurement in seconds.
     """
     with (
         tempfile.TemporaryDirectory() as fleet_directory,
@@ -142,11 +147,11 @@
             set_engines(load, "notes", step_ms=STEP, tokens_per_event=1)
             zone.slow_engines(n_events=n_events, event_ms=STEP)
 
-        askers = {
-            "OpenAI interface": (_openai_asker(load), load.entry.process.pid),
-            "relay": (_relay_asker(zone), relay_host.process.pid),
+        senders = {
+            "OpenAI interface": (_openai_sender(load), load.entry.process.pid),
+            "relay": (_relay_sender(zone), relay_host.process.pid),
         }
-        asyncio.run(_compare(askers, set_events, rounds=rounds, seconds=seconds))
+        asyncio.run(_compare(senders, set_events, rounds=rounds, seconds=seconds))
 
 
 if __name__ == "__main__":
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -1,8 +1,8 @@
-"""Measure for how long a leaving backend server still gets new work.
+"""Measure for how long a leaving backend server still gets new requests.
 
-Real processes: two groups of four engines, three entry hosts with the exchange between
-them, a list that lags by 5 s, and streams at all entry hosts the whole time.  Run:
-``python -m benchmarks.leaving``
+Runs real processes: two groups of four engines, three entry hosts that exchange soft
+state, and a hosts list that lags by 5 s.  Streams are sent through all entry hosts the
+whole time.  Run: ``python -m benchmarks.leaving``
 """
 
 from __future__ import annotations
@@ -25,28 +25,29 @@
     start_two_groups,
 )
 
-#: Name, how it leaves, rank of the leaver, seconds until anybody can see it.
+#: Name, function that makes a server leave, rank of this server in its group, and
+#: seconds until an entry host can observe that the server leaves.
 CASES = (
     ("reports it", report_leaving, 0, 0.0),
     ("only listed", list_leaving, 0, LIST_LAG),
     ("refuses connections", refuse_connections, 1, 0.0),
 )
 
-#: Seconds between two requests at one entry host, and two looks at the engine.
+#: Seconds between two requests at one entry host, and between two polls of the engine.
 INTERVAL = 0.05
 
 
 def main(*, n_runs: int = 3, window: float = 6.0) -> None:
-    """Print when the last new work reached rank 0 of the leaver's group.
+    """Print when the last new request reached rank 0 of the leaving server's group.
 
     Parameters
     ----------
     n_runs : int
         Runs of each case.
     window : float
-        Seconds watched after the leaving can be seen.
+        Seconds of observation after entry hosts can see that the server leaves.
     """
-    print(f"{'case':20} {'last new work after, s':>24} {'errors':>7} {'load':>6}")
+    print(f"{'case':20} {'last request after, s':>24} {'errors':>7} {'load':>6}")
     for name, leave, rank, seen_after in CASES:
         for _ in range(n_runs):
             with (
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,7 +1,8 @@
-"""Measure how far all entry hosts together exceed, or leave unused, one limit.
+"""Measure how far all entry hosts together exceed one limit or leave it unused.
 
-In-process and in simulated time: rows are 1 s late and 30% of them are lost.  The
-plain policy gives each host an even part.  Run: ``python -m benchmarks.limits``
+Runs in one process and in simulated time.  Demand rows arrive 1 s late, and none or 30%
+of them are lost.  The baseline splits the limit evenly between the hosts.  Run:
+``python -m benchmarks.limits``
 """
 
 from __future__ import annotations
@@ -17,10 +18,10 @@
 
 from .limits_exchange import Exchange
 
-#: Requests a second of one host in each case, relative to the limit.
+#: Requests a second that all hosts together may admit.
 LIMIT = 400.0
 
-#: Client accounts in use at once when the cost is measured.
+#: Client accounts with demand when the processor time is measured.
 N_ACCOUNTS = 100
 
 
@@ -32,25 +33,27 @@
     seed: int = 5,
     seconds: float = 40.0,
 ) -> None:
-    """Print overshoot and use of a limit for each case.
+    """Print overshoot and use of the limit for each case.
+
+    The printed total is the sum of all hosts' shares, divided by the limit.
 
     Parameters
     ----------
     n_hosts : tuple[int, ...]
-        Entry hosts, one run each.
+        Numbers of entry hosts, one run for each number.
     cases : tuple[str, ...]
-        Courses of demand.
+        Patterns of demand: steady, few, moving, sudden, partition.
     losses : tuple[float, ...]
-        Parts of the rows that are lost.
+        Shares of the rows that are lost.
     seed : int
         Seed of arrivals and lost rows.
     seconds : float
-        Simulated time of each run; the partition takes its second half.
+        Simulated time of each run in seconds; a partition lasts its second half.
     """
     print(f"seed {seed}; limit {LIMIT:g}/s; bound exp({SETTLE:g}/{FALL:g}) = ", end="")
     print(f"{math.exp(SETTLE / FALL):.3f}")
     print(
-        f"{'hosts':>5} {'case':>10} {'loss':>5} {'parts max':>9} {'mean':>6} "
+        f"{'hosts':>5} {'case':>10} {'loss':>5} {'max total':>9} {'mean':>6} "
         f"{'admitted/limit':>14} {'even split':>10}"
     )
     for n in n_hosts:
@@ -65,8 +68,8 @@
 
     def demand(index: int, now: float) -> float:
         if case in ("steady", "partition"):
-            grown = 5.0 if case == "partition" and index < n // 3 else 1.0
-            return 1.5 * LIMIT / n * (grown if now > seconds / 2 else 1.0)
+            growth = 5.0 if case == "partition" and index < n // 3 else 1.0
+            return 1.5 * LIMIT / n * (growth if now > seconds / 2 else 1.0)
         if case == "sudden":
             return 4.0 * LIMIT / n if int(now / 8.0) % 2 else 0.0
         group = int(now / 10.0) % 8 if case == "moving" else 0
@@ -97,10 +100,10 @@
 
 
 def _print_cost(n: int, n_rounds: int = 20) -> None:
-    """Print the processor time at one host when all others tell all accounts."""
+    """Print the processor time of one host if all others report all accounts."""
     names = [f"account-{index}" for index in range(N_ACCOUNTS)]
     limits = AccountLimits(n_hosts=lambda: n)
-    row_time = part_time = waiting_time = 0.0
+    row_time = share_time = waiting_time = 0.0
     for index in range(n_rounds):
         now = index * SAMPLE
         rows = [
@@ -120,14 +123,14 @@
         for _ in names:
             limits.n_hosts_waiting(now=now)
         row_time += told - started
-        part_time += asked - told
+        share_time += asked - told
         waiting_time += time.process_time() - asked
     n_asked = n_rounds * N_ACCOUNTS
     print(
-        f"{n:5d} hosts, {N_ACCOUNTS} accounts: {part_time / n_asked * 1e6:.1f} us a "
-        f"part, {part_time / n_asked * N_ACCOUNTS / SAMPLE:.2%} of a core for all "
-        f"parts each {SAMPLE:g} s; {waiting_time / n_asked * 1e6:.1f} us for the "
-        f"hosts waiting; {row_time / n_asked / (n - 1) * 1e6:.1f} us to take a row"
+        f"{n:5d} hosts, {N_ACCOUNTS} accounts: {share_time / n_asked * 1e6:.1f} us a "
+        f"share, {share_time / n_asked * N_ACCOUNTS / SAMPLE:.2%} of a core for all "
+        f"shares each {SAMPLE:g} s; {waiting_time / n_asked * 1e6:.1f} us to count "
+        f"waiting hosts; {row_time / n_asked / (n - 1) * 1e6:.1f} us to record a row"
     )
 
 
--- a/benchmarks/limits_exchange.py
+++ b/benchmarks/limits_exchange.py
@@ -1,4 +1,4 @@
-"""Let many AccountLimits exchange rows that are lossy and late, in one process."""
+"""Simulate hosts whose ``AccountLimits`` exchange rows that are late or lost."""
 
 from __future__ import annotations
 
@@ -17,20 +17,24 @@
 
 __all__ = ["ACCOUNT", "Exchange"]
 
-#: The one client account whose limit is split.
+#: Name of the client account whose limit is split between the hosts.
 ACCOUNT = "shared"
 
-#: Seconds of one step.
+#: Seconds of one simulation step.
 STEP = 0.25
 
 
 @dataclass(slots=True, kw_only=True)
 class _Host:
-    """Hold one entry host; it admits what its part allows and drops the rest."""
+    """One entry host, which admits requests up to its share of the limit.
+
+    ``part`` is the share in requests a second.  ``tokens`` is the token bucket of this
+    share, ``even_tokens`` the bucket of an even split.
+    """
 
     name: str
     limits: AccountLimits
-    told_at: float
+    last_sent_at: float
     tokens: float = 1.0
     even_tokens: float = 1.0
     n_admitted: int = 0
@@ -41,18 +45,21 @@
 
 @dataclass(slots=True, kw_only=True)
 class Exchange:
-    """Drive hosts whose demand is given, and sum what they take.
+    """Simulate hosts with a given demand, and count the requests that they admit.
 
     Parameters
     ----------
     limit : float
-        Requests a second over all hosts; also the limit of concurrency.
+        Requests a second over all hosts; also the limit of concurrent requests.
     demand : callable
         Return the arrivals a second at a host, given its index and the time.
     reaches : callable
-        Tell whether rows pass from one host to another at a time.
-    lag, loss : float
-        Seconds between composing a row and its arrival; part of rows lost.
+        Return whether rows sent at a time reach the receiver, given the indices of the
+        sender and the receiver and the time.
+    lag : float
+        Seconds between composing a row and its arrival.
+    loss : float
+        Share of the rows that are lost.
     """
 
     n_hosts: int
@@ -65,7 +72,7 @@
     now: float = 0.0
     hosts: list[_Host] = field(default_factory=list)
     random: random.Random = field(default_factory=random.Random)
-    _under_way: list[tuple] = field(default_factory=list)
+    _in_transit: list[tuple] = field(default_factory=list)
     _sequence: itertools.count = field(default_factory=itertools.count)
 
     def __post_init__(self) -> None:
@@ -73,14 +80,14 @@
         self.hosts = [self._host(index) for index in range(self.n_hosts)]
 
     def restart(self, index: int) -> None:
-        """Replace a host by a new process that knows nothing."""
+        """Replace a host by a new process without any state."""
         self.hosts[index] = self._host(index)
 
     def step(self) -> None:
-        """Pass one step: rows arrive, requests arrive, rows are sent."""
+        """Simulate one step: deliver rows, admit requests and send rows."""
         self.now += STEP
-        while self._under_way and self._under_way[0][0] <= self.now:
-            _, _, sender, receiver, sent_at, row = heapq.heappop(self._under_way)
+        while self._in_transit and self._in_transit[0][0] <= self.now:
+            _, _, sender, receiver, sent_at, row = heapq.heappop(self._in_transit)
             if self.hosts[receiver].alive:
                 self.hosts[receiver].limits.observed(
                     row, peer=f"host-{sender}", observed_at=sent_at, now=self.now
@@ -90,13 +97,13 @@
                 self._serve(index, host)
 
     def parts(self, *, among: list[int] | None = None) -> float:
-        """Return the sum of the hosts' parts over the limit."""
+        """Return the sum of the live hosts' rate shares over the limit."""
         chosen = range(self.n_hosts) if among is None else among
         live = [self.hosts[index] for index in chosen if self.hosts[index].alive]
         return sum(host.part for host in live) / self.limit
 
     def places(self) -> float:
-        """Return the sum of concurrency parts over the limit."""
+        """Return the sum of the live hosts' concurrency shares over the limit."""
         return (
             sum(
                 host.limits.concurrency(ACCOUNT, int(self.limit), now=self.now)
@@ -107,18 +114,18 @@
         )
 
     def n_admitted(self) -> int:
-        """Return the requests admitted so far by hosts that still live."""
+        """Return the requests that the current processes of all hosts have admitted."""
         return sum(host.n_admitted for host in self.hosts)
 
     def n_even(self) -> int:
-        """Return what an even split of the limit would have admitted."""
+        """Return the requests that an even split of the limit would have admitted."""
         return sum(host.n_even for host in self.hosts)
 
     def _host(self, index: int) -> _Host:
         return _Host(
             name=f"host-{index}",
             limits=AccountLimits(n_hosts=lambda: self.n_hosts),
-            told_at=self.now - self.random.random(),
+            last_sent_at=self.now - self.random.random(),
         )
 
     def _serve(self, index: int, host: _Host) -> None:
@@ -137,18 +144,18 @@
                 host.tokens -= 1.0
                 host.n_admitted += 1
         host.limits.occupied(ACCOUNT, n_in_flight=n_arrivals, n_waiting=0, now=self.now)
-        if self.now - host.told_at >= 1.0:
-            host.told_at = self.now
-            self._tell(index, host.limits.observations(now=self.now))
+        if self.now - host.last_sent_at >= 1.0:
+            host.last_sent_at = self.now
+            self._send_rows(index, host.limits.observations(now=self.now))
 
-    def _tell(self, sender: int, rows: list[Observation]) -> None:
+    def _send_rows(self, sender: int, rows: list[Observation]) -> None:
         for receiver in range(self.n_hosts):
             if receiver == sender or not self.reaches(sender, receiver, self.now):
                 continue
             for row in rows:
                 if self.random.random() >= self.loss:
                     heapq.heappush(
-                        self._under_way,
+                        self._in_transit,
                         (
                             self.now + self.lag,
                             next(self._sequence),
--- a/benchmarks/log_writer.py
+++ b/benchmarks/log_writer.py
@@ -1,9 +1,9 @@
-"""Measure appends, bytes and delay of claims through LogWriter.
+"""Measure appends, bytes and delay of claims that ``LogWriter`` appends.
 
-Drives the writers of several entry hosts over simulated time: each claim comes with
-its outcome half a second later, an append takes the given time, and a record is
-read back after it.  "batch" is the writer as it is; "single" puts one record in
-each append.
+Simulates the log writers of several entry hosts.  Each claim is followed by its outcome
+half a second later, and a record is read back as soon as its append has taken the given
+time.  Mode "batch" is the writer as entry hosts use it; mode "single" puts one record in
+each append and has no budget of appends.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 )
 from ryelever.state.records import Claim, Outcome, Record
 
-#: Seconds from a claim to its outcome.
+#: Seconds between a claim and its outcome.
 RUN_TIME = 0.5
 
 EPOCH = 1_800_000_000.0
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Run:
-    """Hold one simulated run over all hosts."""
+    """State and totals of one simulated run over all hosts; times in seconds."""
 
     n_hosts: int
     rate: float
@@ -61,22 +61,22 @@
     partitions: int = 4,
     seconds: float = 20.0,
 ) -> None:
-    """Print the table.
+    """Print appends, bytes and delays for each rate and mode.
 
     Parameters
     ----------
     n_hosts : int
-        Entry hosts among which the claims are spread.
+        Entry hosts that the claims are spread over.
     rates : list[float]
-        Claims a second over all hosts.
+        Claims a second over all hosts, one run for each rate.
     appends_per_second : float
-        Bound of each host.
+        Maximum number of appends a second of each host.
     append_time : float
         Seconds from sending an append to reading its records back.
     partitions : int
-        Streams over which claims are spread.
+        Streams that the claims are spread over.
     seconds : float
-        Simulated time.
+        Simulated time of each run in seconds.
     """
     print(HEADER)
     for rate in rates:
@@ -116,16 +116,16 @@
 
 
 def _drive(run: _Run, seconds: float) -> None:
-    # Looked at every millisecond: a record that is added, and an answer, lets the
-    # writer append at once; the program's tick only adds to that.
-    drawn = random.Random(1)
+    # Steps of 1 ms, because an entry host appends at once when a record is added or an
+    # append is answered, in addition to its regular ticks.
+    rng = random.Random(1)
     outcomes: list[tuple[float, int, Record]] = []
     n_claims = 0
     for step in range(int(seconds * 1000)):
         now = step / 1000
         _answer(run, now=now)
         while n_claims < run.rate * now:
-            host = drawn.randrange(run.n_hosts)
+            host = rng.randrange(run.n_hosts)
             claim = _claim(n_claims, host, now)
             _add(run, host, claim, f"c{n_claims:031x}", now=now)
             outcomes.append((now + RUN_TIME, host, _outcome(claim)))
