--- a/benchmarks/log_writer.py
+++ b/benchmarks/log_writer.py
@@ -2,8 +2,8 @@
 
 Simulates the log writers of several entry hosts.  Each claim is followed by its outcome
 half a second later, and a record is read back as soon as its append has taken the given
-time.  Mode "batch" is the writer as entry hosts use it; mode "single" puts one record in
-each append and has no budget of appends.
+time.  Mode "batch" is the writer as entry hosts use it.  Mode "single" puts one record
+in each append and has no budget of appends.
 """
 
 from __future__ import annotations
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,7 +1,7 @@
 """Measure what relaying costs an entry host, without sockets.
 
-Prints microseconds a log line, a relayed stream, a passed event and a word between
-hosts, and what words cost a host by the number of hosts.
+Prints the microseconds that a log line, a relayed stream, a forwarded event and a host
+heartbeat take, and the cost of all heartbeats to one host by the number of hosts::
 
     .venv/bin/python -m benchmarks.relay
 """
@@ -25,28 +25,28 @@
 from ryelever.state.routes import RouteKind
 from tests.test_coordination.test_relaying.relay_fakes import Relaying, head
 
-#: Streams of one round, events of a stream, and rounds, of which the best counts.
+#: Streams of one round, events of a long stream, and rounds; the fastest round counts.
 N_STREAMS = 300
 N_EVENTS = 27
 N_ROUNDS = 5
 
-#: Words and log lines of one round.
+#: Heartbeats and log lines of one round.
 N_HEARTBEATS = 500
 N_LINES = 5000
 
-#: Heads that a word tells the load of: the groups of a zone.
+#: Group heads whose load a heartbeat reports: one for each group of a zone.
 N_HEADS = 18
 
-#: Hosts, how many of them are in a host's own zone, and zones.
+#: Number of hosts, of hosts in the measured host's zone, and of zones.
 FLEETS = ((8, 3, 3), (87, 29, 3), (390, 35, 11))
 
 
-def _best(measured: Callable[[], float]) -> float:
-    return min(measured() for _ in range(N_ROUNDS))
+def _best(measurement: Callable[[], float]) -> float:
+    return min(measurement() for _ in range(N_ROUNDS))
 
 
 def stream_time(n_events: int) -> float:
-    """Return the seconds of processor time for one stream from arrival to end."""
+    """Return the processor time of one stream from arrival to end, in seconds."""
     relaying = Relaying(n_servers=40, slots=50)
     event = b"id: 7\ndata: " + b"x" * 50 + b"\n\n"
     start = time.process_time()
@@ -78,41 +78,49 @@
     )
 
 
-def write_time() -> float:
-    """Return the seconds to write one word."""
+def encoding_time() -> float:
+    """Return the processor time to encode one heartbeat, in seconds."""
     start = time.process_time()
     for sequence in range(N_HEARTBEATS):
         encode_heartbeat(_heartbeat(1, sequence))
     return (time.process_time() - start) / N_HEARTBEATS
 
 
-def _heard(n_own: int, n_zones: int) -> HostHeartbeats:
-    """Return what a host knows that hears its own zone and one host of each other."""
+def _received_heartbeats(n_in_zone: int, n_zones: int) -> HostHeartbeats:
+    """Return the heartbeats of a host's own zone and of one host of each other zone."""
     heartbeats = HostHeartbeats(host="front-0", zone="z")
-    for host in range(1, n_own):
+    for host in range(1, n_in_zone):
         heartbeats.take(_heartbeat(host, 1), address="10.0.0.1:7000", now=0.0)
     for zone in range(1, n_zones):
         heartbeat = replace(
-            _heartbeat(n_own + zone, 1), availability_zone=f"z{zone}", for_zone=True
+            _heartbeat(n_in_zone + zone, 1), availability_zone=f"z{zone}", for_zone=True
         )
         heartbeats.take(heartbeat, address="10.0.0.1:7000", now=0.0)
     return heartbeats
 
 
-def heartbeats_per_second(n_own: int, n_zones: int) -> float:
-    """Return how many words a host hears that neither reads nor speaks."""
-    heartbeats = _heard(n_own, n_zones)
-    seldom = HEARTBEAT_INTERVAL * heartbeats.ticks_between_heartbeats(now=0.0)
-    n_frequent = min(READERS, n_own - 1)
-    near = n_frequent / HEARTBEAT_INTERVAL + (n_own - 1 - n_frequent) / seldom
+def heartbeats_per_second(n_in_zone: int, n_zones: int) -> float:
+    """Return the heartbeats a second that a host receives.
+
+    The host neither reads the store nor represents its zone.
+    """
+    heartbeats = _received_heartbeats(n_in_zone, n_zones)
+    seldom_interval = HEARTBEAT_INTERVAL * heartbeats.ticks_between_heartbeats(now=0.0)
+    n_frequent = min(READERS, n_in_zone - 1)
+    near = (
+        n_frequent / HEARTBEAT_INTERVAL + (n_in_zone - 1 - n_frequent) / seldom_interval
+    )
     return near + (n_zones - 1) / (TICKS_PER_ZONE_HEARTBEAT * HEARTBEAT_INTERVAL)
 
 
-def take_time(n_own: int, n_zones: int) -> float:
-    """Return the seconds to take one word, where so many hosts are heard."""
-    heartbeats = _heard(n_own, n_zones)
+def handling_time(n_in_zone: int, n_zones: int) -> float:
+    """Return the processor time to handle one received heartbeat, in seconds.
+
+    The time depends on the number of hosts and zones that send heartbeats.
+    """
+    heartbeats = _received_heartbeats(n_in_zone, n_zones)
     data = [
-        encode_heartbeat(_heartbeat(1 + index % (n_own - 1), 2 + index))
+        encode_heartbeat(_heartbeat(1 + index % (n_in_zone - 1), 2 + index))
         for index in range(N_HEARTBEATS)
     ]
     start = time.process_time()
@@ -124,8 +132,11 @@
     return (time.process_time() - start) / N_HEARTBEATS
 
 
-def line_time() -> float:
-    """Return the seconds to log the end of one request, with the bounds on lines."""
+def log_line_time() -> float:
+    """Return the processor time to log the end of one request, in seconds.
+
+    The time includes the writer's limits on the number of log lines.
+    """
     with Path(os.devnull).open("wb") as sink:
         writer = StreamWriter(fd=sink.fileno())
         writer.setFormatter(JsonFormatter())
@@ -145,31 +156,31 @@
                 {"msg": "answered", "levelno": logging.INFO, "levelname": "INFO"}
             )
             record.fields = fields
-            # A hundred lines a second, as a busy host writes them.
+            # A busy host writes a hundred lines a second.
             record.created = number / 100
             writer.emit(record)
         return (time.process_time() - start) / N_LINES
 
 
 def main() -> None:
-    """Print all figures."""
-    print(f"a log line:            {_best(line_time) * 1e6:.0f} us")
+    """Print the costs of log lines, streams, events and heartbeats."""
+    print(f"a log line:            {_best(log_line_time) * 1e6:.0f} us")
     one = _best(lambda: stream_time(1))
     many = _best(lambda: stream_time(N_EVENTS))
     event = (many - one) / (N_EVENTS - 1)
     print(f"a stream of one event: {one * 1e6:.0f} us")
     print(f"each further event:    {event * 1e6:.1f} us")
-    write = _best(write_time)
+    write = _best(encoding_time)
     n_bytes = len(encode_heartbeat(_heartbeat(1, 1)))
-    print(f"a word: {write * 1e6:.0f} us to write, {n_bytes} bytes")
-    for n_hosts, n_own, n_zones in FLEETS:
-        rate = heartbeats_per_second(n_own, n_zones)
-        take = _best(lambda own=n_own, zones=n_zones: take_time(own, zones))
+    print(f"a heartbeat: {write * 1e6:.0f} us to encode, {n_bytes} bytes")
+    for n_hosts, n_in_zone, n_zones in FLEETS:
+        rate = heartbeats_per_second(n_in_zone, n_zones)
+        take = _best(lambda own=n_in_zone, zones=n_zones: handling_time(own, zones))
         share = (rate * take + write / HEARTBEAT_INTERVAL) * 100
         print(
-            f"{n_hosts} hosts: {take * 1e6:.0f} us to take a word,"
-            f" {rate:.0f} words a second, {share:.1f}% of a core,"
-            f" {rate * n_bytes / 1000:.1f} KB a second in"
+            f"{n_hosts} hosts: {take * 1e6:.0f} us to handle a heartbeat,"
+            f" {rate:.0f} heartbeats a second, {share:.1f}% of a core,"
+            f" {rate * n_bytes / 1000:.1f} KB received a second"
         )
 
 
--- a/benchmarks/relay_load.py
+++ b/benchmarks/relay_load.py
@@ -1,8 +1,8 @@
 """Measure what relayed streams cost an entry host, over real sockets.
 
-Starts the platform's stand-in and one entry host of each checkout, keeps a number of
-callers busy with streams of few and of many events, and prints the processor time of
-one request and of one event of a stream, fitted through the two.  Run::
+Starts the stand-in of the platform and one entry host of each checkout, and keeps a
+number of callers busy, first with streams of few events and then of many.  Prints the
+processor time of one request and of one event, fitted through both measurements::
 
     .venv/bin/python -m benchmarks.relay_load --before ../earlier
 """
@@ -30,13 +30,13 @@
 
 from .host_cost import N_LINES, SETTINGS, processor_seconds
 
-#: Events of a short and of a long stream.
+#: Number of events of a short and of a long stream.
 EVENTS = (2, 32)
 
-#: Milliseconds between two events of a stream, as backend servers make them.
+#: Milliseconds between two events of a stream, as a backend server sends them.
 EVENT_MS = 40.0
 
-#: Callers at once: fewer than the groups of the stand-in have places.
+#: Concurrent callers: fewer than the groups of the stand-in have slots.
 N_CALLERS = 12
 
 #: Seconds of load before the measured window.
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Load:
-    """Hold requests that were served, and seconds of processor time they took."""
+    """Number of served requests, and their processor time in seconds."""
 
     n_requests: int
     spent: float
 
 
 class Callers:
-    """Keep a number of callers busy, each with one stream after the other."""
+    """Send requests for streams, and count those that were answered with 200."""
 
     def __init__(self, *, address: str) -> None:
         self._address = address
@@ -60,7 +60,7 @@
         self.n_served = 0
 
     async def call_on(self, session: aiohttp.ClientSession) -> None:
-        """Ask for streams until cancelled."""
+        """Request one stream after the other until cancelled."""
         model = MODELS[0]["name"]
         while True:
             headers = HEADERS | {
@@ -81,7 +81,7 @@
 async def load_host(
     tree: Path, zone: RelayZone, *, window: float, profile: bool
 ) -> Load:
-    """Run one host of a checkout under load."""
+    """Run one entry host of a checkout under load and return requests and cost."""
     with tempfile.TemporaryDirectory() as directory:
         settings = Path(directory) / "node.conf"
         settings.write_text(
@@ -135,7 +135,7 @@
 
 
 def measure(tree: Path, *, window: float, profile: bool) -> tuple[float, float]:
-    """Return the seconds of processor time of one request, and of one event."""
+    """Return the processor time of one request and of one event, in seconds."""
     costs = []
     for n_events in EVENTS:
         with (
@@ -146,9 +146,9 @@
             zone.slow_engines(n_events=n_events, event_ms=EVENT_MS)
             load = asyncio.run(load_host(tree, zone, window=window, profile=profile))
             costs.append(load.spent / load.n_requests)
-    few, many = costs
-    event = (many - few) / (EVENTS[1] - EVENTS[0])
-    return few - EVENTS[0] * event, event
+    short, long = costs
+    event = (long - short) / (EVENTS[1] - EVENTS[0])
+    return short - EVENTS[0] * event, event
 
 
 def main() -> None:
--- a/benchmarks/request_table.py
+++ b/benchmarks/request_table.py
@@ -1,8 +1,8 @@
-"""Measure the request table: processor time and memory of its decisions.
+"""Measure the processor time and memory of the request table's decisions.
 
-Run ``.venv/bin/python -m benchmarks.request_table``.  The policies are the
-simplest ones and the log is read back at once, so that the figures are the
-table's own.
+Admission and routing are replaced by the simplest policies, and a record is read back
+from the log at once, so that the figures show the cost of the table alone.  Run:
+``.venv/bin/python -m benchmarks.request_table``
 """
 
 from __future__ import annotations
@@ -91,7 +91,7 @@
 
 
 class _Driver:
-    """Take requests through a table."""
+    """Pass requests through a request table."""
 
     def __init__(self) -> None:
         ids = itertools.count()
@@ -108,7 +108,7 @@
         self._n_arrived = itertools.count()
 
     def arrive(self, work: ChatWork | ServiceWork, *, key: str = "") -> str:
-        """Take a request to its attempt; return the attempt's id."""
+        """Pass a request to its first attempt and return the attempt's id."""
         arrival = Arrival(
             request_id=f"{next(self._n_arrived):032x}",
             client_account="pawroute",
@@ -130,7 +130,7 @@
         return send.attempt_id
 
     def stream(self, n_tokens: int, *, broken_at: int = -1) -> None:
-        """Take one stream to its end, over two attempts if it breaks."""
+        """Complete one stream, in two attempts if it breaks at token ``broken_at``."""
         attempt = self.arrive(_chat())
         for index in range(n_tokens):
             if index == broken_at:
@@ -143,7 +143,7 @@
         self.table.finished(attempt, finish_reason="stop", usage=Usage(), now=0.0)
 
     def call(self, *, key: str = "") -> None:
-        """Take one call to a plain service to its end."""
+        """Complete one call to a plain service."""
         attempt = self.arrive(_call(), key=key)
         self.table.service_answered(
             attempt, status=200, content_type="", body=b"{}", now=0.0
@@ -161,8 +161,8 @@
     )
 
 
-def _best(work: object, n_units: int) -> float:
-    """Return the least processor time of one unit over some rounds, in µs."""
+def _lowest_us(work: object, n_units: int) -> float:
+    """Return the lowest processor time of one unit over all rounds, in µs."""
     times = []
     for _ in range(N_ROUNDS):
         started = time.process_time()
@@ -171,7 +171,7 @@
     return min(times) / n_units * 1e6
 
 
-def _show_time(n_requests: int, n_tokens: int) -> None:
+def _print_times(n_requests: int, n_tokens: int) -> None:
     def empty_streams() -> None:
         driver = _Driver()
         for _ in range(n_requests):
@@ -199,14 +199,14 @@
         ("stream without tokens", empty_streams, n_requests),
         ("stream that breaks once, 1 token", broken_streams, n_requests),
         ("call", calls, n_requests),
-        ("booking, with its claim folded", bookings, n_requests),
+        ("booking, with folding its claim", bookings, n_requests),
         ("one token", long_stream, n_requests * n_tokens),
     )
     for name, work, n_units in rows:
-        print(f"{name:36} {_best(work, n_units):8.2f} us")
+        print(f"{name:36} {_lowest_us(work, n_units):8.2f} us")
 
 
-def _show_tick(n_waiting: int) -> None:
+def _print_tick_time(n_waiting: int) -> None:
     driver = _Driver()
     for _ in range(n_waiting):
         driver.arrive(_chat())
@@ -216,10 +216,10 @@
             driver.table.tick(now=1.0)
 
     name = f"tick over {n_waiting} requests"
-    print(f"{name:36} {_best(ticks, 100):8.2f} us")
+    print(f"{name:36} {_lowest_us(ticks, 100):8.2f} us")
 
 
-def _show_memory(n_requests: int, n_tokens: int) -> None:
+def _print_memory(n_requests: int, n_tokens: int) -> None:
     driver = _Driver()
     tracemalloc.start()
     attempts = [driver.arrive(_chat()) for _ in range(n_requests)]
@@ -237,23 +237,23 @@
     print(f"{'waiting request, without its prompt':36} {waiting:8.0f} bytes")
     per_token = (streaming - waiting) / n_tokens
     print(f"{'each delivered token':36} {per_token:8.1f} bytes")
-    print(f"{'left after all have ended':36} {left:8d} bytes in all")
+    print(f"{'left after all requests ended':36} {left:8d} bytes in total")
 
 
 def main(*, n_requests: int = 2000, n_tokens: int = 100) -> None:
-    """Print the table's costs.
+    """Print the processor time and memory of the table's operations.
 
     Parameters
     ----------
     n_requests : int
-        Requests a round.
+        Number of requests in each round.
     n_tokens : int
-        Tokens of each stream.
+        Number of tokens of each stream.
     """
-    _show_time(n_requests, n_tokens)
+    _print_times(n_requests, n_tokens)
     for n_waiting in (100, 1000):
-        _show_tick(n_waiting)
-    _show_memory(n_requests // 4, n_tokens)
+        _print_tick_time(n_waiting)
+    _print_memory(n_requests // 4, n_tokens)
 
 
 if __name__ == "__main__":
--- a/benchmarks/retry.py
+++ b/benchmarks/retry.py
@@ -1,6 +1,6 @@
-"""Measure retries in a brown-out, and a poison request against ten entry hosts.
+"""Measure retries during a brown-out, and a poison request sent to ten entry hosts.
 
-Run ``python -m benchmarks.retry``; every seed is fixed and printed.
+Run ``python -m benchmarks.retry``.  All seeds are fixed and printed.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 N_TARGETS = 24
 
 
-class AlwaysThree:
-    """Retry every failure up to three times: the plain policy."""
+class ThreeRetries:
+    """Allow three retries of every request: the baseline for ``RetryBudget``."""
 
     def succeeded(self, *, now: float) -> None:
-        """Do nothing."""
+        """Ignore a success."""
 
     def died(self, target: str, *, now: float) -> None:
-        """Do nothing."""
+        """Ignore the death of a backend server."""
 
     def allow(self, *, n_attempts: int, now: float) -> bool:
-        """Allow three retries."""
+        """Return whether fewer than four attempts were made."""
         return n_attempts < 4
 
 
 def brown_out(
     policies: list, *, n_requests: int, failure_share: float, deaths: bool, seed: int
 ) -> tuple[float, float]:
-    """Return the load offered over the callers' own, and the share answered.
+    """Return the attempts for each request, and the share of requests answered.
 
-    Requests come at 16/s to each entry host.  ``deaths`` makes each failure look
-    like the death of the backend server.
+    Each entry host receives 16 requests a second.  With ``deaths`` every failure is
+    reported as the death of a backend server.
     """
     generator = random.Random(seed)
     n_attempts = n_answered = 0
@@ -66,10 +66,13 @@
     print(f"{'':<58}{'offered':>9}{'answered':>9}")
     for n_hosts in (1, 8, 390):
         for failure_share, deaths in ((0.3, False), (0.3, True), (0.9, True)):
-            for name, make in (("always three", AlwaysThree), ("budget", RetryBudget)):
+            for name, new_policy in (
+                ("three retries", ThreeRetries),
+                ("budget", RetryBudget),
+            ):
                 runs = [
                     brown_out(
-                        [make() for _ in range(n_hosts)],
+                        [new_policy() for _ in range(n_hosts)],
                         n_requests=n_hosts * 16 * 60,
                         failure_share=failure_share,
                         deaths=deaths,
@@ -86,8 +89,22 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Poisoned:
-    """Hold how a poison request went."""
+class PoisonResult:
+    """Effects of one poison request that a caller sends again and again.
+
+    Attributes
+    ----------
+    n_crashes : int
+        Crashes of backend servers.
+    n_resends : int
+        Times that the caller sent the poison request.
+    n_bystanders : int
+        Other requests.
+    n_failed : int
+        Other requests that failed for good.
+    n_refused : int
+        Other requests that quarantine refused.
+    """
 
     n_crashes: int = 0
     n_resends: int = 0
@@ -96,12 +113,14 @@
     n_refused: int = 0
 
 
-def poison(*, plain: bool, n_groups: int, n_streams: int, seed: int) -> Poisoned:
-    """Let a caller resend a poison request to ten entry hosts, round about.
+def poison(*, plain: bool, n_groups: int, n_streams: int, seed: int) -> PoisonResult:
+    """Simulate 30 s in which a caller sends a poison request to ten entry hosts.
 
-    ``n_streams`` bystanders run at any time; a crash breaks off all at its group,
-    and each is tried again.  Crashed groups come back after 20 s.  The caller
-    resends 1 s after each failure, ten times; soft state passes in 0.5 s.  30 s.
+    The caller sends the request ten times, 1 s after each failure, to the entry hosts
+    in turn.  ``n_streams`` bystanders run at any time.  A crash breaks off all requests
+    at the crashed group, and each of them is retried.  Crashed groups return after
+    20 s.  Entry hosts exchange soft state every 0.5 s.  With ``plain`` the entry hosts
+    route round robin and without quarantine.
     """
     fleets = [FakeFleet(zones={"a": n_groups}) for _ in range(10)]
     routers = [
@@ -109,11 +128,13 @@
         for number, fleet in enumerate(fleets)
     ]
     generator = random.Random(seed)
-    seen = Poisoned()
+    totals = PoisonResult()
+    # For each attempt: index of the entry host, arrival, target, end, attempts so far.
     running: dict[str, tuple[int, object, object, float, int]] = {}
     dead_until: dict[str, float] = {}
     serial = 0
     resend_at, sends_left, at = 5.0, 10, 0
+    # Time, index of the entry host, arrival, and names of the targets tried.
     retries: list[tuple[float, int, object, tuple[str, ...]]] = []
     for step in range(300):
         now = step * 0.1
@@ -135,12 +156,12 @@
         retries = [one for one in retries if one[0] > now]
         while len(running) + len(due) + len(retries) < n_streams:
             serial += 1
-            seen.n_bystanders += 1
+            totals.n_bystanders += 1
             text = f"bystander {serial}"
             due.append((now, generator.randrange(10), chat(text, now=now), ()))
         if now >= resend_at and sends_left:
             sends_left -= 1
-            seen.n_resends += 1
+            totals.n_resends += 1
             at = (at + 1) % 10
             due.append((now, at, chat("poison", now=now), ()))
             resend_at = now + 1.0
@@ -149,14 +170,14 @@
             is_poison = arrival.fingerprint == "poison"
             verdict = fleet.quarantine.verdict(arrival.fingerprint, now=now)
             if verdict is not None and not plain:
-                seen.n_refused += not is_poison
+                totals.n_refused += not is_poison
                 continue
             target = router.choose(arrival, tried=tried, now=now)
             if target is None and router.must_wait_for_suspects(arrival, now=now):
                 retries.append((now + 0.1, number, arrival, tried))
                 continue
             if target is None:
-                seen.n_failed += not is_poison
+                totals.n_failed += not is_poison
                 continue
             serial += 1
             router.started(target, fingerprint=arrival.fingerprint, now=now)
@@ -165,45 +186,45 @@
             running[str(serial)] = (number, arrival, target, ends_at, len(tried))
             if not is_poison:
                 continue
-            seen.n_crashes += 1
+            totals.n_crashes += 1
             dead_until[target.name] = now + 20.0
             broken = [k for k, one in running.items() if one[2].name == target.name]
             lost = [running.pop(key) for key in broken]
-            for number_of, fleet_of in enumerate(fleets):
-                here = {o[1].fingerprint for o in lost if o[0] == number_of}
-                for one in (one for one in lost if one[0] == number_of):
+            for host_index, host_fleet in enumerate(fleets):
+                here = {o[1].fingerprint for o in lost if o[0] == host_index}
+                for one in (one for one in lost if one[0] == host_index):
                     error = RyeleverError(
                         "broke", category=Category.BROKEN, step="generate"
                     )
-                    fleet_of.feedback.failed(
+                    host_fleet.feedback.failed(
                         one[2], error, refused=False, in_flight=here, now=now
                     )
-                    routers[number_of].ended(
+                    routers[host_index].ended(
                         one[2],
                         failed=True,
                         fingerprint=one[1].fingerprint,
                         now=now,
                     )
                     if one[4] < 4:
-                        retry = (now + 0.1, number_of, one[1], (target.name,))
+                        retry = (now + 0.1, host_index, one[1], (target.name,))
                         retries.append(retry)
                     else:
-                        seen.n_failed += one[1].fingerprint != "poison"
-    return seen
+                        totals.n_failed += one[1].fingerprint != "poison"
+    return totals
 
 
 def _exchange(fleets: list[FakeFleet], *, now: float) -> None:
-    for number, teller in enumerate(fleets):
-        rows = teller.quarantine.observations(now=now)
+    for number, sender in enumerate(fleets):
+        rows = sender.quarantine.observations(now=now)
         for fleet in fleets:
-            for row in rows if fleet is not teller else ():
+            for row in rows if fleet is not sender else ():
                 fleet.quarantine.observed(
                     row, peer=f"entry-{number}", observed_at=now, now=now
                 )
 
 
 def _print_poison() -> None:
-    print("poison request, ten entry hosts, caller resends ten times in 10 s")
+    print("poison request, ten entry hosts, caller sends it ten times in 10 s")
     print(
         f"{'':<40}{'crashes each seed':<20}{'bystanders':>10}{'lost':>6}{'refused':>8}"
     )
@@ -214,7 +235,7 @@
                 poison(plain=plain, n_groups=n_groups, n_streams=n_streams, seed=seed)
                 for seed in seeds
             ]
-            name = "always three" if plain else "quarantine"
+            name = "three retries" if plain else "quarantine"
             label = f"{n_groups} groups, {n_streams} streams, {name}"
             crashes = " ".join(str(run.n_crashes) for run in runs)
             n_bystanders = sum(run.n_bystanders for run in runs)
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,6 +1,8 @@
-"""Measure routing against round robin in the same run; prints a table.
+"""Compare the product's routing with round robin and other routers.
 
-Run ``python -m benchmarks.routing``; every seed is fixed and printed.
+Prints times to the first token, cache hits and attempts by router and scenario, and the
+processor time of routing.  Run ``python -m benchmarks.routing``.  All seeds are fixed
+and printed.
 """
 
 from __future__ import annotations
@@ -28,13 +30,31 @@
 SEEDS = (11, 12)
 ZONES = {"a": 12, "b": 12}
 N_ENTRY_HOSTS = 4
+
+#: Requests a second over all entry hosts.
 RATE = 200.0
+
+#: Seconds without a first token after which a hedged request is sent to a second group.
 HEDGE_AFTER = 0.6
 
 
 @dataclass(slots=True, kw_only=True)
 class Scenario:
-    """Hold what goes wrong, and which trial is switched on."""
+    """Load and conditions of one run.
+
+    Attributes
+    ----------
+    straggler : bool
+        Slow one engine down after the warm-up.
+    skewed : bool
+        Send three of four requests through the entry hosts of one zone.
+    hedge : bool
+        Send a request to a second group if its first token is late.
+    share : bool
+        Let identical requests in flight share one answer.
+    rate : float
+        Requests a second over all entry hosts.
+    """
 
     straggler: bool = False
     skewed: bool = False
@@ -44,8 +64,18 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Figures:
-    """Hold what one run showed."""
+class RunResults:
+    """Results of one run after the warm-up.
+
+    Attributes
+    ----------
+    first : list of float
+        Seconds from arrival to the first token.
+    n_blocks, n_cached : int
+        Prompt blocks in all, and blocks found in the engines' prefix caches.
+    n_shared : int
+        Requests answered by an identical request in flight.
+    """
 
     first: list[float] = field(default_factory=list)
     n_blocks: int = 0
@@ -68,8 +98,8 @@
 }
 
 
-class Run:
-    """Send one workload through entry hosts that route alike."""
+class Simulation:
+    """Send one workload through entry hosts that all use the same kind of router."""
 
     def __init__(self, *, router: str, scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
@@ -81,19 +111,19 @@
             for number, (_, fleet) in enumerate(self.fleets)
         ]
         self.workload = Workload(seed=seed)
-        self.figures = Figures()
-        self.leaders: dict[str, list[float]] = {}
+        self.results = RunResults()
+        self.followers_by_fingerprint: dict[str, list[float]] = {}
 
-    def figures_of_run(self) -> Figures:
-        """Run and return the figures after the warm-up."""
+    def simulate(self) -> RunResults:
+        """Simulate the run and return the results after the warm-up."""
         self.driver.at(0.0, self._report)
         self.driver.at(0.01, self._arrive)
         if self.scenario.straggler:
-            self.driver.at(WARM_UP, self._slow_down)
+            self.driver.at(WARM_UP, self._slow_engine_down)
         self.driver.run(DURATION)
-        return self.figures
+        return self.results
 
-    def _slow_down(self) -> None:
+    def _slow_engine_down(self) -> None:
         self.driver.engines_by_name["a-3"].slowness = 6.0
 
     def _report(self) -> None:
@@ -109,8 +139,8 @@
                 )
                 if not now:
                     fleet.report(f"{name}-0", asked_at=now, running=running)
-        for peer, teller in self.fleets:
-            rows = teller.loads.observations(now=now)
+        for peer, sender in self.fleets:
+            rows = sender.loads.observations(now=now)
             for host, fleet in self.fleets:
                 for row in rows if host != peer else ():
                     fleet.loads.observed(row, peer=peer, observed_at=now, now=now)
@@ -122,19 +152,19 @@
             now + self.driver.random.expovariate(self.scenario.rate), self._arrive
         )
         blocks, n_tokens, repeats = self.workload.draw()
-        number = self.figures.n_requests
+        number = self.results.n_requests
         arrival = prompt(blocks, number=number, now=now)
-        # Skewed: three of four requests come in through one zone's entry hosts.
+        # Skewed: three of four requests arrive at the entry hosts of one zone.
         at = self.driver.random.randrange(N_ENTRY_HOSTS)
         if self.scenario.skewed and self.driver.random.random() < 0.5:
             at = 2 * (at // 2)
         if now >= WARM_UP:
-            self.figures.n_requests += 1
-        if self.scenario.share and arrival.fingerprint in self.leaders:
-            self.figures.n_shared += now >= WARM_UP
-            self.leaders[arrival.fingerprint].append(now)
+            self.results.n_requests += 1
+        if self.scenario.share and arrival.fingerprint in self.followers_by_fingerprint:
+            self.results.n_shared += now >= WARM_UP
+            self.followers_by_fingerprint[arrival.fingerprint].append(now)
             return
-        self.leaders[arrival.fingerprint] = []
+        self.followers_by_fingerprint[arrival.fingerprint] = []
         self._request(at, arrival, blocks, n_tokens)
 
     def _request(
@@ -167,7 +197,7 @@
                 sent_at=now,
             )
             open_jobs.append((job, target))
-            self.figures.n_attempts += now >= WARM_UP
+            self.results.n_attempts += now >= WARM_UP
             self.driver.send(job, target.name)
 
         send(())
@@ -187,9 +217,9 @@
             target, seconds=now - job.sent_at, now=now
         )
         if job.arrival.arrived_at >= WARM_UP:
-            self.figures.first.append(now - job.arrival.arrived_at)
-            self.figures.n_blocks += len(job.blocks)
-            self.figures.n_cached += job.n_cached
+            self.results.first.append(now - job.arrival.arrived_at)
+            self.results.n_blocks += len(job.blocks)
+            self.results.n_cached += job.n_cached
 
     def _end(self, at: int, job: Job, target) -> None:
         now = self.driver.now
@@ -200,14 +230,14 @@
             now=now,
         )
         self.routers[at].ended(target, failed=False, now=now)
-        for joined_at in self.leaders.pop(job.arrival.fingerprint, ()):
-            # Who joins late has the tokens so far at once.
-            self.figures.first.append(max(0.0, job.first_at - joined_at))
+        for joined_at in self.followers_by_fingerprint.pop(job.arrival.fingerprint, ()):
+            # A request that joins late gets the tokens generated so far at once.
+            self.results.first.append(max(0.0, job.first_at - joined_at))
 
 
-def _line(label: str, router: str, scenario: Scenario) -> str:
+def _table_line(label: str, router: str, scenario: Scenario) -> str:
     runs = [
-        Run(router=router, scenario=scenario, seed=seed).figures_of_run()
+        Simulation(router=router, scenario=scenario, seed=seed).simulate()
         for seed in SEEDS
     ]
     columns = []
@@ -220,10 +250,10 @@
     return f"{label:<46}{' '.join(columns)} {hits:8.3f} {extra:8.3f}{n_shared:>7}"
 
 
-def _print_waiting() -> None:
-    print(f"seeds {SEEDS}; mean over them; first token in s")
+def _print_first_token_times() -> None:
+    print(f"seeds {SEEDS}; median over them; seconds to the first token")
     print(
-        f"{'':<46}{'p50':>7} {'p95':>7} {'p99':>7} {'hits':>8} {'att/req':>8}"
+        f"{'':<46}{'p50':>7} {'p95':>7} {'p99':>7} {'cached':>8} {'att/req':>8}"
         f"{'shared':>7}"
     )
     scenarios = {
@@ -234,7 +264,7 @@
     }
     for name, scenario in scenarios.items():
         for router in ROUTERS:
-            print(_line(f"{name}: {router}", router, scenario), flush=True)
+            print(_table_line(f"{name}: {router}", router, scenario), flush=True)
     trials = {
         "even, 200/s: affinity, hedging": Scenario(hedge=True),
         "crowded, 260/s: affinity, hedging": Scenario(rate=260.0, hedge=True),
@@ -245,7 +275,7 @@
         "crowded, 260/s: affinity, sharing in flight": Scenario(rate=260.0, share=True),
     }
     for name, scenario in trials.items():
-        print(_line(name, "affinity", scenario), flush=True)
+        print(_table_line(name, "affinity", scenario), flush=True)
 
 
 def _seconds_per_choice(router, n_choices: int) -> float:
@@ -265,8 +295,8 @@
     return (time.process_time() - begin) / n_choices
 
 
-def _print_cost() -> None:
-    print("processor time of choose, started and ended, groups of 4 in one zone")
+def _print_routing_cost() -> None:
+    print("processor time to route one request, groups of 4 hosts in one zone")
     for n_groups in (10, 100, 800):
         fleet = FakeFleet(zones={"a": n_groups}, members=4)
         fleet.report_all(asked_at=0.0)
@@ -280,7 +310,7 @@
 
 
 def _print_capacity_cost() -> None:
-    print("processor time of a look at the capacity, groups of 4 in one zone")
+    print("processor time to compute the capacity, groups of 4 hosts in one zone")
     for n_groups in (10, 100, 800):
         fleet = FakeFleet(zones={"a": n_groups}, members=4)
         fleet.report_all(asked_at=0.0)
@@ -295,13 +325,14 @@
         capacity.slots(arrival, n_in_flight=0, now=0.0)
         begin = time.process_time()
         for number in range(1, 17):
-            # Further apart than a look is kept: each one is taken anew.
+            # The times lie further apart than GroupCapacity keeps a result: each call
+            # computes the capacity again.
             capacity.slots(arrival, n_in_flight=0, now=number * 0.11)
         seconds = (time.process_time() - begin) / 16
         print(f"{n_groups:>4} groups {seconds * 1e6:8.1f} us")
 
 
 if __name__ == "__main__":
-    _print_cost()
+    _print_routing_cost()
     _print_capacity_cost()
-    _print_waiting()
+    _print_first_token_times()
--- a/benchmarks/routing_driver.py
+++ b/benchmarks/routing_driver.py
@@ -1,4 +1,4 @@
-"""Drive routers over model engines that exist as queues in memory only."""
+"""Simulate engines, prompts and entry hosts for routing benchmarks."""
 
 from __future__ import annotations
 
@@ -12,19 +12,28 @@
 from benchmarks.routing_fleet import FakeFleet, chat
 from ryelever.coordination.actions import Arrival
 
+#: Characters of one prompt block, the unit of prefix caching.
 BLOCK = 256
+
+#: Requests that one engine runs at a time, and blocks that its cache holds.
 MAX_RUNNING = 16
 MAX_CACHED_BLOCKS = 400
+
+#: Seconds to prefill one block that isn't cached, and between two tokens if idle.
 PREFILL_OF_BLOCK = 0.010
 TOKEN_GAP = 0.012
+
+#: Seconds until an entry host has an engine's report.
 REPORT_LAG = 0.3
+
+#: Seconds of a run, and of its start, which isn't counted.
 DURATION = 30.0
 WARM_UP = 10.0
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Job:
-    """Hold one attempt at an engine."""
+    """One attempt at an engine, with callbacks for its first token and its end."""
 
     arrival: Arrival
     blocks: tuple[int, ...]
@@ -39,7 +48,10 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Engine:
-    """Batch requests and cache prefixes; ``slowness`` multiplies all times."""
+    """Simulated engine that batches requests and caches prompt prefixes.
+
+    ``slowness`` multiplies the times of prefill and decoding.
+    """
 
     name: str
     slowness: float = 1.0
@@ -49,7 +61,7 @@
     cache: OrderedDict[tuple[int, int], None] = field(default_factory=OrderedDict)
 
     def look_up(self, blocks: tuple[int, ...]) -> int:
-        """Return how many leading blocks are cached, and cache all of them."""
+        """Return the number of leading blocks in the cache, and cache all blocks."""
         prefixes = [(index, hash(blocks[: index + 1])) for index in range(len(blocks))]
         n_cached = 0
         for prefix in prefixes:
@@ -65,7 +77,7 @@
 
 
 class Driver:
-    """Run engines and callers by one heap of timed calls."""
+    """Simulate engines with one queue of timed callbacks."""
 
     def __init__(self, *, names: list[str], seed: int) -> None:
         self.now = 0.0
@@ -75,23 +87,23 @@
         self._order = itertools.count()
 
     def at(self, when: float, call: Callable[[], None]) -> None:
-        """Call later."""
+        """Schedule a callback for a time in seconds."""
         heapq.heappush(self._heap, (when, next(self._order), call))
 
     def run(self, until: float) -> None:
-        """Run all that falls before a time."""
+        """Run the callbacks that are due before a time."""
         while self._heap and self._heap[0][0] < until:
             self.now, _, call = heapq.heappop(self._heap)
             call()
 
     def send(self, job: Job, name: str) -> None:
-        """Hand an attempt to an engine."""
+        """Queue an attempt at an engine."""
         engine = self.engines_by_name[name]
         engine.waiting.append(job)
         self._fill(engine)
 
     def cancel(self, job: Job, name: str) -> None:
-        """Stop an attempt."""
+        """Cancel an attempt and free its slot at the engine."""
         job.is_cancelled = True
         engine = self.engines_by_name[name]
         engine.running.discard(job)
@@ -128,48 +140,48 @@
 
 
 class Workload:
-    """Draw prompts: system prompts shared by many, conversations that grow."""
+    """Draw random prompts: shared system prompts, conversations and short prompts."""
 
     def __init__(self, *, seed: int, share_identical: float = 0.02) -> None:
         self._random = random.Random(seed)
         self._share_identical = share_identical
         self._conversations: list[list[int]] = []
-        self._last: tuple[int, ...] = (0,)
+        self._last_blocks: tuple[int, ...] = (0,)
         self._weights = [1.0 / (rank + 1) for rank in range(40)]
 
     def draw(self) -> tuple[tuple[int, ...], int, bool]:
-        """Return blocks, tokens to generate, and whether it repeats the last."""
+        """Return prompt blocks, tokens to generate, and whether the prompt repeats."""
         draw = self._random.random()
         n_tokens = self._random.randint(20, 90)
         if draw < self._share_identical:
-            return self._last, n_tokens, True
+            return self._last_blocks, n_tokens, True
         if draw < 0.2:
             blocks = ()
         elif draw < 0.6 and self._conversations:
             conversation = self._random.choice(self._conversations[-400:])
-            conversation += self._fresh(2)
+            conversation += self._new_blocks(2)
             blocks = tuple(conversation)
         else:
             system = self._random.choices(range(40), self._weights)[0]
             conversation = [system * 3, system * 3 + 1, system * 3 + 2]
-            conversation += self._fresh(2)
+            conversation += self._new_blocks(2)
             self._conversations.append(conversation)
             blocks = tuple(conversation)
-        self._last = blocks
+        self._last_blocks = blocks
         return blocks, n_tokens, False
 
-    def _fresh(self, n_blocks: int) -> list[int]:
+    def _new_blocks(self, n_blocks: int) -> list[int]:
         return [self._random.getrandbits(40) + 1000 for _ in range(n_blocks)]
 
 
 def prompt(blocks: tuple[int, ...], *, number: int, now: float) -> Arrival:
-    """Return a request whose text has one marked stretch for each block."""
+    """Return a chat request whose text consists of the given blocks."""
     text = "".join(f"{block:>{BLOCK}}" for block in blocks) or f"short {number}"
     return chat(text, now=now)
 
 
 def entry_fleets(zones: dict[str, int], *, n_hosts: int) -> list[tuple[str, FakeFleet]]:
-    """Return what each entry host knows; they are spread over the zones."""
+    """Return name and fleet state of each entry host, spread over the zones."""
     fleets = []
     names = list(zones)
     for number in range(n_hosts):
--- a/benchmarks/routing_fleet.py
+++ b/benchmarks/routing_fleet.py
@@ -1,4 +1,4 @@
-"""Build the folds and reports of a fleet in memory, for benchmarks and tests."""
+"""Build an entry host's view of a fleet in memory, for benchmarks and tests."""
 
 from __future__ import annotations
 
@@ -22,12 +22,18 @@
 
 
 class FakeFleet:
-    """Hold what an entry host knows of a fleet of groups and services.
+    """State of one entry host that follows a fleet of groups and services.
 
     Parameters
     ----------
     zones : dict of str to int
-        Groups in each availability zone; the first zone is the entry host's own.
+        Number of groups in each availability zone; the first zone is the entry host's.
+    members : int
+        Hosts of each group.
+    services : tuple of tuple of str
+        Host and availability zone of each plain service.
+    settle : float
+        Minimum seconds between a second crash and the verdict of the quarantine.
     """
 
     def __init__(
@@ -137,7 +143,7 @@
         running: int = 0,
         waiting: int = 0,
     ) -> None:
-        """Take a host's report of itself."""
+        """Record a host's report about itself, as polled at a time."""
         name, _, rank = host.rpartition("-")
         zone = name.rpartition("-")[0]
         group = self.placements_by_zone[zone].groups_by_name[name]
@@ -154,13 +160,13 @@
         self.confirmations.reported(report, asked_at=asked_at)
 
     def report_all(self, *, asked_at: float) -> None:
-        """Take a report of every engine."""
+        """Record a report of every engine, as polled at a time."""
         for host, listed in self.hosts_by_name.items():
             if listed.kind == "engine":
                 self.report(host, asked_at=asked_at)
 
     def relist(self, host: str, *, state: str) -> None:
-        """Let the platform's list name another state."""
+        """Change the state of a host in the platform's hosts list."""
         old = self.hosts_by_name[host]
         self.hosts_by_name[host] = ListedHost(
             host=host,
@@ -173,7 +179,7 @@
         )
 
     def target(self, name: str) -> Target:
-        """Return a group's target, whole or not."""
+        """Return the target of a group, whether the group is complete or not."""
         zone = name.rpartition("-")[0]
         group = self.placements_by_zone[zone].groups_by_name[name]
         address = self.hosts_by_name[group.members[0]].address
@@ -185,7 +191,7 @@
 def chat(
     text: str = "hello", *, adapter: str = "", fingerprint: str = "", now: float = 0.0
 ) -> Arrival:
-    """Return a chat request."""
+    """Return a chat request of one message."""
     return Arrival(
         request_id="request",
         client_account="account",
--- a/benchmarks/routing_trials.py
+++ b/benchmarks/routing_trials.py
@@ -1,4 +1,4 @@
-"""Try other ways to route; none of these is in the product."""
+"""Provide alternative routers for comparison; the product uses none of them."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from ryelever.coordination.actions import Arrival, Target
 from ryelever.coordination.routing.affinity import prefix_key
 
-EVENT_LAG = 2.0
-EVENT_LOSS = 0.2
+CACHE_EVENT_LAG = 2.0
+CACHE_EVENT_LOSS = 0.2
 
 
 class RoundRobinRouter:
-    """Send to one after the other: the plain policy."""
+    """Choose the targets in turn."""
 
     def __init__(self, *, fleet: FakeFleet) -> None:
         self._fleet = fleet
@@ -24,7 +24,7 @@
     def choose(
         self, arrival: Arrival, *, tried: tuple[str, ...], now: float
     ) -> Target | None:
-        """Return the next target."""
+        """Return the next target that was not tried, if any."""
         targets = self._fleet.targets.for_arrival(arrival, now)
         left = [target for target in targets if target.name not in tried]
         if not left:
@@ -33,26 +33,26 @@
         return left[self._number % len(left)]
 
     def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
-        """Keep nobody apart."""
+        """Return False: this router treats suspects like any other request."""
         return False
 
     def is_lost(self, target: Target, arrival: Arrival, *, now: float) -> bool:
-        """Wait for the attempt to fail."""
+        """Return False: an attempt is lost only when it fails."""
         return False
 
     def started(self, target: Target, *, fingerprint: str = "", now: float) -> None:
-        """Do nothing."""
+        """Ignore the attempt."""
 
     def ended(
         self, target: Target, *, failed: bool, fingerprint: str = "", now: float
     ) -> None:
-        """Do nothing."""
+        """Ignore the attempt."""
 
 
 class ScoredRouter:
-    """Order by a score of latency and failures, as eRPC does with its upstreams.
+    """Order targets by a score of latency and failures, as eRPC does with upstreams.
 
-    The best by score gets the request; scores are taken anew each second.
+    The target with the best score gets the request.  Scores are computed once a second.
     """
 
     def __init__(self, *, fleet: FakeFleet) -> None:
@@ -63,7 +63,7 @@
     def choose(
         self, arrival: Arrival, *, tried: tuple[str, ...], now: float
     ) -> Target | None:
-        """Return the usable target with the best score."""
+        """Return the target with the best score that was not tried, if any."""
         targets = self._fleet.targets.for_arrival(arrival, now)
         records = self._fleet.stragglers._records_by_name
         if now - self._scored_at >= 1.0:
@@ -83,26 +83,27 @@
         return None
 
     def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
-        """Keep nobody apart."""
+        """Return False: this router treats suspects like any other request."""
         return False
 
     def is_lost(self, target: Target, arrival: Arrival, *, now: float) -> bool:
-        """Wait for the attempt to fail."""
+        """Return False: an attempt is lost only when it fails."""
         return False
 
     def started(self, target: Target, *, fingerprint: str = "", now: float) -> None:
-        """Do nothing."""
+        """Ignore the attempt."""
 
     def ended(
         self, target: Target, *, failed: bool, fingerprint: str = "", now: float
     ) -> None:
-        """Do nothing."""
+        """Ignore the attempt."""
 
 
 class HintedRouter:
-    """Prefer where cache events say that the prefix is, else the plain affinity.
+    """Prefer the target whose cache holds the prefix according to cache events.
 
-    Events come 2 s late, and a fifth of them never; the load bound is the same.
+    Cache events arrive 2 s late, and a fifth of them are lost.  Without an event, or if
+    the hinted target exceeds the load bound, the affinity router's choice is used.
     """
 
     def __init__(self, *, fleet: FakeFleet, driver: Driver, seed: int) -> None:
@@ -110,35 +111,38 @@
         self._fleet = fleet
         self._driver = driver
         self._random = random.Random(seed)
-        self._places_by_key: OrderedDict[int, str] = OrderedDict()
+        self._target_by_key: OrderedDict[int, str] = OrderedDict()
 
     def choose(
         self, arrival: Arrival, *, tried: tuple[str, ...], now: float
     ) -> Target | None:
-        """Return the hinted target while it is not much busier than the other."""
-        plain = self._router.choose(arrival, tried=tried, now=now)
-        if plain is None:
+        """Return the hinted target unless it is much busier than the default."""
+        default = self._router.choose(arrival, tried=tried, now=now)
+        if default is None:
             return None
         keys = self._keys(arrival)
-        known = [key for key in keys if key in self._places_by_key]
-        hinted = self._places_by_key[known[-1]] if known else None
-        chosen = plain
+        known = [key for key in keys if key in self._target_by_key]
+        hinted = self._target_by_key[known[-1]] if known else None
+        chosen = default
         if hinted is not None and hinted not in tried:
             found = self._fleet.targets.candidates(arrival.work, now=now)
             by_name = {one.name: one for one in found.own_zone}
-            if hinted in by_name and plain.name in by_name:
+            if hinted in by_name and default.name in by_name:
                 loads = self._fleet.loads
-                other = loads.estimate(by_name[plain.name], now=now)
+                other = loads.estimate(by_name[default.name], now=now)
                 busy = loads.estimate(by_name[hinted], now=now) > 1.25 * other + 2
                 target = self._fleet.targets.target(by_name[hinted], now=now)
                 if not busy and target is not None:
                     chosen = target
-        if keys and self._random.random() > EVENT_LOSS:
-            self._driver.at(now + EVENT_LAG, lambda: self._event(keys[-1], chosen.name))
+        if keys and self._random.random() > CACHE_EVENT_LOSS:
+            self._driver.at(
+                now + CACHE_EVENT_LAG,
+                lambda: self._record_cache_event(keys[-1], chosen.name),
+            )
         return chosen
 
     def _keys(self, arrival: Arrival) -> list[int]:
-        """Return the keys of the whole leading blocks, the shortest first."""
+        """Return the keys of all prefixes of complete blocks, the shortest first."""
         keys: list[int] = []
         for n_blocks in range(1, 33):
             key = prefix_key(arrival.work, n_blocks=n_blocks)
@@ -147,25 +151,25 @@
             keys.append(key)
         return keys
 
-    def _event(self, key: int, name: str) -> None:
-        self._places_by_key[key] = name
-        if len(self._places_by_key) > 4096:
-            self._places_by_key.popitem(last=False)
+    def _record_cache_event(self, key: int, name: str) -> None:
+        self._target_by_key[key] = name
+        if len(self._target_by_key) > 4096:
+            self._target_by_key.popitem(last=False)
 
     def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
-        """Ask the router behind."""
+        """Return the answer of the affinity router."""
         return self._router.must_wait_for_suspects(arrival, now=now)
 
     def is_lost(self, target: Target, arrival: Arrival, *, now: float) -> bool:
-        """Wait for the attempt to fail."""
+        """Return False: an attempt is lost only when it fails."""
         return False
 
     def started(self, target: Target, *, fingerprint: str = "", now: float) -> None:
-        """Count the attempt."""
+        """Count the attempt as in flight."""
         self._router.started(target, fingerprint=fingerprint, now=now)
 
     def ended(
         self, target: Target, *, failed: bool, fingerprint: str = "", now: float
     ) -> None:
-        """Count the attempt no more."""
+        """Stop counting the attempt as in flight."""
         self._router.ended(target, failed=failed, fingerprint=fingerprint, now=now)
