--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,9 +1,10 @@
-"""Measure how the cost of each role grows, and work it out at the size to design for.
+"""Measure how the cost of each role grows, and compute its cost at the design size.
 
-Each role is measured at three sizes or more, in this process with the product's own
-code, or with real processes where sockets are what costs.  A line is fitted by least
-squares; the table gives the figures, the line, how far the worst figure lies from it,
-and the figure at the size to design for.  docs/CAPACITY.md quotes it:
+Each role is measured at three sizes or more: in this process with the product's own
+code, or with real processes where sockets cause the cost.  A line is fitted to the
+figures by least squares.  The table lists the figures, the line, the largest deviation
+from the line, and the figure at the design size, for which the system is built.
+docs/CAPACITY.md quotes the table::
 
     .venv/bin/python -m benchmarks.slopes
 """
@@ -52,7 +53,7 @@
 
 
 def requests(sizes: Sequence[int], seed: int) -> Iterator[Slope]:
-    """Take streams through the request table; x: tokens a stream."""
+    """Measure streams in the request table; x: tokens of a stream, or requests."""
 
     def one(n_tokens: int) -> float:
         driver = request_table._Driver()
@@ -73,20 +74,20 @@
         role="caller front: request table",
         what="ms a stream, by tokens",
         unit="ms a stream",
-        n_at=per_second,
+        design_size=per_second,
         points=points,
     )
     yield Slope(
         role="caller front: request table",
         what="KB, by requests in flight",
         unit="KB",
-        n_at=N_STREAMS,
+        design_size=N_STREAMS,
         points=[(n, waiting(n)) for n in sizes],
     )
 
 
 def router(sizes: Sequence[int], seed: int) -> Iterator[Slope]:
-    """Choose a target; x: groups of 4 hosts."""
+    """Measure the choice of a target; x: groups of 4 hosts."""
 
     def choose(n_groups: int) -> float:
         fleet = FakeFleet(zones={"a": n_groups}, members=4)
@@ -111,82 +112,84 @@
         role="router",
         what="us a choice, by groups followed",
         unit="us",
-        n_at=N_GROUPS,
+        design_size=N_GROUPS,
         points=[(n, choose(n)) for n in sizes],
     )
     yield Slope(
         role="router",
         what="KB of placement, list, reports and targets, by groups",
         unit="KB",
-        n_at=N_GROUPS,
+        design_size=N_GROUPS,
         points=[(n, kb(lambda n=n: build(n))) for n in sizes],
     )
 
 
 def admit(sizes: Sequence[int], seed: int) -> Iterator[Slope]:
-    """Admit, grant and release; compute the parts of limits."""
+    """Measure admission and the sharing of limits; x: waiting requests, or hosts."""
     yield Slope(
         role="admission",
         what="us a request, by requests waiting",
         unit="us",
-        n_at=500,
+        design_size=500,
         points=[(n, admission._cost(10, n, 500) * 1e6) for n in sizes],
     )
 
     def limits(n_peers: int) -> AccountLimits:
-        made = AccountLimits(n_hosts=lambda: n_peers + 1)
+        account_limits = AccountLimits(n_hosts=lambda: n_peers + 1)
         for peer in range(n_peers):
             for account in range(N_ACCOUNTS):
                 name = f"account-{account}"
                 row = DemandRow(client_account=name, rate=1, n_in_flight=1, n_waiting=0)
-                made.observed(row, peer=f"e{peer}", observed_at=0.0, now=0.0)
-        return made
+                account_limits.observed(row, peer=f"e{peer}", observed_at=0.0, now=0.0)
+        return account_limits
 
     def parts(n_peers: int) -> float:
-        made = limits(n_peers)
+        account_limits = limits(n_peers)
         now = [0.0]
 
-        def look() -> None:
+        def compute_shares() -> None:
             now[0] += 0.25
             for account in range(N_ACCOUNTS):
-                made.rate(f"account-{account}", 400.0, now=min(now[0], 2.9))
+                account_limits.rate(f"account-{account}", 400.0, now=min(now[0], 2.9))
 
-        return ms(look, n_times=3)
+        return ms(compute_shares, n_times=3)
 
     yield Slope(
         role="admission: limits",
-        what=f"ms for the parts of {N_ACCOUNTS} accounts, by hosts heard",
+        what=f"ms for the shares of {N_ACCOUNTS} accounts, by hosts that report",
         unit="ms, at most 4 times a second",
-        n_at=ZONE_NODES + N_ZONES - 2,
+        design_size=ZONE_NODES + N_ZONES - 2,
         points=[(n, parts(n)) for n in sizes],
     )
     yield Slope(
         role="admission: limits",
-        what=f"KB for {N_ACCOUNTS} accounts, by hosts heard",
+        what=f"KB for {N_ACCOUNTS} accounts, by hosts that report",
         unit="KB",
-        n_at=ZONE_NODES + N_ZONES - 2,
+        design_size=ZONE_NODES + N_ZONES - 2,
         points=[(n, kb(lambda n=n: limits(n))) for n in sizes],
     )
 
 
 def planner(sizes: Sequence[int], seed: int) -> Iterator[Slope]:
-    """Let a planner look at its zone; x: hosts in the zone."""
+    """Measure the planner's tick; x: hosts in the zone."""
     yield Slope(
         role="planner",
-        what="ms a look (median), by hosts in the zone",
+        what="ms a tick (median), by hosts in the zone",
         unit="ms, 5 times a second",
-        n_at=ZONE_WORKERS,
+        design_size=ZONE_WORKERS,
         points=[(n, statistics.median(day_of_faults.tick_times(n, 60))) for n in sizes],
     )
 
 
 def log_reader(sizes: Sequence[int], seed: int) -> Iterator[Slope]:
-    """Decode and fold pages; x: records."""
-    yield from _folding("claims", CLAIMS / N_PARTITIONS * 2 * 600, sizes)
-    yield from _folding("placement", 1800, sizes)
+    """Measure decoding and folding of log pages; x: records."""
+    yield from _measure_folding("claims", CLAIMS / N_PARTITIONS * 2 * 600, sizes)
+    yield from _measure_folding("placement", 1800, sizes)
 
 
-def _folding(name: str, n_at: float, sizes: Sequence[int]) -> Iterator[Slope]:
+def _measure_folding(
+    name: str, design_size: float, sizes: Sequence[int]
+) -> Iterator[Slope]:
     fold_class, records = fold.KINDS[name]
     pages = {n: fold._encode_page(records(n), n) for n in sizes}
 
@@ -204,13 +207,13 @@
             role=f"log reader: {name}",
             what=f"{what}, by records",
             unit=unit,
-            n_at=n_at,
+            design_size=design_size,
             points=[(n, measure(n)) for n in sizes],
         )
 
 
 def claims(sizes: Sequence[int], seed: int) -> Iterator[Slope]:
-    """Append all claims and outcomes from some hosts; x: hosts that append."""
+    """Measure appends of all claims and outcomes; x: hosts that append."""
     seconds, append_time = 20.0, 0.02
     figures: dict[str, Points] = {}
     for n_hosts in sizes:
@@ -219,7 +222,7 @@
         log_writer._drive(run, seconds)
         delays = sorted(run.delays)
         for unit, value in (
-            ("appends/s in all", run.n_appends / seconds * n_hosts),
+            ("appends/s in total", run.n_appends / seconds * n_hosts),
             ("KB/s appended a host", run.n_bytes / seconds / 1e3),
             ("ms p50", delays[len(delays) // 2] * 1e3),
             ("ms p95", delays[int(len(delays) * 0.95)] * 1e3),
@@ -230,34 +233,39 @@
             role="log writer, claims",
             what=f"{unit}, by hosts that append",
             unit=unit,
-            n_at=N_CLAIM_HOSTS,
+            design_size=N_CLAIM_HOSTS,
             points=points,
         )
 
 
 def zone_peers(sizes: Sequence[int], seed: int) -> Iterator[Slope]:
-    """Exchange soft state inside one zone; x: entry hosts in it."""
+    """Measure the exchange of soft state in one zone; x: entry hosts in the zone."""
     hosts = [(n, 1, 10, n) for n in sizes]
-    yield from _peers(hosts, "hosts a zone", ZONE_NODES, seed, spreads=True)
+    yield from _measure_exchange(hosts, "hosts a zone", ZONE_NODES, seed, spreads=True)
 
 
 def foreign_peers(sizes: Sequence[int], seed: int) -> Iterator[Slope]:
-    """Exchange soft state between zones of 12 entry hosts; x: zones.
+    """Measure the exchange of soft state between zones of 12 entry hosts; x: zones.
 
-    The rate with other zones is bounded, so what four zones cost stands for more.
+    The rate of messages to other zones is bounded: the cost with four zones is also the
+    cost with more zones.
     """
-    yield from _peers([(12 * n, n, 10, n) for n in sizes], "zones of 12", 4, seed)
+    yield from _measure_exchange(
+        [(12 * n, n, 10, n) for n in sizes], "zones of 12", 4, seed
+    )
 
 
 def accounts(sizes: Sequence[int], seed: int) -> Iterator[Slope]:
-    """Exchange soft state in a zone of 16 hosts; x: accounts that move at each."""
-    yield from _peers([(16, 1, n, n) for n in sizes], "accounts", N_ACCOUNTS, seed)
+    """Measure soft state in a zone of 16 hosts; x: accounts with changing demand."""
+    yield from _measure_exchange(
+        [(16, 1, n, n) for n in sizes], "accounts", N_ACCOUNTS, seed
+    )
 
 
-def _peers(
+def _measure_exchange(
     sizes: list[tuple[int, int, int, int]],
     by: str,
-    n_at: float,
+    design_size: float,
     seed: int,
     *,
     spreads: bool = False,
@@ -283,12 +291,12 @@
             role="soft state",
             what=f"{name}, by {by}",
             unit="s" if name == "version worst" else name,
-            n_at=n_at,
+            design_size=design_size,
             points=points,
         )
 
 
-#: Sizes of each role, in full and for a quick run.
+#: Sizes of each role, for a full and for a quick run.
 ROLES = {
     requests: ((50, 100, 200, 400), (10, 20, 40)),
     router: ((10, 50, 100, 195), (4, 8, 12)),
@@ -314,21 +322,21 @@
 def main(
     *, seed: int = 1, seconds: float = 8.0, quick: bool = False, only: str = ""
 ) -> None:
-    """Print the table.
+    """Measure all roles and print the table.
 
     Parameters
     ----------
     seed : int
         Seed of all random choices.
     seconds : float
-        Length of each measurement with real processes.
+        Length of each measurement with real processes, in seconds.
     quick : bool
-        Take the smallest sizes, to see that everything runs.
+        Use small sizes, which only shows that all measurements run.
     only : str
-        Measure one role.
+        Name of the one role to measure; empty for all roles.
     """
-    print(f"seed {seed}; load average {os.getloadavg()[0]:.1f}; 3 rounds, least taken")
-    print("| role | what | figures | slope | at 0 | worst miss | at the size |")
+    print(f"seed {seed}; load average {os.getloadavg()[0]:.1f}; lowest of 3 rounds")
+    print("| role | what | figures | slope | at 0 | max deviation | at design size |")
     print("|---|---|---|---|---|---|---|")
     length = 0.5 if quick else seconds
     for role, sizes in ROLES.items():
@@ -340,7 +348,7 @@
         return list(role(PROCESS_ROLES[role][quick], seed, seconds=length))
 
     chosen = [role for role in PROCESS_ROLES if not only or role.__name__ == only]
-    # Side by side only where the figures don't matter.
+    # Roles run in parallel only in a quick run, whose figures don't matter.
     with ThreadPoolExecutor(len(PROCESS_ROLES) if quick else 1) as executor:
         for slopes in executor.map(run, chosen):
             for slope in slopes:
--- a/benchmarks/slopes_operators.py
+++ b/benchmarks/slopes_operators.py
@@ -1,4 +1,4 @@
-"""Measure what operators ask for: console, dump, metrics; and the list of hosts."""
+"""Measure the cost of the console, the state dump, metrics and the hosts list."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from .routing_fleet import FakeFleet
 from .slopes_fit import N_GROUPS, N_WORKERS, N_ZONES, Points, Slope, kb, ms
 
-#: Seconds for which the fleet in memory counts as having just reported.
+#: Maximum age of a report in seconds: the reports of the fleet never expire.
 FRESH = 1e6
 
 
 def _application(n_groups: int) -> Application:
-    """Return an entry host that knows groups of 4 hosts in 11 zones."""
+    """Return an entry host that follows groups of 4 hosts in 11 zones."""
     zones = [f"z{number}" for number in range(N_ZONES)]
     values = {
         "host": "e",
@@ -50,7 +50,7 @@
 
 
 def operators(sizes: Sequence[int], seed: int) -> Iterator[Slope]:
-    """Look at the fleet, dump the state, and compose the console's status page."""
+    """Measure fleet scans, state dumps and status pages; x: groups followed."""
     figures: dict[tuple[str, str, str], Points] = {}
     for n_groups in sizes:
         application = _application(n_groups)
@@ -58,10 +58,10 @@
         history._on_control_tick()
         status = application.console._status
         works = {
-            ("state dump", "ms a look", "ms, each second"): lambda a=application: (
+            ("state dump", "ms a scan", "ms, each second"): lambda a=application: (
                 a.dump._look(now=time.monotonic())
             ),
-            ("console", "ms a look at the fleet", "ms, each second"): (
+            ("console", "ms a scan of the fleet", "ms, each second"): (
                 history._on_control_tick
             ),
             ("console", "ms a status page", "ms"): lambda status=status: status.view(
@@ -85,11 +85,13 @@
         application.callers.unregister()
     for (role, what, unit), points in figures.items():
         what = f"{what}, by groups followed"
-        yield Slope(role=role, what=what, unit=unit, n_at=N_GROUPS, points=points)
+        yield Slope(
+            role=role, what=what, unit=unit, design_size=N_GROUPS, points=points
+        )
 
 
 def hosts_list(sizes: Sequence[int], seed: int) -> Iterator[Slope]:
-    """Decode the platform's list; x: hosts listed."""
+    """Measure decoding of the platform's hosts list; x: hosts listed."""
     bodies = {}
     for n_hosts in sizes:
         fleet = FakeFleet(zones={"availability-zone": n_hosts // 4}, members=4)
@@ -99,7 +101,7 @@
         role="hosts list",
         what="ms to decode, by hosts listed",
         unit="ms",
-        n_at=N_WORKERS,
+        design_size=N_WORKERS,
         points=[
             (n, ms(lambda body=body: read_hosts_list(body, peer="list"), n_times=5))
             for n, body in bodies.items()
@@ -109,13 +111,13 @@
         role="hosts list",
         what="KB an answer, by hosts listed",
         unit="KB",
-        n_at=N_WORKERS,
+        design_size=N_WORKERS,
         points=[(n, len(body) / 1e3) for n, body in bodies.items()],
     )
 
 
 def metrics(sizes: Sequence[int], seed: int) -> Iterator[Slope]:
-    """Render metrics; x: histograms."""
+    """Measure rendering of the metrics page; x: histograms."""
 
     def build(n_histograms: int) -> Metrics:
         made = Metrics()
@@ -132,6 +134,6 @@
             role="metrics",
             what=f"{what}, by histograms",
             unit=unit,
-            n_at=10,
+            design_size=10,
             points=[(n, measure(n)) for n in sizes],
         )
--- a/benchmarks/slopes_processes.py
+++ b/benchmarks/slopes_processes.py
@@ -1,4 +1,4 @@
-"""Measure with real processes the roles whose cost lies in sockets."""
+"""Measure the roles whose cost lies in sockets, with real processes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def front(sizes: Sequence[int], seed: int, *, seconds: float) -> Iterator[Slope]:
-    """Stream tokens through one entry host; x: tokens a second, streams."""
+    """Measure streams through one entry host; x: tokens a second, or streams."""
     cpu, memory = [], []
     with (
         tempfile.TemporaryDirectory() as directory,
@@ -42,14 +42,14 @@
         role="caller front",
         what="% of a core, by tokens/s",
         unit="%",
-        n_at=TOKENS,
+        design_size=TOKENS,
         points=cpu,
     )
     yield Slope(
         role="caller front",
         what="MB resident, by streams",
         unit="MB",
-        n_at=N_STREAMS,
+        design_size=N_STREAMS,
         points=memory,
     )
 
@@ -57,31 +57,33 @@
 async def _stream(load: speed.Load, n_streams: int, *, seconds: float) -> tuple:
     pid = load.entry.process.pid
     task = asyncio.ensure_future(
-        speed.many(load, n_streams=n_streams, seconds=seconds + 2)
+        speed.run_streams(load, n_streams=n_streams, seconds=seconds + 2)
     )
     await asyncio.sleep(1.5)
-    tokens = await asyncio.to_thread(speed.generated, load), time.monotonic()
+    tokens = await asyncio.to_thread(speed.n_generated_tokens, load), time.monotonic()
     spent = speed.cpu_seconds(pid), time.monotonic()
     await asyncio.sleep(seconds)
     cpu_rate = speed._rate(spent, speed.cpu_seconds(pid))
-    token_rate = speed._rate(tokens, await asyncio.to_thread(speed.generated, load))
+    token_rate = speed._rate(
+        tokens, await asyncio.to_thread(speed.n_generated_tokens, load)
+    )
     await task
     return token_rate, cpu_rate
 
 
 def control(sizes: Sequence[int], seed: int, *, seconds: float) -> Iterator[Slope]:
-    """Watch idle engines from 3 entry hosts; x: backend servers in the zone."""
+    """Measure 3 entry hosts that poll idle engines; x: backend servers in the zone."""
 
     def start(fleet: Fleet, n_hosts: int) -> None:
         control_cost._start(fleet, n_hosts=n_hosts, n_entries=3, stats=None)
 
-    yield from _idle(
+    yield from _measure_idle_host(
         "control in all", "backend servers", ZONE_WORKERS, sizes, start, seconds
     )
 
 
 def streams(sizes: Sequence[int], seed: int, *, seconds: float) -> Iterator[Slope]:
-    """Follow empty streams with nothing else to do; x: streams."""
+    """Measure an entry host that only follows empty streams; x: streams."""
 
     def start(fleet: Fleet, n_streams: int) -> None:
         fleet.start_platform()
@@ -89,12 +91,14 @@
         zone = zones[0]
         fleet.start_entry("e", zone=zone, availability_zones=zones, claims_partitions=1)
 
-    n_at = 1 + N_ZONES + 1
-    yield from _idle("log reader", "streams followed", n_at, sizes, start, seconds)
+    design_size = 1 + N_ZONES + 1
+    yield from _measure_idle_host(
+        "log reader", "streams followed", design_size, sizes, start, seconds
+    )
 
 
 def listing(sizes: Sequence[int], seed: int, *, seconds: float) -> Iterator[Slope]:
-    """Read the list of hosts with nothing else to do; x: hosts listed."""
+    """Measure an entry host that only reads the hosts list; x: hosts listed."""
 
     def start(fleet: Fleet, n_hosts: int) -> None:
         fleet.start_platform()
@@ -112,13 +116,15 @@
         fleet.publish_list()
         fleet.start_entry("e", zone="z", claims_partitions=1)
 
-    yield from _idle("hosts list", "hosts listed", N_WORKERS, sizes, start, seconds)
+    yield from _measure_idle_host(
+        "hosts list", "hosts listed", N_WORKERS, sizes, start, seconds
+    )
 
 
-def _idle(
+def _measure_idle_host(
     role: str,
     by: str,
-    n_at: float,
+    design_size: float,
     sizes: Sequence[int],
     start: Callable[[Fleet, int], None],
     seconds: float,
@@ -141,5 +147,9 @@
         ("MB resident", "MB", memory),
     ):
         yield Slope(
-            role=role, what=f"{what}, by {by}", unit=unit, n_at=n_at, points=points
+            role=role,
+            what=f"{what}, by {by}",
+            unit=unit,
+            design_size=design_size,
+            points=points,
         )
--- a/benchmarks/soft_state.py
+++ b/benchmarks/soft_state.py
@@ -1,7 +1,7 @@
-"""Measure the exchange of soft state: convergence, bytes, processor time a node.
+"""Measure the exchange of soft state: convergence, bytes and processor time of a node.
 
-The decision code and the codec run in one process over a fake network with 2 ms
-one way; time is simulated, processor time is real.
+The decision code and the codec run in one process over a simulated network with a
+one-way delay of 2 ms.  Time is simulated; processor time is measured::
 
     .venv/bin/python -m benchmarks.soft_state
 """
@@ -26,14 +26,14 @@
     configuration,
 )
 
-#: Seconds between two greetings of a host in the first half of the warm-up.
+#: Seconds between two probes of a host in the first half of the warm-up.
 WARM_UP_PROBE_INTERVAL = 0.02
 
 KEY = b"key-of-the-benchmark"
 
 
 class Load:
-    """Give every node the rows that it would observe."""
+    """Set the rows of every node: demand of accounts and reports of polled workers."""
 
     def __init__(
         self, network: Network, *, n_workers: int, n_accounts: int, seed: int
@@ -56,7 +56,7 @@
         }
 
     def refresh(self) -> None:
-        """Set each node's rows to what it would observe now."""
+        """Set each node's rows to the observations of the current time."""
         now = self.network.now
         for node in self.network.nodes:
             node.rows = [
@@ -80,7 +80,7 @@
                 asker.rows.append((ReportRow(report=report), asked_at))
 
     def _demand(self, account: int) -> DemandRow:
-        # All accounts' demand moves all the time.
+        # The demand of all accounts changes at each refresh.
         rate = float(self.rng.randrange(100))
         return DemandRow(
             client_account=f"account-{account}", rate=rate, n_in_flight=3, n_waiting=0
@@ -88,7 +88,7 @@
 
 
 class Meter:
-    """Encode every message as the product does and count its bytes."""
+    """Encode every message with the product's codec; count messages and bytes."""
 
     def __init__(self) -> None:
         self.n_messages = 0
@@ -97,7 +97,7 @@
         self.codec_seconds = 0.0
 
     def take(self, source: str, address: str, message: Message) -> None:
-        """Encode and decode one message."""
+        """Encode and decode one sent message and add its size and time."""
         start = time.process_time()
         data = encode_message(message, key=KEY)
         decode_message(data, key=KEY, peer=source).ok  # noqa: B018
@@ -119,13 +119,13 @@
     warm_up: float,
     spreads: bool,
 ) -> dict[str, float]:
-    """Run one size; return its figures."""
+    """Simulate a fleet of one size and return its figures by name."""
     zones = [f"zone-{index % n_zones:02}" for index in range(n_nodes)]
     rng = random.Random(seed)
     network = Network(zones=zones, seed=seed)
     network.route = lambda *_: () if rng.random() < loss else (0.002,)
     load = Load(network, n_workers=n_workers, n_accounts=n_accounts, seed=seed)
-    # At the product's 4 greetings a second hundreds of hosts take minutes to know each
+    # At the product's 4 probes a second hundreds of hosts take minutes to discover each
     # other, which is no steady state and takes hours to simulate.
     usual, soft_state_schedule.PROBE_INTERVAL = (
         soft_state_schedule.PROBE_INTERVAL,
@@ -192,7 +192,8 @@
 
 
 def _note_ages(network: Network, ages: list[float]) -> None:
-    # The age of what each of some hosts has learned of each worker of its zone.
+    # At some of the nodes: the age of the newest report of each worker of the zone that
+    # the node has received from its peers.
     for node in network.nodes[:: max(1, len(network.nodes) // 35)]:
         newest = {}
         for table in node.exchange.tables.tables_by_origin.values():
@@ -237,7 +238,7 @@
     return passed
 
 
-#: Nodes, zones, workers, client accounts.
+#: Numbers of nodes, zones, workers and client accounts of each fleet.
 SIZES = ((8, 3, 50, 10), (35, 1, 71, 10), (140, 4, 284, 10), (390, 11, 780, 10))
 
 
@@ -251,7 +252,7 @@
     warm_up: float = 30.0,
     spreads: bool = True,
 ) -> None:
-    """Measure all sizes.
+    """Measure all sizes and print a column of figures for each.
 
     Parameters
     ----------
@@ -260,16 +261,16 @@
     seed : int
         Seed of all random choices.
     loss : float
-        Part of the datagrams that is lost.
+        Share of the datagrams that are lost.
     n_min : int
-        Smallest size.
+        Smallest number of nodes to measure.
     n_max : int
-        Largest size.
+        Largest number of nodes to measure.
     warm_up : float
         Simulated seconds before the measured ones.
     spreads : bool
-        Measure also how long a row and a version take to reach all, which costs
-        most of the time at hundreds of entry hosts.
+        Measure also how long a row and a configuration version take to reach all nodes,
+        which takes most of the run time at hundreds of entry hosts.
     """
     print(f"seed {seed}, loss {loss:g}")
     rows = [
--- a/benchmarks/speed.py
+++ b/benchmarks/speed.py
@@ -1,9 +1,9 @@
-"""Measure what the path through one entry host costs, beside going straight.
+"""Measure the cost of the path through one entry host against direct requests.
 
-Run ``.venv/bin/python -m benchmarks.speed`` on a machine with four or more idle
-cores; docs/SPEED.md holds the figures.  Latency is given as a ratio against asking
-the stand-in engine directly in the same run, the two taken in turn; processor time is
-read from ``/proc``.
+Latency is given as the ratio to direct requests to the stand-in engine, alternating in
+the same run.  Processor time is read from ``/proc``.  Run
+``.venv/bin/python -m benchmarks.speed`` on a machine with four or more idle cores;
+docs/SPEED.md lists the figures.
 """
 
 from __future__ import annotations
@@ -23,21 +23,26 @@
 from tests.processes import EntryHost, Fleet, running_fleet, wait_until
 
 N_ENGINES = 4
+
+#: Concurrent streams of a full entry host, and tokens a second of each stream.
 N_STREAMS = 125
 TOKENS_PER_SECOND = 29
+
+#: Bytes of one token of the model "fat".
 FAT_TOKEN = 20_000
+
 QUESTION = [{"role": "user", "content": "Which dogs are home?"}]
 
-#: Seconds of silence that end the measurement.
+#: Seconds without data after which a stream has failed.
 SILENCE = 15.0
 
-#: Tokens of a stream that is cut off by its caller.
+#: Tokens of a stream that the caller closes before its end.
 ENDLESS = 30_000
 
 
 @dataclass(slots=True, kw_only=True)
 class Stream:
-    """Hold what a caller saw of one stream."""
+    """Times and size of one stream, as the caller received it."""
 
     started_at: float
     times: list[float] = field(default_factory=list)
@@ -49,7 +54,7 @@
         return self.times[0] - self.started_at
 
     def gaps(self) -> list[float]:
-        """Return the seconds between reads that held tokens."""
+        """Return the seconds between consecutive reads with tokens."""
         return [
             later - earlier
             for earlier, later in zip(self.times, self.times[1:], strict=False)
@@ -58,14 +63,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Load:
-    """Ask one entry host, or its engines directly.
+    """Send requests to one entry host, or to its engines directly.
 
     Attributes
     ----------
     groups : list
-        Groups of the model, as the dump has them, with the address of rank 0.
+        Groups of the model "notes" from the state dump, with the address of rank 0.
     engines_by_model : dict of str to list of str
-        Where the planner has put each model.
+        Names of the engines that serve each model.
     """
 
     fleet: Fleet
@@ -74,7 +79,10 @@
     engines_by_model: dict[str, list[str]]
 
     def request(self, *, direct: int | None, n_tokens: int, model: str) -> tuple:
-        """Return address, path, key and body of one request."""
+        """Return address, path, key and body of one request.
+
+        ``direct`` is the index of the group to address, or None for the entry host.
+        """
         if direct is None:
             body = {"model": model, "messages": QUESTION, "max_tokens": n_tokens}
             key = self.fleet.keys_by_account["pawroute"]
@@ -102,7 +110,10 @@
         model: str = "notes",
         reads: bool = True,
     ) -> Stream:
-        """Read one stream to its end, or for some seconds."""
+        """Request one stream and read it to its end, or for some seconds.
+
+        Without ``reads`` the connection stays open and the answer is not read.
+        """
         address, path, key, body = self.request(
             direct=direct, n_tokens=n_tokens, model=model
         )
@@ -140,13 +151,13 @@
             tail = (tail + data)[-200:]
             if b'"tokens"' in data or b'"content":"' in data.replace(b'""', b""):
                 stream.times.append(now)
-            # The head announces no length: a stream is over with its last event.
+            # The head gives no length: a stream ends with its last event.
             if b"[DONE]" in tail or b'"finish_reason": "stop"' in tail:
                 return
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time of a process, user and system."""
+    """Return the user and system processor time of a process in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -158,7 +169,7 @@
 
 
 def percentile(values: list[float], part: float) -> float:
-    """Return a percentile, 0 to 1."""
+    """Return a percentile of the values, given as a part from 0 to 1."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
 
@@ -170,7 +181,7 @@
 
 
 def start(fleet: Fleet) -> Load:
-    """Start engines for two models and one entry host."""
+    """Start engines for two models, and one entry host, and wait for all groups."""
     fleet.start_platform()
     for rank in range(N_ENGINES + 1):
         fleet.start_engines(f"h{rank}", zone="z", domain=f"d{rank}")
@@ -181,7 +192,9 @@
         {"models": {"notes": notes}, "client_accounts": {"pawroute": account}}
     )
     entry = fleet.start_entry("e1", zone="z", max_request_timeout=600.0)
-    wait_until(lambda: entry.n_complete_groups() >= N_ENGINES, what="groups are whole")
+    wait_until(
+        lambda: entry.n_complete_groups() >= N_ENGINES, what="groups are complete"
+    )
     fleet.publish(
         {
             "models": {"notes": notes, "fat": fat},
@@ -189,7 +202,9 @@
         },
         base_version=entry.dump()["configuration"]["version"],
     )
-    wait_until(lambda: entry.n_complete_groups() > N_ENGINES, what="fat group is whole")
+    wait_until(
+        lambda: entry.n_complete_groups() > N_ENGINES, what="fat group is complete"
+    )
     state = entry.dump()
     groups = [group for group in state["groups"] if group["model"] == "notes"]
     for group in groups:
@@ -203,7 +218,7 @@
 
 
 async def first_token(load: Load, *, n_requests: int) -> None:
-    """Compare the time to the first token and the time a token."""
+    """Compare the times to the first token and for each further token."""
     set_engines(load, "notes", step_ms=2.0, tokens_per_event=1)
     for direct in (None, 0):
         await load.stream(direct=direct, n_tokens=5)
@@ -217,10 +232,10 @@
         for is_direct, taken in streams.items()
     }
     for name, part in (("p50", 0.5), ("p95", 0.95)):
-        straight = percentile(firsts[True], part)
-        through = percentile(firsts[False], part)
-        report(f"first token {name}", through, straight, unit="ms")
-    whole = {
+        direct_time = percentile(firsts[True], part)
+        relayed_time = percentile(firsts[False], part)
+        report(f"first token {name}", relayed_time, direct_time, unit="ms")
+    token_times = {
         is_direct: [
             (stream.times[-1] - stream.times[0]) / 20 for stream in streams[is_direct]
         ]
@@ -228,26 +243,26 @@
     }
     report(
         "time per token, mean",
-        statistics.mean(whole[False]),
-        statistics.mean(whole[True]),
+        statistics.mean(token_times[False]),
+        statistics.mean(token_times[True]),
         unit="ms",
     )
 
 
-def report(name: str, through: float, straight: float, *, unit: str) -> None:
-    """Print one ratio."""
+def report(name: str, relayed_time: float, direct_time: float, *, unit: str) -> None:
+    """Print direct time, time through the entry host, their ratio and difference."""
     print(
-        f"{name}: straight {straight * 1e3:.2f} {unit}, through "
-        f"{through * 1e3:.2f} {unit}, ratio {through / straight:.2f}, "
-        f"added {(through - straight) * 1e3:.2f} {unit}",
+        f"{name}: direct {direct_time * 1e3:.2f} {unit}, through entry host "
+        f"{relayed_time * 1e3:.2f} {unit}, ratio {relayed_time / direct_time:.2f}, "
+        f"added {(relayed_time - direct_time) * 1e3:.2f} {unit}",
         flush=True,
     )
 
 
-async def many(
+async def run_streams(
     load: Load, *, n_streams: int, seconds: float, is_direct: bool = False
 ) -> list[Stream]:
-    """Run streams side by side, started over one second."""
+    """Run concurrent streams, whose starts are spread over one second."""
 
     async def one(number: int) -> Stream:
         await asyncio.sleep(number / n_streams)
@@ -258,25 +273,25 @@
 
 
 async def full_host(load: Load, *, seconds: float, per_event: list[int]) -> None:
-    """Hold 125 streams of 29 tokens a second and read the processor time."""
+    """Measure the processor time of 125 streams with 29 tokens a second each."""
     for n_tokens in per_event:
         step_ms = n_tokens * 1000 / TOKENS_PER_SECOND
         set_engines(load, "notes", step_ms=step_ms, tokens_per_event=n_tokens)
-        straight = await many(
+        direct_streams = await run_streams(
             load, n_streams=N_STREAMS, seconds=seconds / 2, is_direct=True
         )
         task = asyncio.ensure_future(
-            many(load, n_streams=N_STREAMS, seconds=seconds + 4)
+            run_streams(load, n_streams=N_STREAMS, seconds=seconds + 4)
         )
         await asyncio.sleep(3)
-        tokens = await asyncio.to_thread(generated, load), time.monotonic()
+        tokens = await asyncio.to_thread(n_generated_tokens, load), time.monotonic()
         cpu = cpu_seconds(load.entry.process.pid), time.monotonic()
         await asyncio.sleep(seconds)
         cpu_rate = _rate(cpu, cpu_seconds(load.entry.process.pid))
-        token_rate = _rate(tokens, await asyncio.to_thread(generated, load))
+        token_rate = _rate(tokens, await asyncio.to_thread(n_generated_tokens, load))
         streams = await task
         gaps = [gap for stream in streams for gap in stream.gaps()]
-        gaps_straight = [gap for stream in straight for gap in stream.gaps()]
+        direct_gaps = [gap for stream in direct_streams for gap in stream.gaps()]
         print(
             f"{n_tokens} tokens an event: {token_rate:.0f} tokens/s, "
             f"{cpu_rate:.2f} of a core, {cpu_rate / token_rate * 1e6:.0f} us a token",
@@ -285,7 +300,7 @@
         report(
             "  gap between events p95",
             percentile(gaps, 0.95),
-            percentile(gaps_straight, 0.95),
+            percentile(direct_gaps, 0.95),
             unit="ms",
         )
 
@@ -295,8 +310,8 @@
     return (now - value) / (time.monotonic() - at)
 
 
-def generated(load: Load) -> int:
-    """Return the tokens that the engines have generated."""
+def n_generated_tokens(load: Load) -> int:
+    """Return the number of tokens that the engines of "notes" have generated."""
     return sum(
         load.fleet.counts(name)["n_generated"]
         for name in load.engines_by_model["notes"]
@@ -304,13 +319,13 @@
 
 
 async def memory(load: Load, *, n_streams: int) -> None:
-    """Read the memory of a stream."""
+    """Measure the entry host's memory for each stream."""
     set_engines(load, "notes", step_ms=500.0, tokens_per_event=1)
-    # A few streams load what the first of them needs; many would leave their memory
-    # to the allocator, and the streams measured would seem to need none.
-    await many(load, n_streams=20, seconds=3)
+    # A few streams allocate what only the first streams need.  Many streams would leave
+    # free memory in the allocator, and the measured streams would seem to need none.
+    await run_streams(load, n_streams=20, seconds=3)
     before = resident(load.entry.process.pid)
-    task = asyncio.ensure_future(many(load, n_streams=n_streams, seconds=6))
+    task = asyncio.ensure_future(run_streams(load, n_streams=n_streams, seconds=6))
     await asyncio.sleep(4)
     during = resident(load.entry.process.pid)
     await task
@@ -322,14 +337,14 @@
 
 
 async def slow_reader(load: Load, *, seconds: float) -> None:
-    """Put one caller that does not read beside 100 that do."""
+    """Measure 100 reading callers with and without one caller that does not read."""
     set_engines(load, "notes", step_ms=1000 / TOKENS_PER_SECOND, tokens_per_event=1)
     set_engines(load, "fat", step_ms=5.0, token_bytes=FAT_TOKEN)
     gaps: dict[bool, list[float]] = {False: [], True: []}
     memory_by_slow: dict[bool, int] = {}
     for is_slow in (False, True, False, True):
         tasks = [
-            asyncio.ensure_future(many(load, n_streams=100, seconds=seconds)),
+            asyncio.ensure_future(run_streams(load, n_streams=100, seconds=seconds)),
         ]
         if is_slow:
             slow = load.stream(model="fat", seconds=seconds, reads=False)
@@ -340,21 +355,21 @@
         gaps[is_slow] += [gap for stream in streams for gap in stream.gaps()]
     alone, beside = (percentile(gaps[is_slow], 0.95) for is_slow in (False, True))
     print(
-        f"gap p95 of 100 fast readers: alone {alone * 1e3:.1f} ms, beside a slow one "
+        f"gap p95 of 100 fast readers: alone {alone * 1e3:.1f} ms, with a slow reader "
         f"{beside * 1e3:.1f} ms, ratio {beside / alone:.2f}",
         flush=True,
     )
     grown = memory_by_slow[True] - memory_by_slow[False]
     offered = seconds / 0.005 * FAT_TOKEN
     print(
-        f"memory beside a slow reader: {grown / 1024:+.0f} KB, while its engine could "
+        f"memory with a slow reader: {grown / 1024:+.0f} KB, while its engine could "
         f"send {offered / 1024 / 1024:.0f} MB",
         flush=True,
     )
 
 
 async def run(load: Load, *, seconds: float, only: str) -> None:
-    """Run every part, or one."""
+    """Run all measurements but "one", or only the named one."""
     parts = {
         "first": lambda: first_token(load, n_requests=150),
         "full": lambda: full_host(load, seconds=seconds, per_event=[1, 2, 4, 8]),
@@ -368,14 +383,14 @@
 
 
 def main(*, seconds: float = 10.0, only: str = "") -> int:
-    """Measure and print.
+    """Run the measurements and print their figures.
 
     Parameters
     ----------
     seconds : float
-        Length of each measurement under load.
+        Length of each measurement under load, in seconds.
     only : str
-        Run one part: first, full, one, memory or slow.
+        Run one measurement: first, full, one, memory or slow.
     """
     with (
         tempfile.TemporaryDirectory() as directory,
--- a/benchmarks/stale_balance.py
+++ b/benchmarks/stale_balance.py
@@ -1,9 +1,10 @@
-"""Measure how evenly hosts that hear late of each other fill replica groups.
+"""Measure how evenly hosts fill replica groups while their loads are out of date.
 
-Plays the balancer's own code at many entry hosts of three availability zones, which
-tell each other their requests in flight as often as hosts of their number do, and
-groups that batch what they get.  Prints, for several fleets, how full the group is to
-which a request goes, and which part of the requests finds no place free in it::
+Runs the balancer's own code at many entry hosts of three availability zones, with
+simulated groups that batch their requests.  The hosts report their requests in flight
+as often as real hosts of that number do.  Prints for several fleets how many requests
+already run at the group that a request is sent to, and the share of requests that find
+no free slot there::
 
     .venv/bin/python -m benchmarks.stale_balance
 """
@@ -22,17 +23,18 @@
 ZONES = ("z0", "z1", "z2")
 STEP = 0.01
 TICK = 0.2
-#: Ticks between two words for another zone, and the steps that any word is under way.
-FAR_TICKS = 3
-UNDER_WAY = 0.05
-#: Seconds of a step of a batch, and what each request in it adds; steps of one event.
+#: Ticks between two zone heartbeats, and the transit time of any heartbeat.
+TICKS_PER_ZONE_HEARTBEAT = 3
+HEARTBEAT_TRANSIT_TIME = 0.05
+#: Seconds of one batch step, further seconds for each request in the batch, and steps
+#: for each event.
 STEP_TIME, STEP_TIME_PER_REQUEST, STRIDE = 0.0036, 0.00029, 5
 SECONDS = 12.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetSize:
-    """Describe a fleet and the requests that come a second."""
+    """Size of a fleet, requests a second, and mean number of events of a stream."""
 
     n_hosts: int
     n_groups: int
@@ -59,7 +61,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Running:
-    """Hold a request at a group; ``left`` counts its events."""
+    """Request that runs at a group; ``left`` is the number of events to come."""
 
     host: int
     left: float
@@ -68,12 +70,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class Group:
-    """Hold what one group works on, in the order of its arrival."""
+    """Requests of one group in the order of their arrival; the first form the batch."""
 
     running: list[Running] = field(default_factory=list)
 
     def advance(self, slots: int) -> list[Running]:
-        """Let one step pass; return what has ended."""
+        """Simulate one step and return the requests that ended."""
         batch = self.running[:slots]
         event_time = STRIDE * (STEP_TIME + STEP_TIME_PER_REQUEST * len(batch))
         for item in batch:
@@ -84,10 +86,10 @@
 
 
 class Hosts:
-    """Hold the balancers of all hosts, and pass words between them."""
+    """Balancers of all hosts, and the loads that the hosts report to each other."""
 
     def __init__(self, size: FleetSize, *, seed: int) -> None:
-        self._draws = random.Random(seed)
+        self._rng = random.Random(seed)
         self.size = size
         directory = Directory()
         for index in range(size.n_groups):
@@ -96,42 +98,48 @@
             Balancer(directory=directory, zone=self.zone(host), seed=seed * 1000 + host)
             for host in range(size.n_hosts)
         ]
-        self.told = [Counter() for _ in self.balancers]
-        self.summaries = {zone: Counter() for zone in ZONES}
+        self.reported = [Counter() for _ in self.balancers]
+        self.in_flight_by_zone = {zone: Counter() for zone in ZONES}
         self.per_zone = size.n_hosts // 3
         self.ticks = -(-self.per_zone // FREQUENT_HOSTS)
-        self.phases = [self._draws.randrange(60) for _ in self.balancers]
+        self.phases = [self._rng.randrange(60) for _ in self.balancers]
 
     @staticmethod
     def zone(host: int) -> str:
-        """Return the zone of a host."""
+        """Return the availability zone of a host, given its index."""
         return ZONES[host % 3]
 
     def tick(self, step: int) -> None:
-        """Let the hosts whose time it is tell the others."""
+        """Let the hosts that are due at this step report and receive loads."""
         every = round(TICK / STEP)
         for host, balancer in enumerate(self.balancers):
             if (step + self.phases[host]) % every:
                 continue
             if (step + self.phases[host]) // every % self.ticks == 0:
-                self.told[host] = _in_flight(balancer)
-            if host < 3 and (step + self.phases[host]) // every % FAR_TICKS == 0:
-                self.summaries[self.zone(host)] = sum(
-                    (self.told[item] for item in range(host, len(self.told), 3)),
+                self.reported[host] = _in_flight(balancer)
+            if (
+                host < 3
+                and (step + self.phases[host]) // every % TICKS_PER_ZONE_HEARTBEAT == 0
+            ):
+                self.in_flight_by_zone[self.zone(host)] = sum(
+                    (
+                        self.reported[item]
+                        for item in range(host, len(self.reported), 3)
+                    ),
                     Counter(),
                 )
-            self._hear(host, balancer)
+            self._receive_loads(host, balancer)
 
-    def _hear(self, host: int, balancer: Balancer) -> None:
+    def _receive_loads(self, host: int, balancer: Balancer) -> None:
         zone = self.zone(host)
-        heard: Counter[str] = Counter()
-        for item in range(host % 3, len(self.told), 3):
+        received: Counter[str] = Counter()
+        for item in range(host % 3, len(self.reported), 3):
             if item != host:
-                heard.update(self.told[item])
+                received.update(self.reported[item])
         for other in ZONES:
             if other != zone:
-                heard.update(self.summaries[other])
-        balancer.peers_in_flight_by_id = heard
+                received.update(self.in_flight_by_zone[other])
+        balancer.peers_in_flight_by_id = received
         balancer.hear(
             interval=self.ticks * TICK,
             n_near=self.per_zone - 1,
@@ -159,8 +167,18 @@
 
 
 def play(size: FleetSize, *, seed: int) -> tuple[list[int], int, int]:
-    """Play one fleet; return how full groups were, who waited, who went far."""
-    draws = random.Random(seed)
+    """Simulate one fleet.
+
+    Returns
+    -------
+    found : list of int
+        For each request, the requests already running at its group.
+    n_refused : int
+        Requests that no server could take.
+    n_far : int
+        Requests sent to another availability zone.
+    """
+    rng = random.Random(seed)
     hosts = Hosts(size, seed=seed)
     groups = {f"h{index}": Group() for index in range(size.n_groups)}
     found: list[int] = []
@@ -173,9 +191,9 @@
                 balancer = hosts.balancers[item.host]
                 balancer.ended(server_id)
                 balancer.took("engines", "m", now - item.since)
-        n_new = draws.random() < size.rate * STEP % 1
+        n_new = rng.random() < size.rate * STEP % 1
         for _ in range(int(size.rate * STEP) + n_new):
-            host = draws.randrange(size.n_hosts)
+            host = rng.randrange(size.n_hosts)
             chosen = hosts.balancers[host].choose(
                 "engines", "m", excluded=set(), now=now
             )
@@ -187,7 +205,7 @@
             if now > 2.0:
                 found.append(len(running))
                 n_far += chosen.availability_zone != hosts.zone(host)
-            left = draws.gammavariate(2.0, size.n_events / 2.0)
+            left = rng.gammavariate(2.0, size.n_events / 2.0)
             running.append(Running(host=host, left=1.0 + left, since=now))
     return found, n_refused, n_far
 
@@ -196,7 +214,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=3)
     seeds = range(parser.parse_args().seeds)
-    print("| fleet | found there | 90 in 100 | 99 in 100 | no place free | far |")
+    print("| fleet | running there | p90 | p99 | no free slot | other zone |")
     print("|---|---|---|---|---|---|")
     for name, size in FLEETS.items():
         found: list[int] = []
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -49,7 +49,7 @@
     ],
 )
 def test_line(points, at_size, is_line):
-    slope = Slope(role="r", what="w", unit="ms", n_at=10, points=points)
+    slope = Slope(role="r", what="w", unit="ms", design_size=10, points=points)
     assert slope.at_size() == pytest.approx(at_size)
     assert ("(no line)" not in slope.row()) is is_line
 
