--- a/benchmarks/day_account.py
+++ b/benchmarks/day_account.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Day:
+class DayTotals:
     """Totals of a day's log lines; times and durations in seconds.
 
     Events are handled by the method named after the event with a leading underscore;
@@ -53,11 +53,11 @@
         default_factory=dict
     )
     ended: dict[str, Line] = field(default_factory=dict)
-    took: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+    durations: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
     failures: Counter[str] = field(default_factory=Counter)
     answers: Counter[str] = field(default_factory=Counter)
 
-    def take(self, line: Line) -> None:
+    def add(self, line: Line) -> None:
         """Add one line to the totals."""
         step = int(line.at // STEP)
         handler = getattr(self, f"_{line.fields['event']}", None)
@@ -70,7 +70,7 @@
         name = f"{fields['group']}/{fields['epoch']}"
         if fields["phase"] == "serving":
             self.serving[name] = (fields["model"], line.host)
-            self.took["formed"].append(fields.get("took", 0.0))
+            self.durations["formed"].append(fields.get("took", 0.0))
         elif fields["phase"] == "ending":
             self.serving.pop(name, None)
             self.ended[name] = line
@@ -79,7 +79,7 @@
             self.serving.pop(name, None)
             if name in self.ended:
                 waited = line.at - self.ended.pop(name).at
-                self.took[f"retired: {fields['reason']}"].append(waited)
+                self.durations[f"retired: {fields['reason']}"].append(waited)
 
     def _models_weighed(self, line: Line, fields: dict[str, Any]) -> None:
         self.demand_at[int(line.at // STEP)] = fields["demand"]
@@ -92,8 +92,8 @@
             self.serving_seconds += passed * n_serving
             for reason, count in counts.items():
                 self.idle_seconds[reason] += passed * count
-        found = (line.at, fields["n_by_reason"], fields["n_serving"])
-        self.idle_by_zone[zone] = found
+        latest_counts = (line.at, fields["n_by_reason"], fields["n_serving"])
+        self.idle_by_zone[zone] = latest_counts
 
     def _attempt_failed(self, line: Line, fields: dict[str, Any]) -> None:
         self.failures[f"sending: {fields['reason']}"] += 1
@@ -106,7 +106,7 @@
         self.answers[f"answered {outcome}".strip()] += 1
 
 
-def read(path: Path) -> Iterator[Line]:
+def read_lines(path: Path) -> Iterator[Line]:
     """Yield the lines of a file that hold an event of an entry host."""
     for text in path.read_text(errors="replace").splitlines():
         match = LINE.match(text)
@@ -121,7 +121,7 @@
             yield Line(at=at, host=match["host"] or "", fields=fields)
 
 
-def show(day: Day) -> None:
+def print_tables(day: DayTotals) -> None:
     """Print the tables of a day."""
     models = sorted({model for counts in day.groups_at.values() for model in counts})
     print("from s | " + " | ".join(f"{model} groups, demand" for model in models))
@@ -136,7 +136,7 @@
     print(f"serving: {day.serving_seconds:.0f} server-seconds")
     for reason, seconds in day.idle_seconds.most_common():
         print(f"idle, {reason}: {seconds:.0f} server-seconds")
-    for what, seconds in sorted(day.took.items()):
+    for what, seconds in sorted(day.durations.items()):
         print(
             f"{what}: {len(seconds)} times, median {statistics.median(seconds):.2f} s"
         )
@@ -148,11 +148,11 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("logs", type=Path, nargs="+")
     for path in parser.parse_args().logs:
-        day = Day()
-        for line in sorted(read(path), key=lambda item: item.at):
-            day.take(line)
+        day = DayTotals()
+        for line in sorted(read_lines(path), key=lambda item: item.at):
+            day.add(line)
         print(f"## {path.name}")
-        show(day)
+        print_tables(day)
 
 
 if __name__ == "__main__":
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -55,22 +55,22 @@
                 running_fleet(Path(directory)) as fleet,
             ):
                 members = start_two_groups(fleet)
-                last, n_errors = asyncio.run(
+                last_request_after, n_errors = asyncio.run(
                     _watch(
                         fleet,
                         lambda leave=leave, members=members, fleet=fleet, rank=rank: (
                             leave(fleet, members[rank])
                         ),
-                        rank_0=members[0],
+                        head_name=members[0],
                         seconds=seen_after + window,
                     )
                 )
-            shown = f"{last - seen_after:24.2f}"
+            shown = f"{last_request_after - seen_after:24.2f}"
             print(f"{name:20} {shown} {n_errors:7d} {os.getloadavg()[0]:6.1f}")
 
 
 async def _watch(
-    fleet: Fleet, leave: object, *, rank_0: str, seconds: float
+    fleet: Fleet, leave: object, *, head_name: str, seconds: float
 ) -> tuple[float, int]:
     caller = Caller(fleet)
     answers = []
@@ -92,7 +92,7 @@
     left_at = last_at = time.monotonic()
     known = 0
     while time.monotonic() < ends_at:
-        counts = await asyncio.to_thread(fleet.counts, rank_0)
+        counts = await asyncio.to_thread(fleet.counts, head_name)
         if counts["n_asked"] != known:
             known, last_at = counts["n_asked"], time.monotonic()
         await asyncio.sleep(INTERVAL)
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -90,12 +90,13 @@
     while exchange.now < seconds:
         exchange.step()
         parts.append(exchange.parts())
-    whole = LIMIT * (seconds - 10.0)
+    max_admitted = LIMIT * (seconds - 10.0)
     even = exchange.n_even() - even_before
     print(
         f"{n:5d} {case:>10} {loss:5.0%} {max(parts):9.3f} "
         f"{sum(parts) / len(parts):6.3f} "
-        f"{(exchange.n_admitted() - n_before) / whole:14.3f} {even / whole:10.3f}"
+        f"{(exchange.n_admitted() - n_before) / max_admitted:14.3f} "
+        f"{even / max_admitted:10.3f}"
     )
 
 
@@ -116,21 +117,21 @@
         for peer in range(n - 1):
             for row in rows:
                 limits.observed(row, peer=f"host-{peer}", observed_at=now, now=now)
-        told = time.process_time()
+        recorded_at = time.process_time()
         for name in names:
             limits.rate(name, LIMIT, now=now)
-        asked = time.process_time()
+        shared_at = time.process_time()
         for _ in names:
             limits.n_hosts_waiting(now=now)
-        row_time += told - started
-        share_time += asked - told
-        waiting_time += time.process_time() - asked
-    n_asked = n_rounds * N_ACCOUNTS
+        row_time += recorded_at - started
+        share_time += shared_at - recorded_at
+        waiting_time += time.process_time() - shared_at
+    n_shares = n_rounds * N_ACCOUNTS
     print(
-        f"{n:5d} hosts, {N_ACCOUNTS} accounts: {share_time / n_asked * 1e6:.1f} us a "
-        f"share, {share_time / n_asked * N_ACCOUNTS / SAMPLE:.2%} of a core for all "
-        f"shares each {SAMPLE:g} s; {waiting_time / n_asked * 1e6:.1f} us to count "
-        f"waiting hosts; {row_time / n_asked / (n - 1) * 1e6:.1f} us to record a row"
+        f"{n:5d} hosts, {N_ACCOUNTS} accounts: {share_time / n_shares * 1e6:.1f} us a "
+        f"share, {share_time / n_shares * N_ACCOUNTS / SAMPLE:.2%} of a core for all "
+        f"shares each {SAMPLE:g} s; {waiting_time / n_shares * 1e6:.1f} us to count "
+        f"waiting hosts; {row_time / n_shares / (n - 1) * 1e6:.1f} us to record a row"
     )
 
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -156,14 +156,14 @@
 
     yield Slope(
         role="admission: limits",
-        what=f"ms for the shares of {N_ACCOUNTS} accounts, by hosts that report",
+        what=f"ms for the shares of {N_ACCOUNTS} accounts, by reporting hosts",
         unit="ms, at most 4 times a second",
         design_size=ZONE_NODES + N_ZONES - 2,
         points=[(n, parts(n)) for n in sizes],
     )
     yield Slope(
         role="admission: limits",
-        what=f"KB for {N_ACCOUNTS} accounts, by hosts that report",
+        what=f"KB for {N_ACCOUNTS} accounts, by reporting hosts",
         unit="KB",
         design_size=ZONE_NODES + N_ZONES - 2,
         points=[(n, kb(lambda n=n: limits(n))) for n in sizes],
--- a/benchmarks/soft_state.py
+++ b/benchmarks/soft_state.py
@@ -41,18 +41,18 @@
         self.network = network
         self.rng = random.Random(seed)
         self.n_accounts = n_accounts
-        self.askers_by_worker: dict[str, list[Node]] = {}
+        self.pollers_by_worker: dict[str, list[Node]] = {}
         by_zone: dict[str, list[Node]] = {}
         for node in network.nodes:
             by_zone.setdefault(node.zone, []).append(node)
         for zone, nodes in by_zone.items():
             for worker in range(n_workers // len(by_zone)):
-                askers = self.rng.sample(nodes, min(2, len(nodes)))
-                self.askers_by_worker[f"{zone}-worker-{worker:02}"] = askers
+                pollers = self.rng.sample(nodes, min(2, len(nodes)))
+                self.pollers_by_worker[f"{zone}-worker-{worker:02}"] = pollers
         self.offsets = {
-            (worker, asker.name): self.rng.random() * 0.5
-            for worker, askers in self.askers_by_worker.items()
-            for asker in askers
+            (worker, poller.name): self.rng.random() * 0.5
+            for worker, pollers in self.pollers_by_worker.items()
+            for poller in pollers
         }
 
     def refresh(self) -> None:
@@ -62,7 +62,7 @@
             node.rows = [
                 (self._demand(account), None) for account in range(self.n_accounts)
             ]
-        for worker, askers in self.askers_by_worker.items():
+        for worker, pollers in self.pollers_by_worker.items():
             report = HostReport(
                 host=worker,
                 boot="b1",
@@ -74,10 +74,10 @@
                 version="7",
                 running=self.rng.randrange(40),
             )
-            for asker in askers:
-                offset = self.offsets[worker, asker.name]
+            for poller in pollers:
+                offset = self.offsets[worker, poller.name]
                 asked_at = (now - offset) // 0.5 * 0.5 + offset
-                asker.rows.append((ReportRow(report=report), asked_at))
+                poller.rows.append((ReportRow(report=report), asked_at))
 
     def _demand(self, account: int) -> DemandRow:
         # The demand of all accounts changes at each refresh.
@@ -96,7 +96,7 @@
         self.largest = 0
         self.codec_seconds = 0.0
 
-    def take(self, source: str, address: str, message: Message) -> None:
+    def count_message(self, source: str, address: str, message: Message) -> None:
         """Encode and decode one sent message and add its size and time."""
         start = time.process_time()
         data = encode_message(message, key=KEY)
@@ -137,7 +137,7 @@
     for node in network.nodes:
         node.deliveries.clear()
     meter = Meter()
-    network.on_send = meter.take
+    network.on_send = meter.count_message
     ages: list[float] = []
     start = time.process_time()
     load_seconds = _run(network, load, seconds=seconds, ages=ages)
@@ -147,10 +147,8 @@
     n_sent = meter.n_messages / n_node_seconds
     bytes_each_way = meter.n_bytes / n_node_seconds
     n_spreads = 3 if spreads else 0
-    spread = [_spread(network, load, index=index) for index in range(n_spreads)]
-    versions = [
-        _spread_version(network, load, index=index) for index in range(n_spreads)
-    ]
+    row_times = [_time_row(network, load, index=index) for index in range(n_spreads)]
+    versions = [_time_version(network, load, index=index) for index in range(n_spreads)]
     ages.sort()
     return {
         "nodes": n_nodes,
@@ -166,8 +164,8 @@
         "age p99": ages[len(ages) * 99 // 100] if ages else 0,
         "age max": ages[-1] if ages else 0,
         "age > 1.5 s, %": 100 * sum(age > 1.5 for age in ages) / max(1, len(ages)),
-        "row to all s": statistics.mean(spread or [math.nan]),
-        "row worst": max(spread, default=math.nan),
+        "row to all s": statistics.mean(row_times or [math.nan]),
+        "row worst": max(row_times, default=math.nan),
         "version to all s": statistics.mean(versions or [math.nan]),
         "version worst": max(versions, default=math.nan),
     }
@@ -184,58 +182,58 @@
         network.run(0.25)
         start = time.process_time()
         if ages is not None:
-            _note_ages(network, ages)
+            _record_ages(network, ages)
         for node in network.nodes:
             node.deliveries.clear()
         spent += time.process_time() - start
     return spent
 
 
-def _note_ages(network: Network, ages: list[float]) -> None:
+def _record_ages(network: Network, ages: list[float]) -> None:
     # At some of the nodes: the age of the newest report of each worker of the zone that
     # the node has received from its peers.
     for node in network.nodes[:: max(1, len(network.nodes) // 35)]:
         newest = {}
         for table in node.exchange.tables.tables_by_origin.values():
-            for kept in table.rows_by_slot.values():
-                if isinstance(kept.row, ReportRow):
-                    host = kept.row.report.host
-                    newest[host] = max(newest.get(host, 0.0), kept.observed_at)
+            for stored in table.rows_by_slot.values():
+                if isinstance(stored.row, ReportRow):
+                    host = stored.row.report.host
+                    newest[host] = max(newest.get(host, 0.0), stored.observed_at)
         ages += [network.now - at for at in newest.values()]
 
 
-def _spread(network: Network, load: Load, *, index: int) -> float:
+def _time_row(network: Network, load: Load, *, index: int) -> float:
     row = SuspicionRow(fingerprint=f"fingerprint-{index}", n_crashes=1)
     origin = network.nodes[index * 7 % len(network.nodes)]
     waiting = {node.name for node in network.nodes if node is not origin}
-    passed = 0.0
-    while waiting and passed < 60:
+    elapsed = 0.0
+    while waiting and elapsed < 60:
         load.refresh()
         origin.rows.append((row, None))
         network.run(0.05)
-        passed += 0.05
+        elapsed += 0.05
         for node in network.nodes:
             if any(delivery.observation == row for delivery in node.deliveries):
                 waiting.discard(node.name)
             node.deliveries.clear()
-    return passed
+    return elapsed
 
 
-def _spread_version(network: Network, load: Load, *, index: int) -> float:
+def _time_version(network: Network, load: Load, *, index: int) -> float:
     version = index + 1
     network.nodes[0].configuration = configuration(version)
-    passed = 0.0
-    while passed < 60:
+    elapsed = 0.0
+    while elapsed < 60:
         load.refresh()
         network.run(0.05)
-        passed += 0.05
+        elapsed += 0.05
         for node in network.nodes:
             node.deliveries.clear()
         if all(
             node.exchange.configuration.version == version for node in network.nodes
         ):
             break
-    return passed
+    return elapsed
 
 
 #: Numbers of nodes, zones, workers and client accounts of each fleet.
