--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -108,7 +108,20 @@
 
 @dataclass(slots=True, kw_only=True)
 class Load:
-    """Capacity, load and burst of one run; times in seconds."""
+    """Capacity, load and burst of one run; times in seconds.
+
+    Attributes
+    ----------
+    burst_factor : float
+        Load of account large-1 during the burst, as a multiple of its usual load.
+    lender_returns : float
+        Time until which account large-2 sends nothing and afterwards three times its
+        usual load; 0 for its usual load throughout.
+    deadline : float
+        Time from a request's arrival to its deadline.
+    mean_service : float
+        Mean service time of a request.
+    """
 
     n_slots: int = 64
     seconds: float = 180.0
@@ -123,7 +136,7 @@
 def arrivals(load: Load, seed: int) -> list[tuple[Arrival, float]]:
     """Return arrivals in order of time, each with its service time in seconds."""
     rng = random.Random(seed)
-    made = []
+    drawn = []
     per_second = load.n_slots / load.mean_service
     for name, (share, priority) in (LARGE | SMALL).items():
         usual = 0.8 * share if name in LARGE else 0.5 * share
@@ -143,16 +156,16 @@
             service = tokens / 200.0 * load.mean_service * rng.uniform(0.5, 1.5)
             work = ChatWork(model="m", messages=[], max_tokens=tokens, streamed=True)
             arrival = Arrival(
-                request_id=f"{name}-{len(made)}",
+                request_id=f"{name}-{len(drawn)}",
                 client_account=name,
                 work=work,
                 arrived_at=now,
                 deadline=now + load.deadline,
                 priority=priority,
             )
-            made.append((arrival, service))
-    made.sort(key=lambda pair: pair[0].arrived_at)
-    return made
+            drawn.append((arrival, service))
+    drawn.sort(key=lambda pair: pair[0].arrived_at)
+    return drawn
 
 
 def accounts() -> dict[str, ClientAccount]:
@@ -309,7 +322,7 @@
         f"{'policy':18} {'account':8} {'prio':>4} {'served':>6} {'p50':>6} {'p95':>6} "
         f"{'p99':>6} {'refused':>7} {'ref. p95 s':>10}"
     )
-    plain: dict[str, float] = {}
+    fifo_p99: dict[str, float] = {}
     for policy, (admission, at_release) in policies(load).items():
         result = serve(admission, load, offered, at_release=at_release)
         for name, (_, priority) in (LARGE | SMALL).items():
@@ -317,12 +330,12 @@
             refused = result.refused_by_account[name]
             p99 = percentile(waits, 99)
             if policy == "fifo":
-                plain[name] = p99
+                fifo_p99[name] = p99
             print(
                 f"{policy:18} {name:8} {priority:4d} {len(waits):6d} "
                 f"{percentile(waits, 50):6.2f} {percentile(waits, 95):6.2f} "
                 f"{p99:6.2f} {len(refused):7d} {percentile(refused, 95):10.2f}"
-                f"  p99 is {p99 / plain[name]:.3f} of fifo's"
+                f"  p99 is {p99 / fifo_p99[name]:.3f} of fifo's"
             )
         small = [wait for name in SMALL for wait in result.waits_by_account[name]]
         print(
--- a/benchmarks/compare_days.py
+++ b/benchmarks/compare_days.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Played:
+class PlayOutcome:
     """Outcome of one play.
 
     Attributes
@@ -74,24 +74,24 @@
 
     def __init__(self, path: Path) -> None:
         self._path = path
-        self.by_play: dict[Play, Played] = {}
+        self.by_play: dict[Play, PlayOutcome] = {}
         if path.exists():
             for line in path.read_text().splitlines():
                 read = json.loads(line)
-                self._put(Played(**(read | {"play": Play(**read["play"])})))
+                self._store(PlayOutcome(**(read | {"play": Play(**read["play"])})))
 
-    def add(self, played: Played) -> None:
+    def add(self, outcome: PlayOutcome) -> None:
         """Store an outcome; a failed play is not saved, and the next run repeats it."""
-        self._put(played)
-        if played.worth is not None:
+        self._store(outcome)
+        if outcome.worth is not None:
             with self._path.open("a") as file:
-                file.write(json.dumps(asdict(played)) + "\n")
+                file.write(json.dumps(asdict(outcome)) + "\n")
 
-    def _put(self, played: Played) -> None:
-        self.by_play[played.play] = played
+    def _store(self, outcome: PlayOutcome) -> None:
+        self.by_play[outcome.play] = outcome
 
 
-def play_day(play: Play, *, player: str, folder: Path, deployment: Path) -> Played:
+def play_day(play: Play, *, player: str, folder: Path, deployment: Path) -> PlayOutcome:
     """Play one day in a variant's checkout and return the outcome."""
     with tempfile.TemporaryDirectory() as reports:
         report = Path(reports) / "report.json"
@@ -104,10 +104,10 @@
         ended = subprocess.run(command, cwd=folder, capture_output=True, check=False)
         if not report.exists():
             print(f"{play}: no report, {ended.stdout[-300:]!r}", flush=True)
-            return Played(play=play, worth=None)
+            return PlayOutcome(play=play, worth=None)
         read = json.loads(report.read_text())
     credit = sum(weight * value for _, weight, value in read.get("parts", ()))
-    return Played(
+    return PlayOutcome(
         play=play, worth=read["G"], credit=credit, breaks=read.get("breaks", {})
     )
 
@@ -117,9 +117,9 @@
 ) -> list[float]:
     """Return the scores of a variant's days minus those of the first variant's."""
     worth_by_pair: dict[tuple[str, str, str], dict[str, float]] = defaultdict(dict)
-    for play, played in results.by_play.items():
-        if play.deployment == deployment and played.worth is not None:
-            worth_by_pair[play.day_key][play.variant] = played.worth
+    for play, outcome in results.by_play.items():
+        if play.deployment == deployment and outcome.worth is not None:
+            worth_by_pair[play.day_key][play.variant] = outcome.worth
     return [
         worths[variant] - worths[first]
         for worths in worth_by_pair.values()
@@ -134,44 +134,44 @@
     for deployment in sorted({play.deployment for play in results.by_play}):
         for variant in variants:
             days = [
-                played
-                for play, played in results.by_play.items()
+                outcome
+                for play, outcome in results.by_play.items()
                 if (play.variant, play.deployment) == (variant, deployment)
-                and played.worth is not None
+                and outcome.worth is not None
             ]
             if not days:
                 continue
-            found = differences(
+            score_differences = differences(
                 results, variant=variant, first=variants[0], deployment=deployment
             )
-            broken = sum(bool(played.breaks) for played in days)
-            worth = statistics.mean(played.worth for played in days)
-            credit = statistics.mean(played.credit for played in days)
+            broken = sum(bool(outcome.breaks) for outcome in days)
+            worth = statistics.mean(outcome.worth for outcome in days)
+            credit = statistics.mean(outcome.credit for outcome in days)
             yield (
                 f"| {deployment} | {variant} | {len(days)} | {worth:.4f} "
-                f"| {credit:.4f} | {_spread(found)} | {broken} |"
+                f"| {credit:.4f} | {_spread(score_differences)} | {broken} |"
             )
 
 
-def _spread(found: list[float]) -> str:
-    if len(found) < 2:
+def _spread(score_differences: list[float]) -> str:
+    if len(score_differences) < 2:
         return "-"
-    error = statistics.stdev(found) / math.sqrt(len(found))
-    return f"{statistics.mean(found):+.4f} ± {error:.4f}"
+    error = statistics.stdev(score_differences) / math.sqrt(len(score_differences))
+    return f"{statistics.mean(score_differences):+.4f} ± {error:.4f}"
 
 
 def plot(results: Results, *, variants: list[str]) -> Iterator[str]:
     """Yield a line for each day and variant: the difference to the first variant."""
-    for played in sorted(results.by_play.values(), key=lambda item: item.play.day_key):
-        play = played.play
+    for outcome in sorted(results.by_play.values(), key=lambda item: item.play.day_key):
+        play = outcome.play
         first = results.by_play.get(
             Play(**(asdict(play) | {"variant": variants[0]})),
         )
         if play.variant == variants[0] or play.variant not in variants:
             continue
-        if first is None or None in (first.worth, played.worth):
+        if first is None or None in (first.worth, outcome.worth):
             continue
-        difference = played.worth - first.worth
+        difference = outcome.worth - first.worth
         column = max(-PLOT_SIDE, min(PLOT_SIDE, round(difference / PLOT_STEP)))
         row = [" "] * (2 * PLOT_SIDE + 1)
         row[PLOT_SIDE] = "|"
@@ -203,7 +203,7 @@
         )
     ]
     with ThreadPoolExecutor(arguments.jobs) as pool:
-        for played in pool.map(
+        for outcome in pool.map(
             lambda play: play_day(
                 play,
                 player=arguments.player,
@@ -212,7 +212,7 @@
             ),
             [play for play in plays if play not in results.by_play],
         ):
-            results.add(played)
+            results.add(outcome)
     for line in (
         *plot(results, variants=list(folders)),
         "",
--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -22,6 +22,8 @@
 
 ZONES = ("brisbane", "ipswich", "toowoomba")
 N_ENTRIES = 8
+
+#: Entry host that cannot reach the log, and the address it has for the log.
 CUT_OFF = "e7"
 NOWHERE = "127.0.0.1:9"
 
@@ -50,17 +52,19 @@
     return {"models": {}, "client_accounts": accounts}
 
 
-def _follow(url: str, version: int, started: float, taken: list[float]) -> None:
+def _wait_for_version(
+    url: str, version: int, started: float, durations: list[float]
+) -> None:
     pause = threading.Event()
     while time.monotonic() - started < 60:
         text = httpx.get(f"{url}/metrics", timeout=5).text
         name = "ryelever_configuration_version "
         lines = [line for line in text.splitlines() if line.startswith(name)]
         if any(float(line.split()[1]) >= version for line in lines):
-            taken.append(time.monotonic() - started)
+            durations.append(time.monotonic() - started)
             return
         pause.wait(0.05)
-    taken.append(float("inf"))
+    durations.append(float("inf"))
 
 
 def _publish_and_time(
@@ -69,10 +73,13 @@
     document = _document(number, n_accounts=n_accounts)
     started = time.monotonic()
     fleet.publish(document, base_version=number - 1)
-    taken_by_name: dict[str, list[float]] = {name: [] for name in fleet.entries_by_name}
+    durations_by_name: dict[str, list[float]] = {
+        name: [] for name in fleet.entries_by_name
+    }
     threads = [
         threading.Thread(
-            target=_follow, args=(entry.url, number, started, taken_by_name[name])
+            target=_wait_for_version,
+            args=(entry.url, number, started, durations_by_name[name]),
         )
         for name, entry in fleet.entries_by_name.items()
     ]
@@ -80,7 +87,7 @@
         thread.start()
     for thread in threads:
         thread.join()
-    return {name: taken[0] for name, taken in taken_by_name.items()}
+    return {name: durations[0] for name, durations in durations_by_name.items()}
 
 
 def main(*, n_rounds: int = 10, n_accounts: int = 100) -> None:
--- a/benchmarks/day_account.py
+++ b/benchmarks/day_account.py
@@ -42,6 +42,17 @@
 
     Events are handled by the method named after the event with a leading underscore;
     other events are ignored.
+
+    Attributes
+    ----------
+    serving : dict of str to tuple of str
+        Model and host of each serving group, by group name and epoch.
+    groups_at, demand_at : dict
+        Serving groups, and demand, by model and by row of the first table.
+    idle_by_zone : dict
+        Time, idle servers by reason, and serving servers of each zone's last report.
+    ended : dict of str to Line
+        The log line that ended each group that is not retired yet.
     """
 
     serving: dict[str, tuple[str, str]] = field(default_factory=dict)
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -166,19 +166,19 @@
     """Print the costs of log lines, streams, events and heartbeats."""
     print(f"a log line:            {_best(log_line_time) * 1e6:.0f} us")
     one = _best(lambda: stream_time(1))
-    many = _best(lambda: stream_time(N_EVENTS))
-    event = (many - one) / (N_EVENTS - 1)
+    long = _best(lambda: stream_time(N_EVENTS))
+    event = (long - one) / (N_EVENTS - 1)
     print(f"a stream of one event: {one * 1e6:.0f} us")
     print(f"each further event:    {event * 1e6:.1f} us")
-    write = _best(encoding_time)
+    encoding = _best(encoding_time)
     n_bytes = len(encode_heartbeat(_heartbeat(1, 1)))
-    print(f"a heartbeat: {write * 1e6:.0f} us to encode, {n_bytes} bytes")
+    print(f"a heartbeat: {encoding * 1e6:.0f} us to encode, {n_bytes} bytes")
     for n_hosts, n_in_zone, n_zones in FLEETS:
         rate = heartbeats_per_second(n_in_zone, n_zones)
-        take = _best(lambda own=n_in_zone, zones=n_zones: handling_time(own, zones))
-        share = (rate * take + write / HEARTBEAT_INTERVAL) * 100
+        handling = _best(lambda own=n_in_zone, zones=n_zones: handling_time(own, zones))
+        share = (rate * handling + encoding / HEARTBEAT_INTERVAL) * 100
         print(
-            f"{n_hosts} hosts: {take * 1e6:.0f} us to handle a heartbeat,"
+            f"{n_hosts} hosts: {handling * 1e6:.0f} us to handle a heartbeat,"
             f" {rate:.0f} heartbeats a second, {share:.1f}% of a core,"
             f" {rate * n_bytes / 1000:.1f} KB received a second"
         )
--- a/benchmarks/retry.py
+++ b/benchmarks/retry.py
@@ -113,7 +113,7 @@
     n_refused: int = 0
 
 
-def poison(*, plain: bool, n_groups: int, n_streams: int, seed: int) -> PoisonResult:
+def poison(*, baseline: bool, n_groups: int, n_streams: int, seed: int) -> PoisonResult:
     """Simulate 30 s in which a caller sends a poison request to ten entry hosts.
 
     The caller sends the request ten times, 1 s after each failure, to the entry hosts
@@ -124,7 +124,7 @@
     """
     fleets = [FakeFleet(zones={"a": n_groups}) for _ in range(10)]
     routers = [
-        RoundRobinRouter(fleet=fleet) if plain else fleet.router(seed=seed + number)
+        RoundRobinRouter(fleet=fleet) if baseline else fleet.router(seed=seed + number)
         for number, fleet in enumerate(fleets)
     ]
     generator = random.Random(seed)
@@ -169,7 +169,7 @@
             fleet, router = fleets[number], routers[number]
             is_poison = arrival.fingerprint == "poison"
             verdict = fleet.quarantine.verdict(arrival.fingerprint, now=now)
-            if verdict is not None and not plain:
+            if verdict is not None and not baseline:
                 totals.n_refused += not is_poison
                 continue
             target = router.choose(arrival, tried=tried, now=now)
@@ -230,12 +230,14 @@
     )
     seeds = range(31, 36)
     for n_groups, n_streams in ((12, 50), (24, 100), (24, 400)):
-        for plain in (True, False):
+        for baseline in (True, False):
             runs = [
-                poison(plain=plain, n_groups=n_groups, n_streams=n_streams, seed=seed)
+                poison(
+                    baseline=baseline, n_groups=n_groups, n_streams=n_streams, seed=seed
+                )
                 for seed in seeds
             ]
-            name = "three retries" if plain else "quarantine"
+            name = "three retries" if baseline else "quarantine"
             label = f"{n_groups} groups, {n_streams} streams, {name}"
             crashes = " ".join(str(run.n_crashes) for run in runs)
             n_bystanders = sum(run.n_bystanders for run in runs)
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -11,6 +11,8 @@
 import time
 from dataclasses import dataclass, field
 
+from ryelever.coordination.routing.least_in_flight import LeastInFlightRouter
+
 from benchmarks.routing_driver import (
     DURATION,
     REPORT_LAG,
@@ -25,7 +27,6 @@
 from benchmarks.routing_trials import HintedRouter, RoundRobinRouter, ScoredRouter
 from ryelever.coordination.actions import Arrival
 from ryelever.coordination.admission.capacity import GroupCapacity
-from ryelever.coordination.routing.plain import LeastInFlightRouter
 
 SEEDS = (11, 12)
 ZONES = {"a": 12, "b": 12}
@@ -300,9 +301,9 @@
     for n_groups in (10, 100, 800):
         fleet = FakeFleet(zones={"a": n_groups}, members=4)
         fleet.report_all(asked_at=0.0)
-        plain = LeastInFlightRouter(targets=fleet.targets.for_arrival)
+        least_in_flight = LeastInFlightRouter(targets=fleet.targets.for_arrival)
         for name, router, n_choices in (
-            ("least own in flight", plain, 200),
+            ("least own in flight", least_in_flight, 200),
             ("affinity", fleet.router(), 5000),
         ):
             seconds = _seconds_per_choice(router, n_choices)
--- a/benchmarks/slopes_operators.py
+++ b/benchmarks/slopes_operators.py
@@ -120,11 +120,11 @@
     """Measure rendering of the metrics page; x: histograms."""
 
     def build(n_histograms: int) -> Metrics:
-        made = Metrics()
+        registry = Metrics()
         for number in range(n_histograms):
             for value in range(20):
-                made.observe(f"duration_{number}", 0.001 * 2**value)
-        return made
+                registry.observe(f"duration_{number}", 0.001 * 2**value)
+        return registry
 
     for what, unit, measure in (
         ("ms a page", "ms", lambda n: ms(build(n).render, n_times=3)),
