--- a/benchmarks/day_of_faults.py
+++ b/benchmarks/day_of_faults.py
@@ -201,7 +201,7 @@
                 self.last_change_at = self.zone.now
 
     def _run_requests(self) -> None:
-        """Set one running request a group; a draining group's ends after 20 s."""
+        """Keep a request running in each group; it ends 20 s after draining began."""
         zone = self.zone
         for group in zone.truth.groups_by_name.values():
             drained_for = 0.0
--- a/benchmarks/host_cost.py
+++ b/benchmarks/host_cost.py
@@ -54,7 +54,7 @@
         return -(-self.n_hosts // self.n_zones)
 
 
-#: Fleets that the users run, and last the largest fleet to design for.
+#: Fleets as the users run them, and last the fleet that the system is designed for.
 SIZES = (
     FleetSize(n_hosts=6, n_zones=3, n_servers=66),
     FleetSize(n_hosts=30, n_zones=3, n_servers=150),
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -73,7 +73,7 @@
     first : list of float
         Seconds from arrival to the first token.
     n_blocks, n_cached : int
-        Prompt blocks in all, and blocks found in the engines' prefix caches.
+        Prompt blocks in total, and blocks found in the engines' prefix caches.
     n_shared : int
         Requests answered by an identical request in flight.
     """
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -3,8 +3,8 @@
 Each role is measured at three sizes or more: in this process with the product's own
 code, or with real processes where sockets cause the cost.  A line is fitted to the
 figures by least squares.  The table lists the figures, the line, the largest deviation
-from the line, and the figure at the design size, for which the system is built.
-docs/CAPACITY.md quotes the table::
+from the line, and the figure at the design size, for which the system is built.  In
+the docstrings of the roles, x is the size.  docs/CAPACITY.md quotes the table::
 
     .venv/bin/python -m benchmarks.slopes
 """
--- a/benchmarks/stale_balance.py
+++ b/benchmarks/stale_balance.py
@@ -172,11 +172,11 @@
     Returns
     -------
     found : list of int
-        For each request, the requests already running at its group.
+        For each request after the first 2 s, the requests already at its group.
     n_refused : int
-        Requests that no server could take.
+        Requests for which the balancer chose no server.
     n_far : int
-        Requests sent to another availability zone.
+        Requests after the first 2 s that were sent to another availability zone.
     """
     rng = random.Random(seed)
     hosts = Hosts(size, seed=seed)
