--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -11,8 +11,6 @@
 import time
 from dataclasses import dataclass, field
 
-from ryelever.coordination.routing.least_in_flight import LeastInFlightRouter
-
 from benchmarks.routing_driver import (
     DURATION,
     REPORT_LAG,
@@ -27,6 +25,7 @@
 from benchmarks.routing_trials import HintedRouter, RoundRobinRouter, ScoredRouter
 from ryelever.coordination.actions import Arrival
 from ryelever.coordination.admission.capacity import GroupCapacity
+from ryelever.coordination.routing.plain import LeastInFlightRouter
 
 SEEDS = (11, 12)
 ZONES = {"a": 12, "b": 12}
