--- a/benchmarks/compare_days.py
+++ b/benchmarks/compare_days.py
@@ -1,11 +1,11 @@
-"""Compare variants of the code on the same played days, in pairs.
+"""Compare variants of the code pairwise on the same emulated days.
 
-Each variant is a checkout of its own.  A player is any command that plays one day of a
-deployment inside a checkout and writes what came of it as JSON, with the worth under
-``G`` and broken promises under ``breaks``; ``{deployment}``, ``{day}``, ``{seed}`` and
-``{report}`` in its words are filled in.  The first variant is the one that the others
-are held against.  What has been played is kept and not played again, so that a run
-that was stopped goes on where it was::
+Each variant is a checkout of its own.  The player is a command that plays one day of a
+deployment inside a checkout and writes a JSON report, with the day's score under ``G``
+and broken promises under ``breaks``.  ``{deployment}``, ``{day}``, ``{seed}`` and
+``{report}`` in the player's arguments are filled in.  The first variant is the baseline
+of the others.  Results are saved as they come in, and a stopped run resumes without
+playing a saved day again::
 
     python -m benchmarks.compare_days --results FILE --player "PLAYER run {deployment}
         {day} --seed {seed} --small --report {report}" --variant stands=DIR
@@ -29,14 +29,14 @@
 from pathlib import Path
 from typing import Any
 
-#: Columns of the plot, on each side of no difference, and the worth that one shows.
+#: Columns of the plot on each side of zero difference, and the score of one column.
 PLOT_SIDE = 30
 PLOT_STEP = 0.005
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Play:
-    """Name one day as one variant plays it."""
+    """Identify one play: a day of a deployment with a seed, played by a variant."""
 
     variant: str
     deployment: str
@@ -44,23 +44,23 @@
     seed: str
 
     @property
-    def pair(self) -> tuple[str, str, str]:
-        """Return what plays of other variants are held against."""
+    def day_key(self) -> tuple[str, str, str]:
+        """Return the key that the plays of all variants on one day share."""
         return self.deployment, self.day, self.seed
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Played:
-    """Hold what came of a day.
+class PlayOutcome:
+    """Outcome of one play.
 
     Attributes
     ----------
     worth : float or None
-        None where the day was not played to its end.
+        Score of the day; None if the day was not played to its end.
     breaks : dict of str to int
         Broken promises by name.
     credit : float
-        Worth of the whole day before prices.
+        Sum of the weighted parts of the score, before prices.
     """
 
     play: Play
@@ -70,44 +70,44 @@
 
 
 class Results:
-    """Keep what was played, one line of JSON a day."""
+    """Store outcomes in a file, one line of JSON for each play."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
-        self.by_play: dict[Play, Played] = {}
+        self.by_play: dict[Play, PlayOutcome] = {}
         if path.exists():
             for line in path.read_text().splitlines():
                 read = json.loads(line)
-                self._put(Played(**(read | {"play": Play(**read["play"])})))
+                self._store(PlayOutcome(**(read | {"play": Play(**read["play"])})))
 
-    def add(self, played: Played) -> None:
-        """Take the outcome of a day; one that failed is played again next time."""
-        self._put(played)
-        if played.worth is not None:
+    def add(self, outcome: PlayOutcome) -> None:
+        """Store an outcome; a failed play is not saved, and the next run repeats it."""
+        self._store(outcome)
+        if outcome.worth is not None:
             with self._path.open("a") as file:
-                file.write(json.dumps(asdict(played)) + "\n")
+                file.write(json.dumps(asdict(outcome)) + "\n")
 
-    def _put(self, played: Played) -> None:
-        self.by_play[played.play] = played
+    def _store(self, outcome: PlayOutcome) -> None:
+        self.by_play[outcome.play] = outcome
 
 
-def play_day(play: Play, *, player: str, folder: Path, deployment: Path) -> Played:
-    """Play one day in a variant's checkout."""
+def play_day(play: Play, *, player: str, folder: Path, deployment: Path) -> PlayOutcome:
+    """Play one day in a variant's checkout and return the outcome."""
     with tempfile.TemporaryDirectory() as reports:
         report = Path(reports) / "report.json"
-        words = [
-            word.format(
+        command = [
+            argument.format(
                 deployment=deployment, day=play.day, seed=play.seed, report=report
             )
-            for word in shlex.split(player)
+            for argument in shlex.split(player)
         ]
-        ended = subprocess.run(words, cwd=folder, capture_output=True, check=False)
+        ended = subprocess.run(command, cwd=folder, capture_output=True, check=False)
         if not report.exists():
             print(f"{play}: no report, {ended.stdout[-300:]!r}", flush=True)
-            return Played(play=play, worth=None)
+            return PlayOutcome(play=play, worth=None)
         read = json.loads(report.read_text())
     credit = sum(weight * value for _, weight, value in read.get("parts", ()))
-    return Played(
+    return PlayOutcome(
         play=play, worth=read["G"], credit=credit, breaks=read.get("breaks", {})
     )
 
@@ -115,11 +115,11 @@
 def differences(
     results: Results, *, variant: str, first: str, deployment: str
 ) -> list[float]:
-    """Return by how much a variant's days are worth more than the first one's."""
+    """Return the scores of a variant's days minus those of the first variant's."""
     worth_by_pair: dict[tuple[str, str, str], dict[str, float]] = defaultdict(dict)
-    for play, played in results.by_play.items():
-        if play.deployment == deployment and played.worth is not None:
-            worth_by_pair[play.pair][play.variant] = played.worth
+    for play, outcome in results.by_play.items():
+        if play.deployment == deployment and outcome.worth is not None:
+            worth_by_pair[play.day_key][play.variant] = outcome.worth
     return [
         worths[variant] - worths[first]
         for worths in worth_by_pair.values()
@@ -128,50 +128,50 @@
 
 
 def table(results: Results, *, variants: list[str]) -> Iterator[str]:
-    """Yield the lines of the table: means, and differences in pairs."""
+    """Yield the lines of the table: mean scores, and mean pairwise differences."""
     yield "| deployment | variant | days | worth | credit | difference | broken |"
     yield "|---|---|---|---|---|---|---|"
     for deployment in sorted({play.deployment for play in results.by_play}):
         for variant in variants:
             days = [
-                played
-                for play, played in results.by_play.items()
+                outcome
+                for play, outcome in results.by_play.items()
                 if (play.variant, play.deployment) == (variant, deployment)
-                and played.worth is not None
+                and outcome.worth is not None
             ]
             if not days:
                 continue
-            found = differences(
+            score_differences = differences(
                 results, variant=variant, first=variants[0], deployment=deployment
             )
-            broken = sum(bool(played.breaks) for played in days)
-            worth = statistics.mean(played.worth for played in days)
-            credit = statistics.mean(played.credit for played in days)
+            broken = sum(bool(outcome.breaks) for outcome in days)
+            worth = statistics.mean(outcome.worth for outcome in days)
+            credit = statistics.mean(outcome.credit for outcome in days)
             yield (
                 f"| {deployment} | {variant} | {len(days)} | {worth:.4f} "
-                f"| {credit:.4f} | {_spread(found)} | {broken} |"
+                f"| {credit:.4f} | {_spread(score_differences)} | {broken} |"
             )
 
 
-def _spread(found: list[float]) -> str:
-    if len(found) < 2:
+def _spread(score_differences: list[float]) -> str:
+    if len(score_differences) < 2:
         return "-"
-    error = statistics.stdev(found) / math.sqrt(len(found))
-    return f"{statistics.mean(found):+.4f} ± {error:.4f}"
+    error = statistics.stdev(score_differences) / math.sqrt(len(score_differences))
+    return f"{statistics.mean(score_differences):+.4f} ± {error:.4f}"
 
 
 def plot(results: Results, *, variants: list[str]) -> Iterator[str]:
-    """Yield a line a day and variant that shows the difference to the first one."""
-    for played in sorted(results.by_play.values(), key=lambda item: item.play.pair):
-        play = played.play
+    """Yield a line for each day and variant: the difference to the first variant."""
+    for outcome in sorted(results.by_play.values(), key=lambda item: item.play.day_key):
+        play = outcome.play
         first = results.by_play.get(
             Play(**(asdict(play) | {"variant": variants[0]})),
         )
         if play.variant == variants[0] or play.variant not in variants:
             continue
-        if first is None or None in (first.worth, played.worth):
+        if first is None or None in (first.worth, outcome.worth):
             continue
-        difference = played.worth - first.worth
+        difference = outcome.worth - first.worth
         column = max(-PLOT_SIDE, min(PLOT_SIDE, round(difference / PLOT_STEP)))
         row = [" "] * (2 * PLOT_SIDE + 1)
         row[PLOT_SIDE] = "|"
@@ -189,30 +189,30 @@
     parser.add_argument("--day", action="append", default=[])
     parser.add_argument("--seed", action="append", default=[])
     parser.add_argument("--jobs", type=int, default=1)
-    asked = parser.parse_args()
+    arguments = parser.parse_args()
     folders = {
         name: Path(folder)
-        for name, _, folder in (item.partition("=") for item in asked.variant)
+        for name, _, folder in (item.partition("=") for item in arguments.variant)
     }
-    deployments = {path.stem: path for path in asked.deployment}
-    results = Results(asked.results)
+    deployments = {path.stem: path for path in arguments.deployment}
+    results = Results(arguments.results)
     plays = [
         Play(variant=variant, deployment=deployment, day=day, seed=seed)
         for deployment, day, seed, variant in product(
-            deployments, asked.day, asked.seed, folders
+            deployments, arguments.day, arguments.seed, folders
         )
     ]
-    with ThreadPoolExecutor(asked.jobs) as pool:
-        for played in pool.map(
+    with ThreadPoolExecutor(arguments.jobs) as pool:
+        for outcome in pool.map(
             lambda play: play_day(
                 play,
-                player=asked.player,
+                player=arguments.player,
                 folder=folders[play.variant],
                 deployment=deployments[play.deployment],
             ),
             [play for play in plays if play not in results.by_play],
         ):
-            results.add(played)
+            results.add(outcome)
     for line in (
         *plot(results, variants=list(folders)),
         "",
--- a/benchmarks/day_account.py
+++ b/benchmarks/day_account.py
@@ -1,9 +1,9 @@
-"""Account for a day: groups against demand, idle servers, and what requests met.
+"""Summarize the entry hosts' logs of a day: groups, idle servers, request outcomes.
 
-Reads what the entry hosts wrote on a day that was played, one line of JSON each after
-whatever stands before it, and prints three tables: every two seconds the groups that
-serve and the demand by model; server-seconds that served nobody by what they waited
-for; and requests by what became of them, with the time that they waited for a place::
+Reads log lines (a JSON object after an optional time and host name) and prints three
+tables: the serving groups and the demand of each model every two seconds; the idle
+server-seconds by the reason for idleness; and durations of group phases, failures and
+answers by kind::
 
     .venv/bin/python -m benchmarks.day_account LOG [LOG ...]
 """
@@ -20,16 +20,16 @@
 from pathlib import Path
 from typing import Any
 
-#: A line may begin with a time in seconds from the start of traffic, and the host.
+#: A log line: optional seconds since the start of traffic, optional host, JSON object.
 LINE = re.compile(r"^\s*(?P<at>-?\d+\.\d+)?\s*(?P<host>\S+)?\s*(?P<json>\{.*\})\s*$")
 
-#: Seconds of a row of the first table.
+#: Seconds that one row of the first table covers.
 STEP = 2.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Line:
-    """Hold one line: seconds from the start of traffic, who wrote it, and fields."""
+    """One log line: seconds since the start of traffic, writing host, and fields."""
 
     at: float
     host: str
@@ -37,8 +37,23 @@
 
 
 @dataclass(slots=True)
-class Day:
-    """Add up what the lines of a day tell."""
+class DayTotals:
+    """Totals of a day's log lines; times and durations in seconds.
+
+    Events are handled by the method named after the event with a leading underscore;
+    other events are ignored.
+
+    Attributes
+    ----------
+    serving : dict of str to tuple of str
+        Model and host of each serving group, by group name and epoch.
+    groups_at, demand_at : dict
+        Serving groups, and demand, by model and by row of the first table.
+    idle_by_zone : dict
+        Time, idle servers by reason, and serving servers of each zone's last report.
+    ended : dict of str to Line
+        The log line that ended each group that is not retired yet.
+    """
 
     serving: dict[str, tuple[str, str]] = field(default_factory=dict)
     groups_at: dict[int, Counter[str]] = field(default_factory=dict)
@@ -49,12 +64,12 @@
         default_factory=dict
     )
     ended: dict[str, Line] = field(default_factory=dict)
-    took: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+    durations: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
     failures: Counter[str] = field(default_factory=Counter)
     answers: Counter[str] = field(default_factory=Counter)
 
-    def take(self, line: Line) -> None:
-        """Take one line."""
+    def add(self, line: Line) -> None:
+        """Add one line to the totals."""
         step = int(line.at // STEP)
         handler = getattr(self, f"_{line.fields['event']}", None)
         if handler is not None:
@@ -66,7 +81,7 @@
         name = f"{fields['group']}/{fields['epoch']}"
         if fields["phase"] == "serving":
             self.serving[name] = (fields["model"], line.host)
-            self.took["formed"].append(fields.get("took", 0.0))
+            self.durations["formed"].append(fields.get("took", 0.0))
         elif fields["phase"] == "ending":
             self.serving.pop(name, None)
             self.ended[name] = line
@@ -75,7 +90,7 @@
             self.serving.pop(name, None)
             if name in self.ended:
                 waited = line.at - self.ended.pop(name).at
-                self.took[f"retired: {fields['reason']}"].append(waited)
+                self.durations[f"retired: {fields['reason']}"].append(waited)
 
     def _models_weighed(self, line: Line, fields: dict[str, Any]) -> None:
         self.demand_at[int(line.at // STEP)] = fields["demand"]
@@ -88,8 +103,8 @@
             self.serving_seconds += passed * n_serving
             for reason, count in counts.items():
                 self.idle_seconds[reason] += passed * count
-        found = (line.at, fields["n_by_reason"], fields["n_serving"])
-        self.idle_by_zone[zone] = found
+        latest_counts = (line.at, fields["n_by_reason"], fields["n_serving"])
+        self.idle_by_zone[zone] = latest_counts
 
     def _attempt_failed(self, line: Line, fields: dict[str, Any]) -> None:
         self.failures[f"sending: {fields['reason']}"] += 1
@@ -102,8 +117,8 @@
         self.answers[f"answered {outcome}".strip()] += 1
 
 
-def read(path: Path) -> Iterator[Line]:
-    """Yield the lines of a file that are a host's."""
+def read_lines(path: Path) -> Iterator[Line]:
+    """Yield the lines of a file that hold an event of an entry host."""
     for text in path.read_text(errors="replace").splitlines():
         match = LINE.match(text)
         if match is None:
@@ -117,7 +132,7 @@
             yield Line(at=at, host=match["host"] or "", fields=fields)
 
 
-def show(day: Day) -> None:
+def print_tables(day: DayTotals) -> None:
     """Print the tables of a day."""
     models = sorted({model for counts in day.groups_at.values() for model in counts})
     print("from s | " + " | ".join(f"{model} groups, demand" for model in models))
@@ -132,7 +147,7 @@
     print(f"serving: {day.serving_seconds:.0f} server-seconds")
     for reason, seconds in day.idle_seconds.most_common():
         print(f"idle, {reason}: {seconds:.0f} server-seconds")
-    for what, seconds in sorted(day.took.items()):
+    for what, seconds in sorted(day.durations.items()):
         print(
             f"{what}: {len(seconds)} times, median {statistics.median(seconds):.2f} s"
         )
@@ -144,11 +159,11 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("logs", type=Path, nargs="+")
     for path in parser.parse_args().logs:
-        day = Day()
-        for line in sorted(read(path), key=lambda item: item.at):
-            day.take(line)
+        day = DayTotals()
+        for line in sorted(read_lines(path), key=lambda item: item.at):
+            day.add(line)
         print(f"## {path.name}")
-        show(day)
+        print_tables(day)
 
 
 if __name__ == "__main__":
