--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -137,8 +137,9 @@
     n_shares = n_rounds * N_ACCOUNTS
     print(
         f"{n:5d} hosts, {N_ACCOUNTS} accounts: {share_time / n_shares * 1e6:.1f} us a "
-        f"share, {share_time / n_shares * N_ACCOUNTS / SAMPLE_INTERVAL:.2%} of a core for all "
-        f"shares each {SAMPLE_INTERVAL:g} s; {waiting_time / n_shares * 1e6:.1f} us to count "
+        f"share, {share_time / n_shares * N_ACCOUNTS / SAMPLE_INTERVAL:.2%} of a core "
+        f"for all shares each {SAMPLE_INTERVAL:g} s; "
+        f"{waiting_time / n_shares * 1e6:.1f} us to count "
         f"waiting hosts; {row_time / n_shares / (n - 1) * 1e6:.1f} us to record a row"
     )
 
