--- a/benchmarks/stale_balance.py
+++ b/benchmarks/stale_balance.py
@@ -142,7 +142,7 @@
         balancer.peers_in_flight_by_id = received
         balancer.set_heartbeat_interval(
             interval=self.ticks * TICK,
-            n_near=self.per_zone - 1,
+            n_zone_peers=self.per_zone - 1,
             n_hosts=self.size.n_hosts,
         )
 
--- a/ryelever/coordination/relaying/actions.py
+++ b/ryelever/coordination/relaying/actions.py
@@ -25,7 +25,7 @@
         Monotonic time at which the backend server may stop.
     last_event_id : str
         Event after which a stream resumes; empty for a stream from its start.
-    fresh : bool
+    new_connection : bool
         True if the attempt must not use a connection that has been idle.
     """
 
@@ -37,7 +37,7 @@
     account: str
     priority: int | None
     last_event_id: str
-    fresh: bool
+    new_connection: bool
 
 
 class RelayRefusal(msgspec.Struct, kw_only=True, frozen=True):
@@ -95,7 +95,7 @@
     All times are in seconds.
     """
 
-    def sent(self, *, is_repeat: bool, limited: bool, waited: float) -> None:
+    def sent(self, *, is_retry: bool, limited: bool, waited: float) -> None:
         """Record an attempt and the time since its request arrived.
 
         Parameters
--- a/ryelever/coordination/relaying/balance.py
+++ b/ryelever/coordination/relaying/balance.py
@@ -27,18 +27,20 @@
 #: Penalty for a backend server of another availability zone, as a number of requests in
 #: flight. The round trip costs a few milliseconds, and the transferred bytes are
 #: charged for.
-OTHER_ZONE_PENALTY = 1.5
+REMOTE_ZONE_PENALTY = 1.5
 
 #: Penalty for a server in a zone from whose hosts no heartbeats are received, as a
 #: multiple of the server's capacity. Such a server is chosen only after all others that
 #: have a free slot.
 UNREACHABLE_ZONE_PENALTY = 2.0
 
-#: Backend servers examined for one request, and the minimum number of servers of other
-#: zones among them. Examining a server takes processor time, and a random sample of the
-#: servers of other zones is enough to find one with a free slot.
-MAX_CANDIDATES = 64
-MIN_FAR_CANDIDATES = 16
+#: Maximum number of backend servers that are all examined for a request. If there are
+#: more, all servers of this zone are examined, and a random sample of the others that
+#: makes up this number but has at least the minimum size. Examining a server takes
+#: processor time, and the sample shows as well where slots are free. If no examined
+#: server has a free slot, all servers are examined.
+SAMPLING_THRESHOLD = 64
+MIN_REMOTE_CANDIDATES = 16
 
 #: Seconds for which a backend server that failed to answer is avoided: after the first
 #: failure, and at most. The time doubles with each failure until a success.
@@ -165,9 +167,9 @@
 
         If the reported loads are up to date, this is the least loaded server. If other
         hosts may have sent requests that are not reported yet, the server is drawn at
-        random with weights that level the loads across all hosts. Otherwise all hosts
-        would send to the same least loaded server, and it would be full before any of
-        them learned of the others' requests.
+        random with weights that level the loads across all hosts. Without this draw,
+        all hosts would send to the same least loaded server, and it would be full
+        before any of them learned of the others' requests.
         """
         candidates = self.candidates(service, model)
         sampled = self._sampled(candidates)
@@ -179,11 +181,13 @@
         # Count the request being sent as well: otherwise, with nothing in flight, all
         # hosts would choose the same server as the least loaded one.
         n_in_flight = 1 + sum(option.in_flight for option in options)
-        near, far = self._unreported.expected((service, model), n_in_flight=n_in_flight)
+        local, remote = self._unreported.expected(
+            (service, model), n_in_flight=n_in_flight
+        )
         weights = spread_weights(
-            options, near=near, far=far, distance=OTHER_ZONE_PENALTY
+            options, local=local, remote=remote, remote_penalty=REMOTE_ZONE_PENALTY
         )
-        if near == far == 0.0:
+        if local == remote == 0.0:
             return options[weights.index(max(weights))].server
         return self._random.choices(options, weights)[0].server
 
@@ -196,10 +200,10 @@
         seconds: float,
         now: float,
     ) -> Allowance | None:
-        """Return the requests that rate limits allow for such work, or None.
+        """Return the requests that rate limits allow for a service and model, or None.
 
-        The result is None if a server without a limit can run the work, or if no server
-        can.
+        The result is None if a server without a limit can run such requests, or if no
+        server can.
 
         Parameters
         ----------
@@ -217,7 +221,7 @@
         return total
 
     def set_heartbeat_interval(
-        self, *, interval: float, n_near: int, n_hosts: int
+        self, *, interval: float, n_zone_peers: int, n_hosts: int
     ) -> None:
         """Set how often, and from how many hosts, heartbeats are received.
 
@@ -225,10 +229,12 @@
         ----------
         interval : float
             Seconds between two heartbeats of a host of this zone.
-        n_near, n_hosts : int
+        n_zone_peers, n_hosts : int
             Number of other hosts in this zone, and number of all hosts.
         """
-        self._unreported.set_interval(interval=interval, n_near=n_near, n_hosts=n_hosts)
+        self._unreported.set_interval(
+            interval=interval, n_zone_peers=n_zone_peers, n_hosts=n_hosts
+        )
 
     def sent(self, server_id: str) -> None:
         """Count a request as in flight to a backend server."""
@@ -284,14 +290,14 @@
 
     def _sampled(self, candidates: list[BackendServer]) -> list[BackendServer]:
         """Return all candidates, or this zone's and a random sample of the others."""
-        if len(candidates) <= MAX_CANDIDATES:
+        if len(candidates) <= SAMPLING_THRESHOLD:
             return candidates
         parts: tuple[list[BackendServer], list[BackendServer]] = ([], [])
         for server in candidates:
             parts[server.availability_zone != self._zone].append(server)
-        near, far = parts
-        n_far = max(MIN_FAR_CANDIDATES, MAX_CANDIDATES - len(near))
-        return near + self._random.sample(far, min(n_far, len(far)))
+        local, remote = parts
+        n_remote = max(MIN_REMOTE_CANDIDATES, SAMPLING_THRESHOLD - len(local))
+        return local + self._random.sample(remote, min(n_remote, len(remote)))
 
     def _available_loads(
         self, servers: list[BackendServer], *, excluded: set[str], now: float
--- a/ryelever/coordination/relaying/demand.py
+++ b/ryelever/coordination/relaying/demand.py
@@ -20,15 +20,14 @@
 #: token takes, so a demand computed with this share is a little high.
 TYPICAL_UTILIZATION = 0.6
 
-
 #: Weight of the operator's usual answer length in the average, as a number of answers.
 #: The shortest answers end first, and an average that begins with them shows half of
 #: the true length for the first twenty seconds of a host that gets three requests a
 #: second.
 PRIOR_ANSWERS = 10
 
-#: Minimum seconds for which arrivals count as having been averaged. With less, a single
-#: request would count as a burst.
+#: Minimum time in seconds over which arrivals are taken to be averaged. With less, the
+#: first request of a model would count as a burst.
 MIN_AVERAGED_TIME = 1.0
 
 
--- a/ryelever/coordination/relaying/lateness.py
+++ b/ryelever/coordination/relaying/lateness.py
@@ -19,8 +19,8 @@
     """Return why a request was late, or an empty string if it was on time.
 
     ``waited``: it waited for a free slot at a backend server. ``queued``: it was sent
-    without a long wait, and queued at the server. ``moved``: it had to be sent again.
-    ``paused``: one server paused too long between two events.
+    without a long wait and queued at the server, or was never sent. ``moved``: it had
+    to be sent again. ``paused``: one server paused too long between two events.
 
     Parameters
     ----------
--- a/ryelever/coordination/relaying/levelling.py
+++ b/ryelever/coordination/relaying/levelling.py
@@ -53,19 +53,19 @@
 class UnreportedRequests:
     """Estimate how many requests other hosts have sent since their last heartbeats."""
 
-    __slots__ = ("_far_share", "_interval", "_near_share", "_durations_by_work")
+    __slots__ = ("_remote_share", "_interval", "_local_share", "_durations_by_work")
 
     def __init__(self) -> None:
         self._interval = 0.0
-        self._near_share = 0.0
-        self._far_share = 0.0
+        self._local_share = 0.0
+        self._remote_share = 0.0
         self._durations_by_work: dict[tuple[str, str], RunningMean] = {}
 
-    def set_interval(self, *, interval: float, n_near: int, n_hosts: int) -> None:
+    def set_interval(self, *, interval: float, n_zone_peers: int, n_hosts: int) -> None:
         """Set how often, and from how many hosts, heartbeats are received."""
         self._interval = interval
-        self._near_share = n_near / max(1, n_hosts)
-        self._far_share = max(0, n_hosts - n_near - 1) / max(1, n_hosts)
+        self._local_share = n_zone_peers / max(1, n_hosts)
+        self._remote_share = max(0, n_hosts - n_zone_peers - 1) / max(1, n_hosts)
 
     def record_duration(self, work: tuple[str, str], seconds: float) -> None:
         """Record for how many seconds a request was in flight."""
@@ -81,53 +81,53 @@
     def expected(
         self, work: tuple[str, str], *, n_in_flight: float
     ) -> tuple[float, float]:
-        """Return how many requests hosts have sent since their last heartbeats.
+        """Estimate how many requests other hosts have sent since their last heartbeats.
 
         The first number is for hosts of this zone, the second for hosts of other zones.
-        In the mean time that one request is in flight, as many new requests are sent as
-        are in flight at once.
+        By Little's law, as many requests are sent during the mean duration of a request
+        as are in flight.
         """
         durations = self._durations_by_work.get(work)
         mean = (
             DEFAULT_DURATION if durations is None else max(MIN_DURATION, durations.mean)
         )
         n_new = n_in_flight * self._interval / mean
-        return n_new * self._near_share, n_new * self._far_share
+        return n_new * self._local_share, n_new * self._remote_share
 
 
 def spread_weights(
-    options: list[ServerLoad], *, near: float, far: float, distance: float
+    options: list[ServerLoad], *, local: float, remote: float, remote_penalty: float
 ) -> list[float]:
     """Return the weights with which to draw a server.
 
     Requests from hosts of other zones are assumed to go to the servers of those zones
     first, which raises the load of these servers. Requests from this zone's hosts go
     where they level the loads; servers of other zones count as more loaded by
-    ``distance``.
+    ``remote_penalty``.
 
     Parameters
     ----------
-    near, far : float
+    local, remote : float
         Requests that hosts of this zone and of other zones have sent and not reported
         yet.
-    distance : float
+    remote_penalty : float
         Number of requests by which a server of another zone counts as more loaded.
     """
     loads = [option.load for option in options]
     sizes = [option.server.slots for option in options]
-    far_indices = [
+    remote_indices = [
         index for index, option in enumerate(options) if not option.is_local_zone
     ]
     sent = _water_fill(
-        [loads[i] for i in far_indices], [sizes[i] for i in far_indices], far
+        [loads[i] for i in remote_indices], [sizes[i] for i in remote_indices], remote
     )
-    for index, amount in zip(far_indices, sent, strict=True):
-        loads[index] += distance + amount
-    return _water_fill(loads, sizes, max(near, MIN_ADDED))
+    for index, amount in zip(remote_indices, sent, strict=True):
+        loads[index] += remote_penalty + amount
+    return _water_fill(loads, sizes, max(local, MIN_ADDED))
 
 
 def _water_fill(loads: list[float], sizes: list[int], amount: float) -> list[float]:
-    """Return each server's part of some requests, given to the least loaded first.
+    """Return how many requests each server gets, the least loaded ones first.
 
     The requests fill the servers to a common level of load per slot; servers above that
     level get nothing.
--- a/ryelever/coordination/relaying/messages.py
+++ b/ryelever/coordination/relaying/messages.py
@@ -1,4 +1,4 @@
-"""Define the data by which relayed requests are decided."""
+"""Define the data on which decisions about relayed requests are based."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
     Attributes
     ----------
     signed : bool
-        True if the backend server has signed the body.
+        True if the answer carries the backend server's signature.
     not_run : bool
         True if the server promises not to have run the request.
     wrong_server : bool
--- a/ryelever/coordination/relaying/rate_limits.py
+++ b/ryelever/coordination/relaying/rate_limits.py
@@ -41,8 +41,9 @@
 #: to each zone.
 ENDED_ANNOUNCED_FOR = 5.0
 
-#: Seconds for which a server's limit is kept after the server's entry is gone: entries
-#: lapse during an outage of the store, and return afterwards.
+#: Seconds after the last answer that named a limit, for which the limit is kept even if
+#: the server has no entry: entries lapse during an outage of the store, and return
+#: afterwards.
 RETENTION_WITHOUT_ENTRY = 60.0
 
 
@@ -171,7 +172,11 @@
         return None if lower == math.inf else lower
 
     def _rate_while_cold(self, server_id: str, *, now: float) -> float | None:
-        """Return the requests a second that a cold server takes; None if warm."""
+        """Return the requests a second that a cold server takes.
+
+        The result is None if the server is warm, or if its service has no limit for
+        cold servers.
+        """
         cold_until = self._directory.cold_until_by_id.get(server_id)
         if cold_until is None or now > cold_until + COLD_GRACE:
             return None
@@ -205,7 +210,10 @@
         )
 
     def requested_servers(self, *, now: float) -> tuple[str, ...]:
-        """Return the servers with a limit for which this host has requests, by id."""
+        """Return the ids of limited servers for which this host has requests.
+
+        Servers that are limited only because they are cold are left out.
+        """
         wanted = [
             server_id
             for server_id, limit in self._limits_by_server.items()
--- a/ryelever/coordination/relaying/request.py
+++ b/ryelever/coordination/relaying/request.py
@@ -17,13 +17,12 @@
 
 __all__ = ["RelayRequest", "RequestPhase", "is_after", "routed_request"]
 
-#: Seconds before the caller's deadline at which its final answer is sent: the answer
-#: takes a few milliseconds to arrive, and a tick may come a tenth of a second late.
+#: Seconds before the caller's deadline from which a tick sends the final answer. The
+#: answer takes a few milliseconds to arrive, and ticks are a tenth of a second apart.
 FINAL_ANSWER_MARGIN = 0.06
 
-#: Share of the latency objective for which a request may wait and still count as on
-#: time; the first event, or the answer itself, takes the rest. Requests that have
-#: waited longer are served after those that can still be on time.
+#: Share of the latency objective. Waiting requests that arrived longer ago than this
+#: share are probably late already, and are served after the others.
 ON_TIME_WAIT_SHARE = 0.6
 
 
@@ -48,8 +47,8 @@
     times_out_at : float
         Monotonic time by which the final answer is sent.
     on_time_until : float
-        Monotonic time until which a waiting request can still meet its latency
-        objective.
+        Monotonic time after which a waiting request is served after those for which
+        this time has not passed.
     may_have_run : bool
         True once an attempt may have reached a backend server that did not promise not
         to have run the request.
@@ -64,7 +63,7 @@
         Monotonic time of the last attempt.
     first_sent_at, first_event_at, last_event_at : float
         Monotonic times of the first attempt, and of the first and the last event
-        forwarded; 0 before it.
+        forwarded; 0 if there was none.
     longest_pause : float
         Longest pause between two events so far, in seconds.
     """
@@ -101,8 +100,8 @@
         return self.route.kind is RouteKind.STREAM
 
 
-class Rejection(msgspec.Struct, kw_only=True, frozen=True):
-    """The status and reason with which a request is not accepted."""
+class ArrivalRefusal(msgspec.Struct, kw_only=True, frozen=True):
+    """The status and reason of a refusal on arrival."""
 
     status: int
     reason: str
@@ -110,7 +109,7 @@
 
 def routed_request(
     number: int, arrival: RelayArrival, table: RouteTable
-) -> Result[RelayRequest, Rejection]:
+) -> Result[RelayRequest, ArrivalRefusal]:
     """Create a request from its arrival, with its route and client account.
 
     Parameters
@@ -120,12 +119,12 @@
     """
     route = table.match(host=arrival.host, path=arrival.path)
     if route is None:
-        return Error(Rejection(status=404, reason="no_route"))
+        return Error(ArrivalRefusal(status=404, reason="no_route"))
     account: RouteAccount | None = None
     if table.requires_keys and not route.public:
         account = table.account_by_key.get(arrival.key or "")
         if account is None:
-            return Error(Rejection(status=401, reason="unknown_key"))
+            return Error(ArrivalRefusal(status=401, reason="unknown_key"))
     request = _new_request(
         number,
         version=table.version,
--- a/ryelever/coordination/relaying/requests.py
+++ b/ryelever/coordination/relaying/requests.py
@@ -138,8 +138,8 @@
         """Find the route of a request, and send the request if a slot is free."""
         routed = routed_request(number, arrival, table)
         if routed.is_error():
-            rejection = routed.error
-            self._refuse_on_arrival(number, arrival, rejection.status, rejection.reason)
+            refusal = routed.error
+            self._refuse_on_arrival(number, arrival, refusal.status, refusal.reason)
             return
         request = routed.ok
         quarantined = self._crashes.verdict(request, now=now)
@@ -337,7 +337,7 @@
             account=request.account,
             priority=min(9, request.priority),
             last_event_id=request.last_event_id,
-            fresh=not request.route.repeatable,
+            new_connection=not request.route.repeatable,
         )
         request.attempt = attempt
         request.head = None
@@ -395,7 +395,7 @@
             self._wait_or_refuse(request, now=now)
 
     def _wait_or_refuse(self, request: RelayRequest, *, now: float) -> None:
-        """Let a request wait for a free slot, unless rate limits rule one out."""
+        """Queue a request for a free slot, unless rate limits allow none in time."""
         service, model = request.service, request.arrival.model
         allowance = self._balancer.limited_allowance(
             service, model, excluded=request.tried, seconds=MAX_LIMITED_WAIT, now=now
@@ -438,7 +438,7 @@
     def _move_elsewhere(
         self, request: RelayRequest, reason: str, *, now: float
     ) -> bool:
-        """Send a request to another backend server, if one has a free slot for it."""
+        """Move a request to another server if possible; return whether it moved."""
         if not request.route.repeatable:
             return False
         elsewhere = self._balancer.choose(
@@ -466,15 +466,15 @@
             )
         self._reports.event(request, now=now)
         request.n_events += len(events)
-        fresh = []
+        new_events = []
         for event_id, event in events:
             if event_id:
                 if not is_after(event_id, request.last_event_id):
                     continue
                 request.last_event_id = event_id
-            fresh.append(event)
-        if fresh:
-            self._outbox.data(request.number, b"".join(fresh))
+            new_events.append(event)
+        if new_events:
+            self._outbox.data(request.number, b"".join(new_events))
 
     def _complete_answer(self, request: RelayRequest, *, now: float) -> None:
         head = request.head
--- a/ryelever/coordination/relaying/retry_budget.py
+++ b/ryelever/coordination/relaying/retry_budget.py
@@ -1,4 +1,4 @@
-"""Limit how often requests are sent to a second backend server."""
+"""Limit how often requests are sent again to another backend server."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RelayRetryBudget:
-    """Allow retries up to a share of the requests, plus this host's share of a slack.
+    """Allow retries in proportion to requests, plus this host's share of a slack.
 
     When many backend servers fail, unlimited retries multiply the load that made them
     fail. The bound applies to the sum over all entry hosts, so each host takes its
@@ -43,7 +43,7 @@
         self._window = window
         self._n_hosts = n_hosts
         self._requests_by_service: dict[str, deque[float]] = {}
-        self._repeats_by_service: dict[str, deque[float]] = {}
+        self._retries_by_service: dict[str, deque[float]] = {}
 
     def record_request(self, service: str, *, now: float) -> None:
         """Count a request."""
@@ -53,15 +53,15 @@
 
     def allow(self, service: str, *, now: float) -> bool:
         """Return whether another retry may be sent, and count it if so."""
-        repeats = self._repeats_by_service.setdefault(service, deque())
+        retries = self._retries_by_service.setdefault(service, deque())
         requests = self._requests_by_service.setdefault(service, deque())
-        self._trim(repeats, now=now)
+        self._trim(retries, now=now)
         self._trim(requests, now=now)
         share = self._slack / max(1, self._n_hosts())
         allowed = USED_SHARE * (self._ratio * len(requests) + share)
-        if len(repeats) + 1 > allowed:
+        if len(retries) + 1 > allowed:
             return False
-        repeats.append(now)
+        retries.append(now)
         return True
 
     def _trim(self, times: deque[float], *, now: float) -> None:
--- a/ryelever/coordination/relaying/stall_watch.py
+++ b/ryelever/coordination/relaying/stall_watch.py
@@ -20,8 +20,9 @@
 #: streams has started.
 FIRST_EVENT_SILENCE = 1.2
 
-#: Seconds for which a group is reported as stalled after its streams have moved away.
-#: Its members are probed meanwhile, and a lost member is known within a second.
+#: Seconds for which a group is reported as stalled after its stall was detected, unless
+#: the group makes progress. Its members are probed meanwhile, and a lost member is
+#: known within a second.
 STALL_REPORTED_FOR = 2.5
 
 #: Seconds between two ticks beyond which this process itself was delayed, so that
@@ -86,8 +87,8 @@
     def still(self, *, now: float) -> list[str]:
         """Return the heads whose groups stalled a short while ago.
 
-        The streams of a stalled group are moved away at once, after which nothing shows
-        whether the group is still stalled.
+        The streams of a stalled group are moved away at once if possible, after which
+        nothing shows whether the group is still stalled.
         """
         for server_id, since in list(self._stalled_since_by_id.items()):
             if now - since > STALL_REPORTED_FOR:
--- a/ryelever/coordination/relaying/waiting.py
+++ b/ryelever/coordination/relaying/waiting.py
@@ -55,9 +55,10 @@
     def sorted_for_dispatch(self, *, now: float) -> list[RelayRequest]:
         """Return the waiting requests in the order in which they get free slots.
 
-        Requests that can still meet their latency objective come first, so that
-        requests which are already late don't make others late. Within both groups,
-        requests are ordered by priority, then by arrival.
+        Requests that arrived no longer ago than ``ON_TIME_WAIT_SHARE`` of their latency
+        objective come first, so that requests which are probably late already don't
+        make others late. Within both groups, requests are ordered by priority, then by
+        arrival.
         """
         return sorted(
             self._requests_by_number.values(),
--- a/ryelever/host_exchange.py
+++ b/ryelever/host_exchange.py
@@ -127,7 +127,7 @@
         self._balancer.unreachable_zones = self._heartbeats.unreachable_zones(now=now)
         self._balancer.set_heartbeat_interval(
             interval=HEARTBEAT_INTERVAL * usual_ticks,
-            n_near=len(self._heartbeats.of_own_zone(now=now)),
+            n_zone_peers=len(self._heartbeats.of_own_zone(now=now)),
             n_hosts=self._heartbeats.n_hosts(now=now),
         )
         self._update_limit_shares(now=now)
--- a/ryelever/relay.py
+++ b/ryelever/relay.py
@@ -207,7 +207,7 @@
             reply_channel=self.channel,
             step="relay",
             streamed=True,
-            new_connection=attempt.fresh,
+            new_connection=attempt.new_connection,
             connect_timeout=CONNECT_TIMEOUT,
             progress_timeout=max(CLOSE_DELAY, attempt.deadline - now + CLOSE_DELAY),
             latest_start=attempt.deadline,
--- a/tests/test_coordination/test_relaying/relay_fakes.py
+++ b/tests/test_coordination/test_relaying/relay_fakes.py
@@ -165,7 +165,7 @@
         time_limit: float = 6.0,
         content: str = "",
     ) -> None:
-        """Let a request arrive."""
+        """Deliver a request of a caller."""
         arrival = RelayArrival(
             request_id=f"r{number}",
             host=HOST,
@@ -181,7 +181,7 @@
         self.requests.arrive(number, arrival)
 
     def events(self, attempt: RelayAttempt, *ids: int, now: float) -> None:
-        """Let a backend server send events."""
+        """Deliver events of a backend server."""
         events = [(str(item), f"id: {item}\n\n".encode()) for item in ids]
         self.requests.answer_events(attempt.id, events, now=now)
 
--- a/tests/test_coordination/test_relaying/test_balance.py
+++ b/tests/test_coordination/test_relaying/test_balance.py
@@ -321,7 +321,7 @@
 
 
 def _spread(n_hosts: int, *, interval: float) -> int:
-    """Let hosts with outdated loads choose; return the most at one server."""
+    """Return the largest number of hosts with outdated loads that chose one server."""
     chosen: Counter[str] = Counter()
     for seed in range(n_hosts):
         directory = Directory()
@@ -329,7 +329,7 @@
             directory.put(_head(f"h{index}"), now=0.0)
         balancer = Balancer(directory=directory, zone="z", seed=seed)
         balancer.set_heartbeat_interval(
-            interval=interval, n_near=n_hosts - 1, n_hosts=n_hosts
+            interval=interval, n_zone_peers=n_hosts - 1, n_hosts=n_hosts
         )
         # One group looks a little less loaded than the others to all hosts.
         balancer.peers_in_flight_by_id.update({f"h{index}": 3 for index in range(12)})
@@ -357,7 +357,7 @@
     for index in range(12):
         directory.put(_head(f"h{index}"), now=0.0)
     balancer = Balancer(directory=directory, zone="z", seed=1)
-    balancer.set_heartbeat_interval(interval=2.0, n_near=29, n_hosts=30)
+    balancer.set_heartbeat_interval(interval=2.0, n_zone_peers=29, n_hosts=30)
     for index in range(11):
         balancer.peers_in_flight_by_id[f"h{index}"] = 1000
     assert {_choose(balancer) for _ in range(20)} == {"h11"}
@@ -368,11 +368,11 @@
         zone = "z" if index < 10 else "y"
         directory.put(_head(f"h{index}", zone=zone), now=0.0)
     balancer = Balancer(directory=directory, zone="z", seed=1)
-    balancer.set_heartbeat_interval(interval=0.4, n_near=30, n_hosts=390)
+    balancer.set_heartbeat_interval(interval=0.4, n_zone_peers=30, n_hosts=390)
     assert {_choose(balancer) for _ in range(200)} <= {f"h{i}" for i in range(10)}
     balancer.peers_in_flight_by_id.update({f"h{index}": 10 for index in range(10)})
-    far = {_choose(balancer) for _ in range(200)}
-    assert len(far) > 50
+    remote = {_choose(balancer) for _ in range(200)}
+    assert len(remote) > 50
     balancer.peers_in_flight_by_id.update({f"h{index}": 1000 for index in range(300)})
     balancer.peers_in_flight_by_id["h250"] = 0
     # All servers are examined before a request is refused for lack of a free slot.
--- a/tests/test_coordination/test_relaying/test_levelling.py
+++ b/tests/test_coordination/test_relaying/test_levelling.py
@@ -17,7 +17,7 @@
 FULL_GROUPS = 0.02
 
 
-def _loads(*loads: float, far: tuple[float, ...] = ()) -> list[ServerLoad]:
+def _loads(*loads: float, remote: tuple[float, ...] = ()) -> list[ServerLoad]:
     return [
         ServerLoad(
             server=server(f"s{index}"),
@@ -25,17 +25,21 @@
             in_flight=round(load),
             load=load,
         )
-        for index, load in enumerate((*loads, *far))
+        for index, load in enumerate((*loads, *remote))
     ]
 
 
 def test_only_the_least_loaded_server_is_drawn_if_all_requests_are_reported() -> None:
-    weights = spread_weights(_loads(3.0, 1.0, 2.0), near=0.0, far=0.0, distance=1.5)
+    weights = spread_weights(
+        _loads(3.0, 1.0, 2.0), local=0.0, remote=0.0, remote_penalty=1.5
+    )
     assert [weight > 0 for weight in weights] == [False, True, False]
 
 
 def test_unreported_requests_level_the_loads() -> None:
-    weights = spread_weights(_loads(3.0, 1.0, 9.0), near=4.0, far=0.0, distance=1.5)
+    weights = spread_weights(
+        _loads(3.0, 1.0, 9.0), local=4.0, remote=0.0, remote_penalty=1.5
+    )
     assert weights == pytest.approx([1.0, 3.0, 0.0])
 
 
@@ -48,14 +52,14 @@
     slots. Hosts of other zones send to their own servers meanwhile as well.
     """
     weights = spread_weights(
-        _loads(5.0, 5.0, far=(5.0, 5.0)), near=4.0, far=4.0, distance=1.5
+        _loads(5.0, 5.0, remote=(5.0, 5.0)), local=4.0, remote=4.0, remote_penalty=1.5
     )
     assert weights == pytest.approx([2.0, 2.0, 0.0, 0.0])
 
 
 def test_full_zone_sends_to_other_zones() -> None:
     weights = spread_weights(
-        _loads(12.0, far=(2.0, 2.0)), near=4.0, far=1.0, distance=1.5
+        _loads(12.0, remote=(2.0, 2.0)), local=4.0, remote=1.0, remote_penalty=1.5
     )
     assert weights[0] == 0.0
     assert min(weights[1:]) > 0.0
@@ -63,11 +67,11 @@
 
 def test_unreported_requests_follow_from_the_mean_duration() -> None:
     unreported = UnreportedRequests()
-    unreported.set_interval(interval=0.4, n_near=4, n_hosts=10)
+    unreported.set_interval(interval=0.4, n_zone_peers=4, n_hosts=10)
     for _ in range(200):
         unreported.record_duration(("engines", "m"), 0.8)
-    near, far = unreported.expected(("engines", "m"), n_in_flight=100)
-    assert (near, far) == pytest.approx((20.0, 25.0))
+    local, remote = unreported.expected(("engines", "m"), n_in_flight=100)
+    assert (local, remote) == pytest.approx((20.0, 25.0))
     assert unreported.mean_durations() == pytest.approx({"engines m": 0.8})
 
 
--- a/tests/test_coordination/test_relaying/test_relay_requests.py
+++ b/tests/test_coordination/test_relaying/test_relay_requests.py
@@ -33,7 +33,7 @@
 def test_answer_is_forwarded_once_complete(relaying: Relaying) -> None:
     relaying.arrive(ONCE)
     attempt = relaying.sent[0]
-    assert (attempt.account, attempt.fresh) == ("pawroute", True)
+    assert (attempt.account, attempt.new_connection) == ("pawroute", True)
     relaying.requests.answer_head(attempt.id, head(status=201), now=0.1)
     relaying.requests.answer_body(attempt.id, b"who", now=0.1)
     assert relaying.out == []
@@ -199,8 +199,8 @@
         relaying.arrive(SAFE, number=number)
     for attempt in list(relaying.sent):
         relaying.requests.attempt_failed(attempt.id, "reset", sent=True, now=0.1)
-    repeats = len(relaying.sent) - 100
-    assert 0 < repeats <= 0.2 * 100 + 10
+    retries = len(relaying.sent) - 100
+    assert 0 < retries <= 0.2 * 100 + 10
 
 
 # Streams
--- a/tests/test_platform/test_messages.py
+++ b/tests/test_platform/test_messages.py
@@ -32,7 +32,7 @@
         "account": "pawroute",
         "priority": 2,
         "last_event_id": "",
-        "fresh": False,
+        "new_connection": False,
     }
     return RelayAttempt(**(values | changes))
 
