--- a/ryelever/coordination/limits/limits.py
+++ b/ryelever/coordination/limits/limits.py
@@ -192,7 +192,7 @@
     def _reachable_share(
         self, limit: float, client_account: str, *, kind: str
     ) -> float:
-        """Return the ratio of a limit that the reachable hosts hold together.
+        """Return the fraction of a limit that the reachable hosts hold together.
 
         Peers whose rows no longer arrive may still be serving. The hosts on this side
         of a partition may therefore share out only what they held when they were cut
@@ -266,12 +266,12 @@
         return local
 
 
-def _satisfiable_ratio(limit: float, total: float) -> float:
-    """Return the ratio of the demand that the limit can meet."""
+def _satisfiable_fraction(limit: float, total: float) -> float:
+    """Return the fraction of the demand that the limit can meet."""
     return min(1.0, (1.0 - EVEN_SHARE) * limit / total) if total > 0 else 1.0
 
 
 def _allot(limit: float, *, local: float, total: float, n_hosts: float) -> float:
     """Return the local demand as far as it can be met, and an even part of the rest."""
     rest = limit - min(total, (1.0 - EVEN_SHARE) * limit)
-    return local * _satisfiable_ratio(limit, total) + rest / n_hosts
+    return local * _satisfiable_fraction(limit, total) + rest / n_hosts
--- a/ryelever/coordination/limits/view.py
+++ b/ryelever/coordination/limits/view.py
@@ -8,7 +8,7 @@
 
 
 class LimitsView(Protocol):
-    """Return this host's share of an account's limits."""
+    """Interface to this host's share of the limits of each account."""
 
     def arrived(self, client_account: str, *, now: float) -> None:
         """Count one arrival, admitted or not."""
