--- a/ryelever/coordination/groups/adoption.py
+++ b/ryelever/coordination/groups/adoption.py
@@ -32,7 +32,7 @@
     Parameters
     ----------
     stall_time : float
-        Seconds for which a group stalls after losing a member until it is broken.
+        Seconds for which a group that lost a member stalls before it is ``BROKEN``.
     log : callable
         Called with the event name and the fields of each log line.
     """
@@ -67,7 +67,8 @@
     def may_be_in_unrecorded_group(self, server: BackendServer, *, now: float) -> bool:
         """Return whether a server may be in a serving group without a record.
 
-        A group whose head is missing is broken after the stall time.
+        A group whose head is missing counts as broken once the stall time and
+        ``STALL_SLACK`` have passed.
         """
         report = server.group
         if report is None or self._is_known(server):
--- a/ryelever/coordination/groups/forming.py
+++ b/ryelever/coordination/groups/forming.py
@@ -145,7 +145,8 @@
     """Return the free servers that are to stage weights, each with the model.
 
     In each domain, these are the servers that lack only the weights to form a group of
-    the neediest overloaded model.
+    the neediest overloaded model for which at most half of the members would have to
+    stage them.
     """
     chosen: list[tuple[BackendServer, ModelProfile]] = []
     for servers in by_domain(free).values():
--- a/ryelever/coordination/groups/idle_servers.py
+++ b/ryelever/coordination/groups/idle_servers.py
@@ -15,8 +15,9 @@
 
 __all__ = ["IdleServers"]
 
-#: Minimum time in seconds between two log lines about one service.  Limits the lines
-#: when many groups change at once; groups are formed and ended within a few seconds.
+#: Minimum time in seconds between two log lines about one service, which limits their
+#: number when many groups change at once; groups are formed and ended within a few
+#: seconds.
 MIN_LOG_INTERVAL = 1.0
 
 #: Reason logged for a free server without any weights.
--- a/ryelever/coordination/groups/managed_group.py
+++ b/ryelever/coordination/groups/managed_group.py
@@ -68,7 +68,7 @@
     left_members_are_free : bool
         True if members that have left are free although the head is silent.
     unresolved_join_at : float
-        Time at which an order to join last remained unanswered.
+        Time at which an order to join last failed to get an answer.
     ordered_at : dict of tuple to float
         Times of the last orders, by server id and kind.
     """
@@ -116,7 +116,7 @@
         now: float,
         waits_for_requests: bool = False,
     ) -> list[GroupOrder]:
-        """Return a list of one order, empty if it was sent less than a retry ago."""
+        """Return a list of one order, empty if sent within ``ORDER_RETRY`` seconds."""
         ordered_at = self.ordered_at.get((server_id, kind), float("-inf"))
         if now - ordered_at < ORDER_RETRY:
             return []
--- a/ryelever/coordination/groups/managed_groups.py
+++ b/ryelever/coordination/groups/managed_groups.py
@@ -216,7 +216,7 @@
         return not reports_group or server is managed.left_entry_by_id[member_id]
 
     def has_reporting_member(self, managed: ManagedGroup) -> bool:
-        """Return whether a listed member reports to be in a group."""
+        """Return whether a listed member of a group reports to be in that group."""
         return any(
             managed.state_of(server) is not None
             for server in self._directory.listed(managed.record.member_ids)
--- a/ryelever/coordination/groups/manager.py
+++ b/ryelever/coordination/groups/manager.py
@@ -47,9 +47,10 @@
 #: unreachable is usable again afterwards.
 PRESUMED_LOST_FOR = 5.0
 
-#: Seconds after a head was seen to serve until the server list shows each member as of
-#: the head's opening.  Entries are written at once and read within half a second, or
-#: within about two seconds of the store's return after an outage.
+#: Seconds after a head was first seen to serve by which the server list shows the state
+#: that each member had when the head opened.  Entries are written at once and read
+#: within half a second, or within about two seconds of the store's return after an
+#: outage.
 MEMBERS_LISTED_AFTER = 3.0
 
 
@@ -59,7 +60,7 @@
     Parameters
     ----------
     stall_time : float
-        Seconds for which a group stalls after losing a member until it is broken.
+        Seconds for which a group that lost a member stalls before it is ``BROKEN``.
     max_join_time : float
         Maximum time in seconds that a member takes to join.
     max_missing_time : float
--- a/ryelever/coordination/groups/reshaping.py
+++ b/ryelever/coordination/groups/reshaping.py
@@ -3,17 +3,17 @@
 All planners see the same groups and the same demand, so every zone detects a shortage
 of groups at the same time.  If each zone disbanded a group of another model, that model
 would be short next: with three zones it lost three groups of five where one was needed.
-Each zone therefore announces its intention and counts the groups that the zones ahead
-of it have announced as already formed.
+Each zone therefore announces its intention, and counts one group as already formed for
+each zone that is ahead of it.
 """
 
 from __future__ import annotations
 
-__all__ = ["ANNOUNCED_FOR", "ReshapingToken"]
+__all__ = ["ANNOUNCEMENT_LEAD_TIME", "ReshapingToken"]
 
 #: Seconds between a zone's announcement and the disbanding.  Host heartbeats are sent
 #: to other zones every 0.6 s, so each planner has received the other announcements.
-ANNOUNCED_FOR = 0.8
+ANNOUNCEMENT_LEAD_TIME = 0.8
 
 
 class ReshapingToken:
@@ -40,8 +40,9 @@
     def n_ahead(self, other_zones: set[str]) -> int:
         """Return the number of zones that may disband groups before this one.
 
-        A zone whose announcement was received before this zone announced is ahead.
-        Zones that announced at the same time are ordered by name.
+        Before this zone's announcement, all zones with an announcement are ahead.
+        After it, a zone is ahead if its announcement was received first or if its name
+        sorts before this zone's name.
 
         Parameters
         ----------
@@ -58,13 +59,13 @@
         """Return whether the zone may disband groups now.
 
         The first call announces the zone's intention; later calls return True once
-        ``ANNOUNCED_FOR`` seconds have passed.
+        ``ANNOUNCEMENT_LEAD_TIME`` seconds have passed.
         """
         if self._announced_at is None:
             self._announced_at = now
             self._zones_ahead = set(other_zones)
             return False
-        return now - self._announced_at >= ANNOUNCED_FOR
+        return now - self._announced_at >= ANNOUNCEMENT_LEAD_TIME
 
     def end(self) -> None:
         """Withdraw the announcement once no group is to be disbanded any more."""
--- a/ryelever/coordination/groups/silent_heads.py
+++ b/ryelever/coordination/groups/silent_heads.py
@@ -30,7 +30,7 @@
     Parameters
     ----------
     stall_time : float
-        Seconds for which a group stalls after losing a member until it is broken.
+        Seconds for which a group that lost a member stalls before it is ``BROKEN``.
     """
 
     def __init__(
--- a/ryelever/coordination/groups/weight_staging.py
+++ b/ryelever/coordination/groups/weight_staging.py
@@ -26,7 +26,7 @@
 LOAD_WINDOW = 5.0
 
 
-class _LoadPacer(msgspec.Struct, kw_only=True):
+class _LoadRateLimiter(msgspec.Struct, kw_only=True):
     """Rate limiter for loads from the weight store."""
 
     start_times: list[float] = msgspec.field(default_factory=list)
@@ -34,8 +34,8 @@
     def allow(self, *, rate: float, now: float) -> bool:
         """Return whether a load may start now, and count the load if so."""
         self.start_times = [at for at in self.start_times if now - at < LOAD_WINDOW]
-        # One load may always start: the bound on loads leaves room for three loads
-        # beyond the rate.
+        # If no load started within the window, one may start even if the rate allows
+        # less than one: the limit on loads leaves room for three loads beyond the rate.
         if self.start_times and len(self.start_times) + 1 > rate * LOAD_WINDOW:
             return False
         self.start_times.append(now)
@@ -54,7 +54,7 @@
     """Decide which servers of one availability zone stage weights, and when."""
 
     def __init__(self) -> None:
-        self._loads = _LoadPacer()
+        self._loads = _LoadRateLimiter()
         self._staging_by_id: dict[str, _StagingOrder] = {}
 
     def orders(
--- a/ryelever/coordination/groups/zone_planner.py
+++ b/ryelever/coordination/groups/zone_planner.py
@@ -104,7 +104,7 @@
     reshaping : callable
         Return the other zones that are disbanding groups or have announced it.
     stall_time : float
-        Seconds for which a group stalls after losing a member until it is broken.
+        Seconds for which a group that lost a member stalls before it is ``BROKEN``.
     since : float
         Monotonic time at which this host became the zone's planner.
     log : callable
--- a/tests/test_coordination/test_groups/__init__.py
+++ b/tests/test_coordination/test_groups/__init__.py
@@ -1,1 +1,1 @@
-"""Test the family of groups decisions."""
+"""Tests of the planning of replica groups."""
--- a/tests/test_coordination/test_groups/test_disbanding.py
+++ b/tests/test_coordination/test_groups/test_disbanding.py
@@ -6,7 +6,10 @@
 
 from ryelever.coordination.groups.disbanding import choose_disbanding
 from ryelever.coordination.groups.forming import ServingGroup
-from ryelever.coordination.groups.reshaping import ANNOUNCED_FOR, ReshapingToken
+from ryelever.coordination.groups.reshaping import (
+    ANNOUNCEMENT_LEAD_TIME,
+    ReshapingToken,
+)
 
 from .group_fakes import server
 from .test_group_forming import L, S, rules_of, servers_of
@@ -135,10 +138,10 @@
     assert token.n_ahead({"b"}) == 1
     assert not token.may_start({"b"}, now=0.0)
     assert token.n_ahead({"b", "c"}) == 1
-    assert token.may_start({"b", "c"}, now=ANNOUNCED_FOR)
+    assert token.may_start({"b", "c"}, now=ANNOUNCEMENT_LEAD_TIME)
 
 
 def test_partitioned_zone_disbands_without_waiting_for_others() -> None:
     token = ReshapingToken(zone="c")
     token.may_start(set(), now=0.0)
-    assert token.may_start(set(), now=ANNOUNCED_FOR)
+    assert token.may_start(set(), now=ANNOUNCEMENT_LEAD_TIME)
--- a/tests/test_coordination/test_groups/test_group_manager.py
+++ b/tests/test_coordination/test_groups/test_group_manager.py
@@ -340,7 +340,7 @@
 
 
 def test_unlisted_head_ends_its_group_without_a_probe(members: Members) -> None:
-    """Guard against requests to an unlisted head: no request may be sent to it."""
+    """Guard against a group that is kept although its head may get no requests."""
     members.serve(GROUP)
     members.lose("a", last_seen_at=1.0)
     assert members.due(4.0) == [(LEAVE, "a"), (LEAVE, "b"), (LEAVE, "c")]
--- a/tests/test_coordination/test_groups/test_orders_explored.py
+++ b/tests/test_coordination/test_groups/test_orders_explored.py
@@ -103,7 +103,7 @@
         due = [order for at, order in self._late_orders if at <= self.now]
         self._late_orders = [item for item in self._late_orders if item[0] > self.now]
         for order in due:
-            self._carry_out(order)
+            self._execute_order(order)
         for name, item in self.servers.items():
             if not self._is_cut(name):
                 self.directory.put(item.entry, now=self.now)
@@ -137,12 +137,12 @@
             self.manager.record_outcome(order, OrderOutcome.UNKNOWN, now=self.now)
             return
         if delay is None:
-            self.manager.record_outcome(order, self._carry_out(order), now=self.now)
+            self.manager.record_outcome(order, self._execute_order(order), now=self.now)
             return
         self.manager.record_outcome(order, OrderOutcome.UNKNOWN, now=self.now)
         self._late_orders.append((self.now + delay, order))
 
-    def _carry_out(self, order: GroupOrder) -> OrderOutcome:
+    def _execute_order(self, order: GroupOrder) -> OrderOutcome:
         if order.server_id == "a" and self._crashes and self.now >= CUT_AT:
             return OrderOutcome.UNKNOWN
         item = self.servers[order.server_id]
--- a/tests/test_coordination/test_groups/test_returns_explored.py
+++ b/tests/test_coordination/test_groups/test_returns_explored.py
@@ -115,7 +115,7 @@
         due = [append for at, append in self._late_appends if at <= self.now]
         self._late_appends = [item for item in self._late_appends if item[0] > self.now]
         for append in due:
-            self._carry_out_append(append)
+            self._execute_append(append)
         super().advance()
 
     def open_groups(self) -> set[str]:
@@ -142,14 +142,14 @@
             self._late_appends.append((self.now + APPEND_DELAY, append))
             planner.fail_append(end=None)
             return
-        end = self._carry_out_append(append)
+        end = self._execute_append(append)
         if end is None:
             planner.fail_append(end=self._log.end)
             return
         era = self._log.era if self._knows_eras else append.era
         planner.confirm_append(append, end=end, era=era, now=self.now)
 
-    def _carry_out_append(self, append: AppendGroups) -> int | None:
+    def _execute_append(self, append: AppendGroups) -> int | None:
         """Append if the log ends at the expected offset; return its new end or None."""
         if append.at != self._log.end:
             return None
