--- a/ryelever/coordination/requests/__init__.py
+++ b/ryelever/coordination/requests/__init__.py
@@ -1,6 +1,7 @@
 """Manage requests of the entry host with the OpenAI interface until they end.
 
-No other package may tell a caller that its request was not run.
+Once a request has been read and validated, only this package decides whether an error
+may tell the caller that the request was not run (``not_run``).
 """
 
 from .claims import OUTCOME_KEPT
--- a/ryelever/coordination/requests/attempts.py
+++ b/ryelever/coordination/requests/attempts.py
@@ -19,7 +19,7 @@
 
 __all__ = ["RequestAttempts"]
 
-#: Maximum attempts of a stream that has already delivered tokens.
+#: Maximum attempts of a chat request of which tokens were received already.
 MAX_STREAM_ATTEMPTS = 5
 
 #: Seconds between two checks of the group that runs an attempt without a first token.
@@ -85,13 +85,14 @@
         )
 
     def must_wait_for_suspects(self, request: Request, *, now: float) -> bool:
-        """Return whether a request waits only for other suspects of a crash."""
+        """Return whether a request waits for suspects of a crash or for a verdict."""
         return self._router.must_wait_for_suspects(request.arrival, now=now)
 
     def is_lost(self, request: Request, *, now: float) -> bool:
-        """Return whether an attempt waits for a group that is no longer complete.
+        """Return whether an attempt's group is lost.
 
-        False within ``GROUP_CHECK_INTERVAL`` of the previous check.
+        A group is lost if it is incomplete while another target can serve.  The result
+        is False within ``GROUP_CHECK_INTERVAL`` of the previous check.
         """
         if now < request.group_checked_at + GROUP_CHECK_INTERVAL:
             return False
@@ -99,7 +100,7 @@
         return self._router.is_lost(request.target, request.arrival, now=now)
 
     def request_id(self, attempt_id: str) -> str | None:
-        """Return the request id of an open attempt, or count a late answer."""
+        """Return the request id of an open attempt; otherwise count a late answer."""
         request_id = self.request_by_attempt.get(attempt_id)
         if request_id is None:
             self.n_late_answers += 1
--- a/ryelever/coordination/requests/idempotency.py
+++ b/ryelever/coordination/requests/idempotency.py
@@ -9,7 +9,7 @@
 later of the two times.  A host whose clock is further ahead refuses keys that could
 still be claimed; a host whose clock is further behind appends claims that the fold
 then refuses.  Neither runs a request twice.  The ``streams`` module logs a warning
-when the clocks differ.
+when the clocks differ by more than half of ``MAX_KEY_LEAD``.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
 ) -> Result[float, RyeleverError]:
     """Return the time of issue of a key that can still be claimed, or an error.
 
-    The claim of a key that is too old has been forgotten, so the error says
+    The claim of a key that is too old may have been forgotten, so the error says
     ``outcome_unknown``.  On ``not_run`` the caller would send the request again under
     a new key, and a booking that ran an hour ago would run twice.  The error for a
     key from the future says ``not_run`` only if the key is certain to be in the future
--- a/ryelever/coordination/requests/keyed_claims.py
+++ b/ryelever/coordination/requests/keyed_claims.py
@@ -94,9 +94,9 @@
         )
 
     def lookup(self, key: str) -> ClaimState | None:
-        """Return the first claim of a key, with outcome unknown if its owner is gone.
+        """Return the first claim of a key, or None if the key is not claimed.
 
-        None if the key is not claimed.
+        The outcome of the claim is unknown once its owner has timed out.
         """
         stream = self.stream_of(key)
         fold = self.folds_by_stream[stream]
--- a/ryelever/coordination/requests/requests.py
+++ b/ryelever/coordination/requests/requests.py
@@ -5,7 +5,8 @@
 
 * A caller is answered ``not_run`` only if no byte of the request was sent to a backend
   server, or the backend server itself refused the request; with an idempotency key,
-  only if the log shows that this is true of every request with the key.
+  only if the log shows that this is also true of every earlier sending of the same
+  request.
 * A non-repeatable request is sent only after its claim was read back as the first
   claim of the key, and is never sent again once its first byte was sent.
 * Answers are matched by attempt: an answer to an attempt that has ended is dropped
@@ -113,7 +114,7 @@
 
     @property
     def n_retries(self) -> int:
-        """Return the number of attempts that followed a failed attempt."""
+        """Return the number of retries that were allowed after failed attempts."""
         return self._attempts.n_retries
 
     def n_tracked(self) -> int:
@@ -129,7 +130,7 @@
         self._attempts.n_late_answers += 1
 
     def request_of_attempt(self, attempt_id: str) -> Request | None:
-        """Return the request of an open attempt, or count a late answer."""
+        """Return the request of an open attempt; otherwise count a late answer."""
         request_id = self._attempts.request_id(attempt_id)
         return None if request_id is None else self.requests_by_id[request_id]
 
@@ -318,8 +319,8 @@
     def admit_after_release(self, *, now: float) -> list[Action]:
         """Start queued requests if any request has ended since the last check.
 
-        If this waited for the next tick, a free slot would be idle for half a tick on
-        average while callers wait.
+        If queued requests were started only at the next tick, a free slot would be idle
+        for half a tick on average while callers wait.
         """
         if not self._steps.slot_released:
             return []
--- a/ryelever/coordination/requests/state.py
+++ b/ryelever/coordination/requests/state.py
@@ -35,14 +35,16 @@
     claim : float
         Maximum time until the request's claim is read back.
     recovery : float
-        Maximum wait for another backend server after an attempt has failed.
+        Maximum wait for another backend server after an attempt has failed; not applied
+        while the request waits for suspects of a crash or for a verdict.
     same_target : float
         Pause before a retry on the backend server whose connection broke.  The pause
         is longer than a report of a host stays valid, so the group must have confirmed
         itself since the failure: a group that lost a member gets no retry.
     same_target_silent : float
         The same pause after a failure that does not suggest a fault of the backend
-        server itself: a silent connection, a refusal, or an answer of a plain service.
+        server itself: a silent connection or a refusal, and any failed call to a plain
+        service.
     """
 
     claim: float = 5.0
@@ -64,8 +66,8 @@
     claimed : bool
         True once the request's claim was read back as the first of its key.
     may_have_run : bool
-        True once any attempt may have reached a backend server.  Never reset to
-        False: a later attempt that was refused proves nothing about an earlier one.
+        True once a backend server may have run the request.  Never reset to False: a
+        later attempt that was refused proves nothing about an earlier one.
     caller_disconnected : bool
         True when the caller closed its connection, so that only the outcome of the
         request is still needed.
@@ -74,8 +76,9 @@
     delivered : list of str
         Tokens received so far, over all attempts.
     n_tokens_for_proof : int
-        Number of delivered tokens at which the attempt has passed the position where
-        a crash ended the previous attempt; 0 once that is reported.
+        Number of delivered tokens at which the attempt counts as past the position
+        where the previous attempt ended, which may have been a crash; 0 once that is
+        reported.
     group_checked_at : float
         Monotonic time of the last check of the attempt's group before a first token.
     error, service_answer : RyeleverError or AnswerService or None
@@ -107,5 +110,5 @@
 
     @property
     def run_state(self) -> RunState:
-        """Return ``NOT_RUN`` only if no attempt can have reached a backend server."""
+        """Return ``NOT_RUN`` only if no backend server can have run the request."""
         return RunState.OUTCOME_UNKNOWN if self.may_have_run else RunState.NOT_RUN
--- a/ryelever/coordination/requests/steps.py
+++ b/ryelever/coordination/requests/steps.py
@@ -32,9 +32,9 @@
 class RequestSteps:
     """Hold the open requests and move each to its next step.
 
-    A request leaves the table through ``end``, or through ``forget`` if another claim
-    of its key came first, so that it gets exactly one final answer and leaves no entry
-    in any table.
+    A request leaves the table through ``end``, or through ``forget`` if its claim was
+    not read back as the first claim of its key.  A request therefore leaves no entry in
+    any table, and a caller that is still connected gets exactly one final answer.
     """
 
     def __init__(
@@ -94,7 +94,11 @@
         return []
 
     def recover(self, request: Request, *, now: float) -> list[Action]:
-        """Retry a request whose attempt failed, or end it after the timeout."""
+        """Send a waiting request again, or end it after the recovery timeout.
+
+        A request that waits for suspects of a crash or for a verdict may wait until its
+        deadline.
+        """
         waited = now - request.since
         timed_out = waited >= self._timeouts.recovery
         if timed_out and not self._attempts.must_wait_for_suspects(request, now=now):
@@ -123,11 +127,12 @@
         return self.dispatch(request, now=now)
 
     def abandon_lost_attempt(self, request: Request, *, now: float) -> list[Action]:
-        """Cancel an attempt without a token if its group is no longer complete.
+        """Cancel an attempt without a token if its group is lost.
 
-        A frozen group leader sends nothing, so the attempt would wait for the
-        first-token timeout, much longer than the group takes to count as incomplete.
-        The attempt continues if no retry is allowed.
+        A group is lost if it is incomplete while another target can serve.  A frozen
+        rank 0 sends nothing, so the attempt would wait for the first-token timeout,
+        much longer than the group takes to count as incomplete.  The attempt continues
+        if no retry is allowed.
         """
         if not request.arrival.repeatable or not self._attempts.is_lost(
             request, now=now
