--- a/ryelever/coordination/routing/candidates.py
+++ b/ryelever/coordination/routing/candidates.py
@@ -37,7 +37,7 @@
 
     @property
     def key(self) -> tuple[str, int, int]:
-        """Return name, fencing and accelerators; a change makes a new candidate."""
+        """Return name, fencing and accelerators; a change makes a new candidate set."""
         fencing = self.group.fencing if self.group is not None else -1
         return self.name, fencing, self.n_accelerators
 
@@ -54,9 +54,10 @@
     names, keys : tuple
         Names and keys of all candidates.
     built_at : float
-        Monotonic time at which the candidates were last compared with the hosts list.
+        Monotonic time at which the candidates were last compared with the platform's
+        hosts list.
     offsets : tuple of int
-        Next offsets of the zones' placement logs at that time.
+        Next offsets of the zones' placement streams at that time.
     """
 
     local_zone: tuple[Candidate, ...]
--- a/ryelever/coordination/routing/departures.py
+++ b/ryelever/coordination/routing/departures.py
@@ -15,11 +15,11 @@
 __all__ = ["Departures"]
 
 
-#: Seconds for which a peer's announcement outweighs the host's own reports: long
-#: enough for this entry host's copy of the platform's list to show the departure too.
+#: Seconds for which a peer's announcement outweighs the host's own reports: long enough
+#: for this entry host's copy of the platform's hosts list to show the departure too.
 PEER_HOLD = 3.0
 
-#: Seconds after which a host that sends no reports is tried again.
+#: Minimum seconds after which a host that sends no reports is tried again.
 SERVICE_HOLD = 2.0
 
 #: Seconds for which a refusal is announced to peers.
@@ -51,22 +51,24 @@
 
 
 class Departures:
-    """Track hosts that refused a request or that a peer announced as leaving.
+    """Track hosts that refused a request, crashed, or were announced as leaving.
 
-    The platform's list lags and keeps listing a leaving host as live; the operator
-    would see requests fail on a host that was told to leave.  The states in the list
-    and in the host's own reports are checked elsewhere (``Targets``,
-    ``Confirmations``); this class keeps evidence that neither shows.  Within
-    ``MAX_AGE`` seconds, evidence ends only with newer evidence: a report of the host
-    itself that was requested later.  A plain service sends no reports and is tried
-    again after ``SERVICE_HOLD`` seconds.
+    The hosts list lags and keeps listing a leaving host as live; the operator would see
+    requests fail on a host that was ordered to leave.  The states in the list and in
+    the host's own reports are checked elsewhere (``Targets``, ``Confirmations``); this
+    class keeps evidence that neither shows.
+
+    Evidence is dropped after ``MAX_AGE`` seconds.  It ends earlier, but not within its
+    ``hold``, with a report of the host that was requested later and does not say that
+    the host is leaving.  A host without any report, such as a plain service, is tried
+    again after its ``hold``, and not before ``SERVICE_HOLD`` seconds.
 
     Parameters
     ----------
     confirmations : Confirmations
         The hosts' own reports.
     hosts_by_name : dict of str to ListedHost
-        Hosts in the platform's list; kept current by the owner of the dict.
+        Hosts in the hosts list; kept current by the owner of the dict.
     """
 
     def __init__(
@@ -77,7 +79,7 @@
         self._departures_by_host: dict[str, _Departure] = {}
 
     def refused(self, host: str, *, connection: bool, now: float) -> None:
-        """Record that a host refused a new request.
+        """Record that a host refused a new request or crashed.
 
         Parameters
         ----------
--- a/ryelever/coordination/routing/feedback.py
+++ b/ryelever/coordination/routing/feedback.py
@@ -1,4 +1,4 @@
-"""Pass results of attempts on: crashes, refusals, failures and latencies."""
+"""Forward the results of attempts: crashes, refusals, failures and latencies."""
 
 from __future__ import annotations
 
@@ -45,7 +45,8 @@
         Parameters
         ----------
         between_tokens : float or None
-            Mean seconds between its tokens, if it was streamed.
+            Mean seconds between the tokens of a chat answer; None if this is not known,
+            such as for an answer of fewer than two tokens.
         """
 
     def failed(
--- a/ryelever/coordination/routing/load.py
+++ b/ryelever/coordination/routing/load.py
@@ -22,8 +22,9 @@
 #: Seconds for which a target that became empty is announced to peers with count 0.
 EMPTY_ANNOUNCED_FOR = 5.0
 
-#: Maximum number of counts announced to peers, the most loaded targets first: 390 hosts
-#: that each announce 195 groups would exceed the limit for control traffic.
+#: Maximum number of non-zero counts announced to peers, the most loaded targets first:
+#: 390 hosts that each announce 195 groups would exceed the limit for control traffic.
+#: With the zeros of emptied targets, at most twice as many rows are sent.
 MAX_ROWS = 32
 
 
@@ -59,18 +60,18 @@
     def estimate(self, candidate: Candidate, *, now: float) -> float:
         """Return the estimated number of requests in flight at a candidate."""
         name = candidate.name
-        n_in_flight_seen = self._n_local_by_target.get(name, 0)
+        n_counted = self._n_local_by_target.get(name, 0)
         peers = self._peers_by_target.get(name)
         if peers is not None:
-            n_in_flight_seen += sum(
+            n_counted += sum(
                 n_in_flight
                 for n_in_flight, observed_at in peers.values()
                 if now - observed_at <= PEER_MAX_AGE
             )
         report = self._targets.reported_load(candidate, now=now)
         if report is None:
-            return float(n_in_flight_seen)
-        return float(max(n_in_flight_seen, report.n_running + report.n_waiting))
+            return float(n_counted)
+        return float(max(n_counted, report.n_running + report.n_waiting))
 
     def damped_load(self, candidate: Candidate, *, now: float) -> float:
         """Return the local requests in flight plus a quarter of all others.
--- a/ryelever/coordination/routing/retry.py
+++ b/ryelever/coordination/routing/retry.py
@@ -6,7 +6,8 @@
 
 __all__ = ["RetryBudget", "RetryPolicy"]
 
-#: Seconds after the first failure within which a death breaks off all its attempts.
+#: Seconds within which a backend server that dies breaks off all its attempts, counted
+#: from the first one.
 DEATH_WINDOW = 0.5
 
 #: Minimum seconds between two deaths of one backend server that earn retries.
--- a/ryelever/coordination/routing/routing.py
+++ b/ryelever/coordination/routing/routing.py
@@ -42,7 +42,7 @@
         """Return the target of the next attempt, or None if there is none."""
 
     def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
-        """Return whether only suspects of a crash keep a request from running."""
+        """Return whether a request waits for suspects of a crash or for a verdict."""
 
     def is_lost(self, target: Target, arrival: Arrival, *, now: float) -> bool:
         """Return whether a target can no longer answer while another target can."""
@@ -144,10 +144,11 @@
         return choice.target
 
     def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
-        """Return whether a request is held, or a suspect that a target could serve.
+        """Return whether a request waits for suspects of a crash or for a verdict.
 
-        The quarantine holds a request that waits for its verdict.  A suspect waits for
-        a target without another suspect.
+        A request that was in too many crashes must not run, also before the
+        quarantine's verdict.  A suspect waits for a target that runs no other suspect,
+        if any target is usable.
         """
         if self._quarantine.must_not_run(arrival.fingerprint, now=now):
             return True
--- a/ryelever/coordination/routing/targets.py
+++ b/ryelever/coordination/routing/targets.py
@@ -19,7 +19,8 @@
 
 __all__ = ["ReportedLoad", "Targets"]
 
-#: Seconds after which a candidate list is compared with the hosts list again.
+#: Seconds after which a candidate list is compared with the platform's hosts list
+#: again.
 REBUILD_INTERVAL = 1.0
 
 #: Maximum number of candidate lists kept: one for each model, adapter and service.
@@ -45,7 +46,7 @@
     """Keep candidate lists, and check a candidate only when a decision needs it.
 
     Checking 800 groups for each request would take milliseconds.  The lists change only
-    with the placement and the platform's list.  Whether a group is complete changes all
+    with the placement and the hosts list.  Whether a group is complete changes all
     the time, and is checked only for the few candidates that a decision considers.
 
     Parameters
@@ -53,7 +54,7 @@
     availability_zone : str
         Zone of this entry host.
     hosts_by_name : dict of str to ListedHost
-        Hosts in the platform's list; kept current by the owner of the dict.
+        Hosts in the hosts list; kept current by the owner of the dict.
     departures : Departures or None
         Hosts that refused requests or were announced as leaving.
     """
@@ -75,7 +76,7 @@
         self._sets_by_work: dict[tuple[str, str, str], CandidateSet] = {}
 
     def for_arrival(self, arrival: Arrival, now: float) -> list[Target]:
-        """Return the targets in this host's zone that may serve now, or in others."""
+        """Return the usable targets of this host's zone, or if none, of other zones."""
         found = self.candidates(arrival.work, now=now)
         for candidates in (found.local_zone, found.other_zones):
             usable = [self.target(candidate, now=now) for candidate in candidates]
--- a/ryelever/coordination/routing/zones.py
+++ b/ryelever/coordination/routing/zones.py
@@ -20,7 +20,8 @@
 #: Number of candidates in rendezvous order tried before a choice by load alone.
 N_RANKED = 4
 
-#: Maximum number of candidates from which the total load is estimated.
+#: Maximum number of candidates from which the total load is estimated, and of candidate
+#: lists for which values are cached.
 MAX_SAMPLE = 64
 
 #: Seconds for which an estimate of the total load is reused.
@@ -32,12 +33,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class ZoneTotal:
-    """Estimated load of the usable candidates in this host's zone or all other zones.
+    """Load of the usable candidates in this host's zone or in all other zones.
+
+    With more than ``MAX_SAMPLE`` candidates, all sums are those of a random sample.
 
     Attributes
     ----------
     load : float
-        All requests in flight at the candidates.
+        All requests in flight at these candidates.
     damped_load : float
         The same, with other entry hosts' requests weighted as by
         ``LoadView.damped_load``.
@@ -62,7 +65,7 @@
 
 
 class ZoneTotals:
-    """Cache rendezvous orders and load totals, too slow to compute per request."""
+    """Cache rendezvous orders and load totals, which are too slow for each request."""
 
     def __init__(
         self, *, targets: Targets, loads: LoadView, generator: random.Random
--- a/tests/test_coordination/test_routing/test_departures.py
+++ b/tests/test_coordination/test_routing/test_departures.py
@@ -56,9 +56,9 @@
 def test_evidence_of_one_source_is_enough(evidence) -> None:
     """One source is enough, while all others still show the host as live.
 
-    Guards against requests that fail on a host that was told to leave: the platform's
-    list lags seconds behind the host's own report, or the report behind the list, and
-    only the source that lags was used.
+    Guards against requests that fail on a host that was ordered to leave: the
+    platform's hosts list lags seconds behind the host's own report, or the report
+    behind the list, and only the source that lags was used.
     """
     fleet = _fleet(requested_at=9.5)
     assert _names(fleet, 9.6) == ["a-0", "a-1"]
@@ -76,7 +76,8 @@
         (_announced, 10.1, 10.2, False),
         (_announced, 12.7, 12.9, True),
         (EVIDENCE["listed"], 12.7, 12.9, False),
-        # Two faults: a peer's announcement and a refusal seen here, in either order.
+        # Two faults: a peer's announcement and a refusal observed by this entry host,
+        # in either order.
         (lambda fleet: (_announced(fleet), _refused(fleet)), 10.1, 10.2, False),
         (lambda fleet: (_refused(fleet), _announced(fleet)), 10.1, 10.2, False),
         (lambda fleet: (_refused(fleet), _announced(fleet)), 12.7, 12.9, True),
--- a/tests/test_coordination/test_routing/test_stragglers.py
+++ b/tests/test_coordination/test_routing/test_stragglers.py
@@ -15,7 +15,7 @@
     failing: tuple[str, ...] = (),
     first_token: float = 0.1,
 ) -> Stragglers:
-    """Return stragglers after ten requests at each of ten siblings and a comparison."""
+    """Return a ``Stragglers`` that compared ten siblings after ten requests each."""
     stragglers = Stragglers()
     for name in NAMES:
         for _ in range(10):
@@ -94,8 +94,8 @@
 ) -> None:
     """After the hold, a single probe decides whether a server is readmitted.
 
-    Guards against a burst of late answers each time the hold of a group ends that is
-    still slow: all entry hosts send their full share of requests at once, if the group
+    Guards against a burst of late answers each time the hold of a group that is still
+    slow ends: all entry hosts send their full share of requests at once, if the group
     is readmitted without a probe or after any number of probes.
     """
     stragglers = _run(slow={"g-3": 5.0})
--- a/tests/test_coordination/test_routing/test_targets.py
+++ b/tests/test_coordination/test_routing/test_targets.py
@@ -81,8 +81,8 @@
 def test_target_has_the_adapter(adapter: str, n_found: int) -> None:
     """Only groups that have loaded a request's adapter are candidates.
 
-    Guards against an answer in the base model's voice: an adapter is declared while
-    older groups run without it, and groups were matched by model only.
+    Guards against an answer of the base model without the adapter: an adapter is
+    declared while older groups run without it, and groups were matched by model only.
     """
     found = _fleet().targets.candidates(chat(adapter=adapter).work, now=0.0)
     assert len(found.names) == n_found
