--- a/ryelever/coordination/planner/capacity.py
+++ b/ryelever/coordination/planner/capacity.py
@@ -10,7 +10,7 @@
     from ...state.placement import Group
     from .view import PlannerLimits, PlannerView
 
-__all__ = ["Capacity", "n_allowed"]
+__all__ = ["CapacityPlan", "n_allowed"]
 
 _NEVER = float("-inf")
 
@@ -19,7 +19,7 @@
 ROUNDING_TOLERANCE = 1e-9
 
 
-class Capacity:
+class CapacityPlan:
     """Decide which models get extra groups, and which groups make room for others.
 
     A model's declared number of groups is its minimum, and the accounts' shares set
@@ -72,8 +72,9 @@
     def growth_candidates(self, view: PlannerView, *, now: float) -> list[str]:
         """Return the models that may get one more group, most needed first.
 
-        Among models without waiting callers and of equal priority, those with larger
-        groups go first, and smaller groups fill the remaining hosts.
+        Models with lasting demand go first, then those of higher priority.  Among
+        equals, models with larger groups go first, and smaller groups fill the
+        remaining hosts.
         """
         models = view.configuration.models
         names = [
@@ -126,10 +127,12 @@
     ) -> list[Group]:
         """Return the fewest groups whose hosts make room for a group of a model.
 
-        Groups beyond the declared number are donated, those of the lowest-priority
-        model and the newest first.  Groups within the declared number are donated
-        only to a model of higher priority that lacks declared groups.  No group is
-        donated unless the recipient then has all its hosts in one fabric domain.
+        Groups beyond the declared number are donated if the recipient lacks declared
+        groups, or if no caller has waited for their own model for ``idle_hold``.
+        Groups within the declared number are donated only to a model of higher
+        priority that lacks declared groups.  Groups of the lowest-priority model and
+        the newest groups are donated first.  No group is donated unless the recipient
+        then has all its hosts in one fabric domain.
 
         Parameters
         ----------
--- a/ryelever/coordination/planner/formation.py
+++ b/ryelever/coordination/planner/formation.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from ...state.placement import Group
     from ..actions import Action
-    from .capacity import Capacity
+    from .capacity import CapacityPlan
     from .planning_pass import PlanningPass
     from .retirement import GroupRetirement
 
@@ -17,7 +17,7 @@
 class GroupFormation:
     """Decide which groups are formed and which are drained."""
 
-    def __init__(self, *, capacity: Capacity, retirement: GroupRetirement) -> None:
+    def __init__(self, *, capacity: CapacityPlan, retirement: GroupRetirement) -> None:
         self._capacity = capacity
         self._retirement = retirement
 
--- a/ryelever/coordination/planner/group_repair.py
+++ b/ryelever/coordination/planner/group_repair.py
@@ -120,7 +120,7 @@
         if not drain_outcome:
             return []
         reason = f"{group.draining_reason}; {drain_outcome}"
-        if planning_pass.is_more_important_model_short(group.model):
+        if planning_pass.is_higher_priority_model_short(group.model):
             return planning_pass.dissolve(group, reason)
         return planning_pass.replace(group, reason) or planning_pass.dissolve(
             group, reason
--- a/ryelever/coordination/planner/host_allocator.py
+++ b/ryelever/coordination/planner/host_allocator.py
@@ -16,11 +16,12 @@
 
 
 class HostAllocator:
-    """Allocate hosts from those that are free at one planning pass.
+    """Allocate hosts that are free in one planning pass.
 
-    A host is free if no group in the log claims it, if it is live in the hosts list,
-    and if its fresh report shows that it is in no group.  The report is as necessary
-    as the log: a host that was released as dead may only have been cut off.
+    A host is free if no group in the log and no pending group claims it, if it is live
+    in the hosts list, if its fresh report shows that it is in no group, and if no
+    earlier order to join can still take effect.  The report is as necessary as the log:
+    a host that was released as dead may only have been cut off.
 
     Parameters
     ----------
@@ -59,9 +60,10 @@
     def allocate(
         self, n_hosts: int, *, n_spare: Callable[[str], int] | None = None
     ) -> tuple[str, ...]:
-        """Allocate free hosts of the domain with the fewest sufficient free hosts.
+        """Allocate free hosts of one domain.
 
-        The result is empty when no domain has enough free hosts.
+        Among the domains with enough free hosts, the one with the fewest is chosen.
+        The result is empty when no domain has enough.
 
         Parameters
         ----------
--- a/ryelever/coordination/planner/planner.py
+++ b/ryelever/coordination/planner/planner.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from ..lease import PlannerLease
-from .capacity import Capacity
+from .capacity import CapacityPlan
 from .decisions import Decisions
 from .formation import GroupFormation
 from .group_repair import GroupRepair
@@ -65,7 +65,7 @@
         )
         self._orders = Orders(limits=limits)
         self._health = HostHealth(limits=limits)
-        self._capacity = Capacity(limits=limits)
+        self._capacity = CapacityPlan(limits=limits)
         self._retirement = GroupRetirement(limits=limits, health=self._health)
         self._repair = GroupRepair(
             limits=limits,
--- a/ryelever/coordination/planner/planning_pass.py
+++ b/ryelever/coordination/planner/planning_pass.py
@@ -87,7 +87,7 @@
             groups += model_groups[: model.n_groups]
         return groups
 
-    def is_more_important_model_short(self, model: str) -> bool:
+    def is_higher_priority_model_short(self, model: str) -> bool:
         """Return whether a model of higher priority lacks declared groups."""
         names = [name for name, _ in self.models_by_priority]
         above = names[: names.index(model)] if model in names else names
--- a/ryelever/coordination/planner/release.py
+++ b/ryelever/coordination/planner/release.py
@@ -28,7 +28,11 @@
 
 
 class Release:
-    """Order the hosts of dissolved groups to leave, and record their release."""
+    """Order hosts to leave groups that have ended, and record their release.
+
+    A host that reports a group although the log claims it for none is ordered to leave,
+    too.
+    """
 
     def __init__(
         self,
--- a/ryelever/coordination/planner/retirement.py
+++ b/ryelever/coordination/planner/retirement.py
@@ -135,7 +135,7 @@
 def _has_spare(
     group: Group, view: PlannerView, health: HostHealth, *, now: float
 ) -> bool:
-    """Return whether a fabric domain has an idle host to replace a straggler.
+    """Return whether the group's fabric domain has an idle host to replace a straggler.
 
     Without such a host the straggler stays, since a slow group is better than none.
     """
--- a/ryelever/coordination/planner/view.py
+++ b/ryelever/coordination/planner/view.py
@@ -50,9 +50,11 @@
     demand_hold, idle_hold : float
         Time for which callers must have waited for one model, and for which no
         caller must have waited for another model, before capacity moves between
-        these models.
+        these models.  ``idle_hold`` is also the time for which a model must have had
+        too many groups before one of them is drained.
     move_interval : float
-        Minimum time between two moves of capacity.
+        Minimum time after a move of capacity until the next move for an extra group.
+        A move for a missing declared group is not delayed.
     max_loading : int
         Maximum number of hosts that load weights at once.  A single group with more
         members than this may still load alone.
--- a/tests/test_coordination/test_planner/__init__.py
+++ b/tests/test_coordination/test_planner/__init__.py
@@ -1,1 +1,1 @@
-"""Test the family of planner decisions."""
+"""Test the package ``ryelever.coordination.planner``."""
--- a/tests/test_coordination/test_planner/test_planner_outage.py
+++ b/tests/test_coordination/test_planner/test_planner_outage.py
@@ -21,9 +21,9 @@
 ) -> None:
     """Restart a member while the log is unavailable.
 
-    Guards against a group that stays down during an outage of the log of an hour,
-    although all its hosts are up.  This happens if a restarted member can only serve
-    again in a new group with a new fencing number.
+    Guards against a group that stays down for a whole outage of the log, such as an
+    hour, although all its hosts are up.  This happens if a restarted member can only
+    serve again in a new group with a new fencing number.
     """
     zone = _make_zone(checks_fencing)
     zone.log_is_up = False
