--- a/ryelever/coordination/admission/accounts.py
+++ b/ryelever/coordination/admission/accounts.py
@@ -97,7 +97,7 @@
 
     # Limits
 
-    def may_enter(self, name: str, *, now: float) -> bool:
+    def may_admit(self, name: str, *, now: float) -> bool:
         """Return whether the account's limits admit one more request."""
         known = self.states_by_name[name]
         self._refill(known, now=now)
@@ -126,7 +126,7 @@
 
     # Counts
 
-    def record_entry(self, name: str, *, has_waited: bool, now: float) -> None:
+    def record_admission(self, name: str, *, has_waited: bool, now: float) -> None:
         """Count a request that was admitted."""
         known = self.states_by_name[name]
         known.n_waiting -= has_waited
--- a/ryelever/coordination/admission/admission.py
+++ b/ryelever/coordination/admission/admission.py
@@ -29,7 +29,7 @@
     Attributes
     ----------
     reason : str
-        Reason for the caller.
+        Reason that is given to the caller.
     retry_after : float
         Seconds after which the caller should retry.
     """
@@ -39,7 +39,7 @@
 
 
 class Admission(Protocol):
-    """Decide which requests are admitted, in which order they wait, and refusals."""
+    """Decide which requests are admitted or refused, and in which order others wait."""
 
     def admit(
         self, arrival: Arrival, account: ClientAccount, *, now: float
--- a/ryelever/coordination/admission/capacity.py
+++ b/ryelever/coordination/admission/capacity.py
@@ -81,9 +81,11 @@
     refreshed_at : float
         Monotonic time of the last refresh.
     n_batch : int
-        Requests that all usable groups together run at a time.
+        Requests that the usable groups of this host's zone run at a time; those of all
+        other zones if this zone has none.
     n_peer_requests : int
-        Requests of other entry hosts, according to the engines' reports.
+        Requests of other entry hosts at these groups, according to the engines'
+        reports.
     local_samples : deque of (float, int)
         Times, and the number of this host's requests in flight until the next time.
     """
@@ -118,8 +120,8 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class _ReportedLoad:
-    """Load of a usable group, according to the report of its first host.
+class _GroupLoad:
+    """Load of a usable group, according to the report of its rank 0.
 
     Attributes
     ----------
@@ -139,17 +141,17 @@
 
     Attributes
     ----------
-    reports_by_name : dict of str to _ReportedLoad
+    loads_by_name : dict of str to _GroupLoad
         Loads of the usable candidates.
-    next_index : int
+    last_index : int
         Index of the candidate that was checked last.
     at : float
         Monotonic time of the last check.
     """
 
-    reports_by_name: dict[str, _ReportedLoad] = field(default_factory=dict)
+    loads_by_name: dict[str, _GroupLoad] = field(default_factory=dict)
     candidates: tuple[Candidate, ...] = ()
-    next_index: int = 0
+    last_index: int = 0
     at: float = float("-inf")
 
 
@@ -194,8 +196,8 @@
     def slots(self, arrival: Arrival, *, n_in_flight: int, now: float) -> float:
         """Return this host's slots in an arrival's pool.
 
-        Services other than models report no batch.  Their slots are unlimited, and
-        only the accounts' limits apply.
+        A plain service reports no batch.  Its slots are unlimited while one of its
+        hosts is usable, and only the accounts' limits apply.
         """
         if not isinstance(arrival.work, ChatWork):
             return float("inf") if self._any_usable(arrival, now=now) else 0.0
@@ -218,7 +220,7 @@
         next report although callers wait.
         """
         found = self._targets.candidates(arrival.work, now=now)
-        reports: list[_ReportedLoad] = []
+        reports: list[_GroupLoad] = []
         for is_local, candidates in (
             (True, found.local_zone),
             (False, found.other_zones),
@@ -232,9 +234,11 @@
         requested_at = [
             report.requested_at for report in reports if report.requested_at is not None
         ]
-        mean_asked_at = sum(requested_at) / len(requested_at) if requested_at else now
+        mean_requested_at = (
+            sum(requested_at) / len(requested_at) if requested_at else now
+        )
         n_reported = sum(report.n_requests for report in reports)
-        pool.n_peer_requests = max(0, n_reported - pool.n_local_at(mean_asked_at))
+        pool.n_peer_requests = max(0, n_reported - pool.n_local_at(mean_requested_at))
 
     def _any_usable(self, arrival: Arrival, *, now: float) -> bool:
         found = self._targets.candidates(arrival.work, now=now)
@@ -250,7 +254,7 @@
         candidates: tuple[Candidate, ...],
         *,
         now: float,
-    ) -> list[_ReportedLoad]:
+    ) -> list[_GroupLoad]:
         """Check the next few candidates, or after a pause all of them.
 
         The result is the loads of the usable candidates, from this and earlier checks.
@@ -259,8 +263,8 @@
         if checked.candidates is not candidates:
             checked.candidates = candidates
             names = {candidate.name for candidate in candidates}
-            for name in checked.reports_by_name.keys() - names:
-                del checked.reports_by_name[name]
+            for name in checked.loads_by_name.keys() - names:
+                del checked.loads_by_name[name]
         n_to_check = (
             N_CHECKED_PER_REFRESH
             if 0 <= now - checked.at <= FULL_CHECK_AFTER
@@ -268,16 +272,16 @@
         )
         checked.at = now
         for _ in range(min(n_to_check, len(candidates))):
-            checked.next_index = (checked.next_index + 1) % len(candidates)
-            candidate = candidates[checked.next_index]
-            report = self._report(candidate, now=now)
+            checked.last_index = (checked.last_index + 1) % len(candidates)
+            candidate = candidates[checked.last_index]
+            report = self._group_load(candidate, now=now)
             if report is None:
-                checked.reports_by_name.pop(candidate.name, None)
+                checked.loads_by_name.pop(candidate.name, None)
             else:
-                checked.reports_by_name[candidate.name] = report
-        return list(checked.reports_by_name.values())
+                checked.loads_by_name[candidate.name] = report
+        return list(checked.loads_by_name.values())
 
-    def _report(self, candidate: Candidate, *, now: float) -> _ReportedLoad | None:
+    def _group_load(self, candidate: Candidate, *, now: float) -> _GroupLoad | None:
         """Return the reported load of a candidate, or None if it is not usable."""
         target = self._targets.target(candidate, now=now)
         if target is None:
@@ -285,8 +289,8 @@
         host = target.hosts[0]
         report = self._confirmations.fresh(host, now=now)
         if report is None:
-            return _ReportedLoad()
-        return _ReportedLoad(
+            return _GroupLoad()
+        return _GroupLoad(
             n_requests=report.running + report.waiting,
             requested_at=self._confirmations.reports_by_host[host].requested_at,
         )
--- a/ryelever/coordination/admission/estimates.py
+++ b/ryelever/coordination/admission/estimates.py
@@ -15,8 +15,8 @@
 
 __all__ = ["announced_size", "expected_wait", "min_wait", "refusal"]
 
-#: Maximum factor by which a pool may serve faster than its mean cost so far.  A request
-#: counts as certainly late only if it would be late even at this speed.
+#: Maximum factor by which requests may end faster than the pool's mean cost so far
+#: suggests.  A request counts as certainly late only if it would be late even then.
 MAX_SPEEDUP = 2.0
 
 #: Bounds, in seconds, of the time after which a refused caller should retry, before
--- a/ryelever/coordination/admission/fair_admission.py
+++ b/ryelever/coordination/admission/fair_admission.py
@@ -47,8 +47,9 @@
     limits : LimitsView
         This host's part of each account's limits.
     max_waiting : int
-        Maximum number of waiting requests in total.  When it is reached, an account
-        may still queue requests up to an even part among the accounts that wait.
+        Number of waiting requests in total from which on an account may queue more
+        requests only up to an even part of this number, divided among the accounts that
+        wait.
     max_waiting_per_account : int
         Maximum number of waiting requests of one account.
     """
@@ -164,7 +165,7 @@
         """Return the number of waiting requests over all accounts."""
         return self._pools.n_waiting
 
-    # Entry
+    # Admission
 
     def _admit(
         self,
@@ -178,7 +179,7 @@
         unpaused_now = now - self._paused_time
         pool.queue.grant(flow, ticket, capacity=slots, now=unpaused_now)
         self._tickets_by_request[ticket.request_id] = ticket
-        self._accounts.record_entry(flow.client_account, has_waited=False, now=now)
+        self._accounts.record_admission(flow.client_account, has_waited=False, now=now)
         return Admitted()
 
     def _enqueue(self, pool: Pool, flow: Flow, ticket: Ticket, *, now: float) -> None:
@@ -220,7 +221,7 @@
     def _pop(self, pool: Pool, flow: Flow, *, slots: float, now: float) -> str:
         unpaused_now = now - self._paused_time
         ticket = pool.queue.pop(flow, capacity=slots, now=unpaused_now)
-        self._accounts.record_entry(flow.client_account, has_waited=True, now=now)
+        self._accounts.record_admission(flow.client_account, has_waited=True, now=now)
         return ticket.request_id
 
     def _may_skip_queue(
@@ -233,14 +234,14 @@
         """
         if pool.queue.n_in_flight + 1 > slots:
             return False
-        if not self._accounts.may_enter(flow.client_account, now=now):
+        if not self._accounts.may_admit(flow.client_account, now=now):
             return False
         return not pool.queue.n_waiting or self._next_flow(pool.queue, now=now) is None
 
     def _next_flow(self, queue: FairQueue, *, now: float) -> Flow | None:
         """Return the next flow in fair order whose account's limits admit a request."""
         return queue.first(
-            lambda flow: self._accounts.may_enter(flow.client_account, now=now)
+            lambda flow: self._accounts.may_admit(flow.client_account, now=now)
         )
 
     # Refusal
--- a/ryelever/coordination/admission/fair_queue.py
+++ b/ryelever/coordination/admission/fair_queue.py
@@ -2,11 +2,14 @@
 
 Each account has a tag: the virtual time in seconds at which its next request would
 start if the account had exactly its share of the capacity.  The account with the
-lowest tag is served first.  An account that was idle starts at the queue's current
-virtual time, so that it has neither credit nor debt.  An unused share is lent to the
-waiting accounts, and returns to its account with the next slot that becomes free.
-Only an account that uses less than its share starts ``CREDIT`` seconds earlier, so
-that it may briefly exceed its share when several of its requests arrive at once.
+lowest tag is served first.  An unused share is lent to the waiting accounts, and
+returns to its account with the next slot that becomes free.
+
+An account that had no waiting requests and uses its share or more rejoins at the
+queue's virtual time, or at its own tag if that is later.  An account that uses less
+than its share rejoins ``CREDIT`` seconds before the virtual time instead, so that it
+may briefly exceed its share when several of its requests arrive at once.  An idle
+account thus has no debt and no more credit than this.
 """
 
 from __future__ import annotations
@@ -52,7 +55,7 @@
     sequence : int
         Number of the request in the order of arrival.
     size : float
-        Declared amount of work, in the same unit for all requests.
+        Announced amount of work, in the same unit for all requests.
     granted_at : float or None
         Time at which the request got its slot; None while the request waits.
     """
@@ -85,7 +88,7 @@
     tag : float
         Virtual time at which the account's next request would start.
     cost_per_size : float or None
-        Moving average of the slot-seconds per unit of declared work; None before any
+        Moving average of the slot-seconds per unit of announced work; None before any
         request of the account has ended.
     """
 
--- a/tests/test_coordination/test_admission/test_admission.py
+++ b/tests/test_coordination/test_admission/test_admission.py
@@ -18,7 +18,7 @@
 DEFAULTS = ClientAccount(key_hash="", rate=1000.0, concurrency=1000, share=0.3)
 
 
-class Bench:
+class AdmissionDriver:
     """Drive one ``FairAdmission`` with given times, accounts and slots."""
 
     def __init__(self, n_slots: float = 2, **options: object) -> None:
@@ -68,19 +68,19 @@
 def test_admission_stops_at_each_limit(
     declared: ClientAccount, n_slots: int, n_admitted: int
 ) -> None:
-    bench = Bench(n_slots)
-    bench.accounts["big"] = declared
-    decisions = [bench.arrive("big", 0.0)[1] for _ in range(8)]
+    driver = AdmissionDriver(n_slots)
+    driver.accounts["big"] = declared
+    decisions = [driver.arrive("big", 0.0)[1] for _ in range(8)]
     assert [type(decision) for decision in decisions] == [Admitted] * n_admitted + [
         Queued
     ] * (8 - n_admitted)
 
 
 def test_waiting_requests_are_admitted_at_the_accounts_rate() -> None:
-    bench = Bench(100)
-    bench.accounts["big"] = replace(DEFAULTS, rate=2.0)
-    bench.fill("big", 6, 0.0)
-    n_granted = [len(bench.tick(now / 2)[0]) for now in range(6)]
+    driver = AdmissionDriver(100)
+    driver.accounts["big"] = replace(DEFAULTS, rate=2.0)
+    driver.fill("big", 6, 0.0)
+    n_granted = [len(driver.tick(now / 2)[0]) for now in range(6)]
     assert n_granted == [0, 1, 1, 1, 1, 0]
 
 
@@ -91,35 +91,36 @@
     first-out queue for all accounts.  The large account fills all slots and queues 50
     requests, the small one sends a request, and one slot becomes free.
     """
-    bench = Bench(2)
-    running = bench.fill("big", 2, 0.0)
-    bench.fill("big", 50, 0.0)
-    small, decision = bench.arrive("small", 0.1)
+    driver = AdmissionDriver(2)
+    running = driver.fill("big", 2, 0.0)
+    driver.fill("big", 50, 0.0)
+    small, decision = driver.arrive("small", 0.1)
     assert decision == Queued()
-    bench.admission.release(running[0], now=0.2)
-    assert bench.tick(0.2)[0] == [small]
+    driver.admission.release(running[0], now=0.2)
+    assert driver.tick(0.2)[0] == [small]
 
 
 def test_lent_share_returns_with_each_free_slot() -> None:
-    """Let an account that lent its share send requests again.
+    """Let an idle account, whose share was lent, send requests.
 
     Guards against an account that was idle and waits behind the borrowers of its share.
-    One account uses all of ten slots, the lender sends 20 requests, and slots become
-    free one by one.  The lender must get the next slots until it has its share.  With
-    wrong tags, the borrower would keep the lent slots.
+    One account uses all of ten slots and has 20 more requests waiting, the lender with
+    the same share sends 20 requests, and slots become free one by one.  The lender must
+    get the next slots until it has its share.  The fault occurs if the tags let the
+    borrower keep the slots that it was lent.
     """
-    bench = Bench(10)
-    bench.accounts["small"] = replace(DEFAULTS, share=0.3)
-    running = bench.fill("big", 10, 0.0)
-    bench.fill("big", 20, 0.0)
-    bench.fill("small", 20, 1.0)
+    driver = AdmissionDriver(10)
+    driver.accounts["small"] = replace(DEFAULTS, share=0.3)
+    running = driver.fill("big", 10, 0.0)
+    driver.fill("big", 20, 0.0)
+    driver.fill("small", 20, 1.0)
     granted = []
     for index in range(8):
         now = 2.0 + index / 10
-        bench.admission.release(running[index], now=now)
-        granted += bench.tick(now)[0]
+        driver.admission.release(running[index], now=now)
+        granted += driver.tick(now)[0]
     assert sum(name.startswith("small") for name in granted) >= 5
-    assert bench.admission.n_in_flight("big") + len(granted) >= 10
+    assert driver.admission.n_in_flight("big") + len(granted) >= 10
 
 
 @pytest.mark.parametrize("priority", [-1000, -1, 0, 1, 1000])
@@ -130,28 +131,30 @@
     account of the highest priority always has ten requests waiting.  Strict
     priorities without ageing have this fault.
     """
-    bench = Bench(1)
-    bench.accounts["big"] = replace(DEFAULTS, priority=1000)
-    bench.accounts["small"] = replace(DEFAULTS, priority=priority, share=0.1)
-    (running,) = bench.fill("big", 1, 0.0, priority=1000)
-    bench.fill("big", 10, 0.0, priority=1000)
-    small, _ = bench.arrive("small", 0.0, timeout=600.0, priority=priority)
+    driver = AdmissionDriver(1)
+    driver.accounts["big"] = replace(DEFAULTS, priority=1000)
+    driver.accounts["small"] = replace(DEFAULTS, priority=priority, share=0.1)
+    (running,) = driver.fill("big", 1, 0.0, priority=1000)
+    driver.fill("big", 10, 0.0, priority=1000)
+    small, _ = driver.arrive("small", 0.0, timeout=600.0, priority=priority)
     now = 0.0
     while running != small and now < 120.0:
         now += 1.0
-        bench.arrive("big", now, priority=1000)
-        bench.admission.release(running, now=now)
-        (running,) = bench.tick(now)[0]
+        driver.arrive("big", now, priority=1000)
+        driver.admission.release(running, now=now)
+        (running,) = driver.tick(now)[0]
     assert running == small
 
 
-def end_one_by_one(bench: Bench, running: str, n_ended: int, now: float) -> list[str]:
+def end_one_by_one(
+    driver: AdmissionDriver, running: str, n_ended: int, now: float
+) -> list[str]:
     """End one request after another, and return the requests granted in their place."""
     granted = []
     for _ in range(n_ended):
         now += 1.0
-        bench.admission.release(running, now=now)
-        (running,) = bench.tick(now)[0]
+        driver.admission.release(running, now=now)
+        (running,) = driver.tick(now)[0]
         granted.append(running)
     return granted
 
@@ -159,12 +162,12 @@
 @pytest.mark.parametrize(("priority", "n_low_first"), [(0, 5), (4, 2)])
 def test_priority_is_a_bounded_head_start(priority: int, n_low_first: int) -> None:
     """At equal shares, a step of priority is worth 1 s of waiting and no more."""
-    bench = Bench(1)
-    bench.accounts["small"] = replace(DEFAULTS, priority=priority)
-    (running,) = bench.fill("big", 1, 0.0)
-    bench.fill("big", 20, 0.0)
-    bench.fill("small", 20, 0.0, priority=priority)
-    granted = end_one_by_one(bench, running, 10, 0.0)
+    driver = AdmissionDriver(1)
+    driver.accounts["small"] = replace(DEFAULTS, priority=priority)
+    (running,) = driver.fill("big", 1, 0.0)
+    driver.fill("big", 20, 0.0)
+    driver.fill("small", 20, 0.0, priority=priority)
+    granted = end_one_by_one(driver, running, 10, 0.0)
     n_low = sum(name.startswith("big") for name in granted[:10])
     assert n_low <= n_low_first + 2
     assert n_low >= n_low_first - 1
@@ -173,19 +176,19 @@
 def test_unused_share_does_not_accumulate() -> None:
     """Give an account no more than its share after a time of low use.
 
-    Guards against an account that gets no slots for a long time after another one was
-    almost idle.  One account only runs a few long requests while the other is served
-    40 times; then both have requests waiting.  The fault occurs if the tag of the
-    first account is not advanced while it has no requests waiting.
+    Guards against an account that gets no slots for a long time after another one sent
+    few requests.  One account only runs three long requests while the other is served
+    40 times; then both have requests waiting.  The fault occurs if the tag of the first
+    account is not advanced while it has no requests waiting.
     """
-    bench = Bench(10)
-    bench.accounts["small"] = DEFAULTS
-    bench.fill("small", 3, 0.0)
-    (running, *_) = bench.fill("big", 7, 0.0)
-    bench.fill("big", 100, 0.0, timeout=1000.0)
-    running = end_one_by_one(bench, running, 40, 0.0)[-1]
-    bench.fill("small", 20, 40.0)
-    granted = end_one_by_one(bench, running, 10, 40.0)
+    driver = AdmissionDriver(10)
+    driver.accounts["small"] = DEFAULTS
+    driver.fill("small", 3, 0.0)
+    (running, *_) = driver.fill("big", 7, 0.0)
+    driver.fill("big", 100, 0.0, timeout=1000.0)
+    running = end_one_by_one(driver, running, 40, 0.0)[-1]
+    driver.fill("small", 20, 40.0)
+    granted = end_one_by_one(driver, running, 10, 40.0)
     assert 4 <= sum(name.startswith("big") for name in granted) <= 6
 
 
@@ -196,8 +199,8 @@
     retry at the same time, because the wait is not estimated and the retry time is
     constant.  One slot, requests of 1 s each, deadlines of 5 s, 40 arrivals at once.
     """
-    bench = Bench(1)
-    decisions = [bench.arrive("big", 0.0, timeout=5.0)[1] for _ in range(40)]
+    driver = AdmissionDriver(1)
+    decisions = [driver.arrive("big", 0.0, timeout=5.0)[1] for _ in range(40)]
     refused = [decision for decision in decisions if isinstance(decision, Refused)]
     assert 30 <= len(refused) <= 38
     times = [decision.retry_after for decision in refused]
@@ -208,9 +211,9 @@
 def test_retry_after_grows_with_the_wait() -> None:
     means = []
     for n_waiting in (10, 40):
-        bench = Bench(1)
-        bench.fill("big", n_waiting, 0.0)
-        decisions = [bench.arrive("big", 0.0, timeout=2.0)[1] for _ in range(50)]
+        driver = AdmissionDriver(1)
+        driver.fill("big", n_waiting, 0.0)
+        decisions = [driver.arrive("big", 0.0, timeout=2.0)[1] for _ in range(50)]
         assert all(isinstance(decision, Refused) for decision in decisions)
         means.append(sum(decision.retry_after for decision in decisions) / 50)
     assert means[1] > 2.0 * means[0]
@@ -224,34 +227,34 @@
     arrival.  Twenty requests with 8 s each wait at a rate of 10 per second, and the
     rate falls to 1.
     """
-    bench = Bench(100)
-    bench.accounts["big"] = replace(DEFAULTS, rate=10.0)
-    bench.fill("big", 30, 0.0, timeout=8.0)
-    assert bench.tick(0.25)[1] == []
-    bench.accounts["big"] = replace(DEFAULTS, rate=1.0)
-    expired = bench.tick(0.5)[1]
+    driver = AdmissionDriver(100)
+    driver.accounts["big"] = replace(DEFAULTS, rate=10.0)
+    driver.fill("big", 30, 0.0, timeout=8.0)
+    assert driver.tick(0.25)[1] == []
+    driver.accounts["big"] = replace(DEFAULTS, rate=1.0)
+    expired = driver.tick(0.5)[1]
     assert 10 <= len(expired) <= 16
     assert all("in time" in refused.reason for _, refused in expired)
-    assert bench.tick(0.75)[1] == []
+    assert driver.tick(0.75)[1] == []
 
 
 def test_request_past_its_deadline_is_refused_and_not_granted() -> None:
-    bench = Bench(1)
-    (running,) = bench.fill("big", 1, 0.0)
-    late, _ = bench.arrive("big", 0.0, timeout=4.0)
-    bench.admission.release(running, now=4.5)
-    granted, expired = bench.tick(4.5)
+    driver = AdmissionDriver(1)
+    (running,) = driver.fill("big", 1, 0.0)
+    late, _ = driver.arrive("big", 0.0, timeout=4.0)
+    driver.admission.release(running, now=4.5)
+    granted, expired = driver.tick(4.5)
     assert granted == []
     assert [name for name, _ in expired] == [late]
 
 
 def test_request_past_its_deadline_inside_the_queue_is_refused() -> None:
     """Refuse a request past its deadline although later ones behind it may wait."""
-    bench = Bench(1)
-    bench.fill("big", 1, 0.0)
-    late, _ = bench.arrive("big", 0.0, timeout=4.0)
-    bench.fill("big", 3, 0.1, timeout=60.0)
-    assert [name for name, _ in bench.tick(4.5)[1]] == [late]
+    driver = AdmissionDriver(1)
+    driver.fill("big", 1, 0.0)
+    late, _ = driver.arrive("big", 0.0, timeout=4.0)
+    driver.fill("big", 3, 0.1, timeout=60.0)
+    assert [name for name, _ in driver.tick(4.5)[1]] == [late]
 
 
 @pytest.mark.parametrize(
@@ -262,11 +265,13 @@
     max_waiting: int, per_account: int, n_big: int, small_decision: type
 ) -> None:
     """A burst fills only its own part of the queue; other accounts may still queue."""
-    bench = Bench(1, max_waiting=max_waiting, max_waiting_per_account=per_account)
-    bench.fill("big", 1, 0.0)
-    decisions = [bench.arrive("big", 0.0, timeout=600.0)[1] for _ in range(50)]
+    driver = AdmissionDriver(
+        1, max_waiting=max_waiting, max_waiting_per_account=per_account
+    )
+    driver.fill("big", 1, 0.0)
+    decisions = [driver.arrive("big", 0.0, timeout=600.0)[1] for _ in range(50)]
     assert sum(isinstance(decision, Queued) for decision in decisions) == n_big
-    decision = bench.arrive("small", 0.0, timeout=600.0)[1]
+    decision = driver.arrive("small", 0.0, timeout=600.0)[1]
     assert isinstance(decision, small_decision)
 
 
@@ -277,50 +282,50 @@
     those that it can serve in time, because the pause counts as part of the time that
     requests need.
     """
-    bench = Bench(4)
-    running = bench.fill("big", 4, 0.0)
-    bench.tick(0.5)
-    bench.tick(30.5)
+    driver = AdmissionDriver(4)
+    running = driver.fill("big", 4, 0.0)
+    driver.tick(0.5)
+    driver.tick(30.5)
     for request_id in running:
-        bench.admission.release(request_id, now=31.0)
-    assert bench.tick(31.0) == ([], [])
-    decisions = [bench.arrive("big", 31.0, timeout=8.0)[1] for _ in range(20)]
+        driver.admission.release(request_id, now=31.0)
+    assert driver.tick(31.0) == ([], [])
+    decisions = [driver.arrive("big", 31.0, timeout=8.0)[1] for _ in range(20)]
     assert not any(isinstance(decision, Refused) for decision in decisions)
 
 
 def test_pause_of_the_process_adds_no_more_tokens_than_the_burst() -> None:
-    bench = Bench(1000)
-    bench.accounts["big"] = replace(DEFAULTS, rate=5.0)
-    bench.fill("big", 5, 0.0)
-    bench.tick(0.0)
-    bench.tick(30.0)
-    decisions = [bench.arrive("big", 30.0)[1] for _ in range(20)]
+    driver = AdmissionDriver(1000)
+    driver.accounts["big"] = replace(DEFAULTS, rate=5.0)
+    driver.fill("big", 5, 0.0)
+    driver.tick(0.0)
+    driver.tick(30.0)
+    decisions = [driver.arrive("big", 30.0)[1] for _ in range(20)]
     assert decisions.count(Admitted()) == 5
 
 
 def test_removing_an_account_refuses_only_its_waiting_requests() -> None:
     """Refuse a removed account's waiting requests at once; running ones continue."""
-    bench = Bench(1)
-    (running,) = bench.fill("big", 1, 0.0)
-    waiting = bench.fill("big", 3, 0.0)
-    small, _ = bench.arrive("small", 0.0)
-    del bench.accounts["big"]
-    granted, expired = bench.tick(0.1)
+    driver = AdmissionDriver(1)
+    (running,) = driver.fill("big", 1, 0.0)
+    waiting = driver.fill("big", 3, 0.0)
+    small, _ = driver.arrive("small", 0.0)
+    del driver.accounts["big"]
+    granted, expired = driver.tick(0.1)
     assert sorted(name for name, _ in expired) == sorted(waiting)
     assert granted == []
-    bench.admission.release(running, now=0.2)
-    assert bench.tick(0.2) == ([small], [])
-    bench.tick(0.6)
-    assert "big" not in bench.admission.describe()
+    driver.admission.release(running, now=0.2)
+    assert driver.tick(0.2) == ([small], [])
+    driver.tick(0.6)
+    assert "big" not in driver.admission.describe()
 
 
 def test_changed_limit_applies_to_waiting_requests() -> None:
-    bench = Bench(10)
-    bench.accounts["big"] = replace(DEFAULTS, concurrency=1)
-    bench.fill("big", 5, 0.0)
-    bench.accounts["big"] = replace(DEFAULTS, concurrency=3)
-    bench.tick(0.1)
-    assert bench.admission.n_in_flight("big") == 3
+    driver = AdmissionDriver(10)
+    driver.accounts["big"] = replace(DEFAULTS, concurrency=1)
+    driver.fill("big", 5, 0.0)
+    driver.accounts["big"] = replace(DEFAULTS, concurrency=3)
+    driver.tick(0.1)
+    assert driver.admission.n_in_flight("big") == 3
 
 
 def test_caller_that_disconnects_while_waiting_leaves_the_queue() -> None:
@@ -330,15 +335,15 @@
     because the queue keeps released requests.  The next request must get the slot,
     and a repeated release must not be counted twice.
     """
-    bench = Bench(1)
-    (running,) = bench.fill("big", 1, 0.0)
-    first, second = bench.fill("big", 2, 0.0)
-    bench.admission.release(first, now=0.1)
-    bench.admission.release(first, now=0.1)
-    bench.admission.release(running, now=0.2)
-    assert bench.tick(0.2)[0] == [second]
-    bench.admission.release(second, now=0.3)
-    counts = bench.admission.describe()["big"]
+    driver = AdmissionDriver(1)
+    (running,) = driver.fill("big", 1, 0.0)
+    first, second = driver.fill("big", 2, 0.0)
+    driver.admission.release(first, now=0.1)
+    driver.admission.release(first, now=0.1)
+    driver.admission.release(running, now=0.2)
+    assert driver.tick(0.2)[0] == [second]
+    driver.admission.release(second, now=0.3)
+    counts = driver.admission.describe()["big"]
     assert counts == {"in_flight": 0, "waiting": 0}
 
 
@@ -349,35 +354,35 @@
     the queue waits for slots that will not become free.  Three requests wait, the
     last group fails, and no group returns.
     """
-    bench = Bench(1)
-    bench.fill("big", 1, 0.0)
-    waiting = bench.fill("big", 3, 0.0)
-    bench.capacity.n_slots = 0
-    assert bench.tick(1.0) == ([], [])
-    granted, expired = bench.tick(1.0 + LOSS_GRACE_PERIOD)
+    driver = AdmissionDriver(1)
+    driver.fill("big", 1, 0.0)
+    waiting = driver.fill("big", 3, 0.0)
+    driver.capacity.n_slots = 0
+    assert driver.tick(1.0) == ([], [])
+    granted, expired = driver.tick(1.0 + LOSS_GRACE_PERIOD)
     assert sorted(granted) == sorted(waiting)
     assert expired == []
 
 
 def test_capacity_that_returns_in_time_keeps_the_queue() -> None:
-    bench = Bench(1)
-    bench.fill("big", 1, 0.0)
-    waiting = bench.fill("big", 3, 0.0)
-    bench.capacity.n_slots = 0
-    bench.tick(1.0)
-    bench.capacity.n_slots = 2
-    assert bench.tick(1.5)[0] == [waiting[0]]
-    bench.capacity.n_slots = 0
-    assert bench.tick(1.0 + LOSS_GRACE_PERIOD) == ([], [])
+    driver = AdmissionDriver(1)
+    driver.fill("big", 1, 0.0)
+    waiting = driver.fill("big", 3, 0.0)
+    driver.capacity.n_slots = 0
+    driver.tick(1.0)
+    driver.capacity.n_slots = 2
+    assert driver.tick(1.5)[0] == [waiting[0]]
+    driver.capacity.n_slots = 0
+    assert driver.tick(1.0 + LOSS_GRACE_PERIOD) == ([], [])
 
 
 def test_pools_do_not_wait_for_each_other() -> None:
-    bench = Bench(1)
-    bench.fill("big", 5, 0.0)
+    driver = AdmissionDriver(1)
+    driver.fill("big", 5, 0.0)
     work = ServiceWork(
         service="bookings", method="GET", path="/", content_type="", body=b""
     )
-    assert bench.arrive("big", 0.0, work=work)[1] == Admitted()
+    assert driver.arrive("big", 0.0, work=work)[1] == Admitted()
 
 
 STEPS = st.lists(
@@ -397,16 +402,18 @@
 @given(steps=STEPS)
 def test_every_request_is_released_once_and_counts_hold(steps: list) -> None:
     """Whatever happens, each request is in one state and no limit is exceeded."""
-    bench = Bench(3, max_waiting=12, max_waiting_per_account=6)
-    bench.accounts.clear()
+    driver = AdmissionDriver(3, max_waiting=12, max_waiting_per_account=6)
+    driver.accounts.clear()
     declared = replace(DEFAULTS, concurrency=2, rate=5.0, share=0.3)
-    bench.accounts.update(dict.fromkeys("abc", declared))
+    driver.accounts.update(dict.fromkeys("abc", declared))
     waiting: dict[str, str] = {}
     running: dict[str, str] = {}
     now = 0.0
     for kind, value, extra in steps:
-        if kind == "arrive" and value in bench.accounts:
-            request_id, decision = bench.arrive(value, now, timeout=5.0, priority=extra)
+        if kind == "arrive" and value in driver.accounts:
+            request_id, decision = driver.arrive(
+                value, now, timeout=5.0, priority=extra
+            )
             if isinstance(decision, Admitted):
                 running[request_id] = value
             elif isinstance(decision, Queued):
@@ -414,37 +421,37 @@
         elif kind == "release" and (waiting or running):
             held = sorted([*waiting, *running])
             request_id = held[value % len(held)]
-            bench.admission.release(request_id, now=now)
+            driver.admission.release(request_id, now=now)
             waiting.pop(request_id, None)
             running.pop(request_id, None)
         elif kind == "pass":
             now += value
         elif kind == "slots":
-            bench.capacity.n_slots = value
+            driver.capacity.n_slots = value
         elif kind == "limit":
-            bench.accounts[value] = replace(declared, concurrency=extra)
+            driver.accounts[value] = replace(declared, concurrency=extra)
         elif kind == "remove":
-            bench.accounts.pop(value, None)
+            driver.accounts.pop(value, None)
         before = {name: list(running.values()).count(name) for name in "abc"}
-        granted, expired = bench.tick(now)
+        granted, expired = driver.tick(now)
         for request_id, _ in expired:
             waiting.pop(request_id)
         for request_id in granted:
             running[request_id] = waiting.pop(request_id)
-        counts = bench.admission.describe()
+        counts = driver.admission.describe()
         for name in "abc":
             n_running = list(running.values()).count(name)
             n_waiting = list(waiting.values()).count(name)
             known = counts.get(name, {"in_flight": 0, "waiting": 0})
             assert known == {"in_flight": n_running, "waiting": n_waiting}
-            limit = bench.accounts.get(name, declared).concurrency
-            if bench.capacity.n_slots:
+            limit = driver.accounts.get(name, declared).concurrency
+            if driver.capacity.n_slots:
                 assert n_running <= max(limit, before[name])
-        assert bench.admission.n_waiting <= 18
+        assert driver.admission.n_waiting <= 18
     for request_id in [*waiting, *running]:
-        bench.admission.release(request_id, now=now)
-    assert bench.tick(now) == ([], [])
+        driver.admission.release(request_id, now=now)
+    assert driver.tick(now) == ([], [])
     assert all(
         known == {"in_flight": 0, "waiting": 0}
-        for known in bench.admission.describe().values()
+        for known in driver.admission.describe().values()
     )
--- a/tests/test_coordination/test_admission/test_admission_capacity.py
+++ b/tests/test_coordination/test_admission/test_admission_capacity.py
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize(
     ("reported", "n_in_flight", "n_hosts_waiting", "slots"),
     [
-        ([], 0, 1, 0.0),  # nothing serves
+        ([], 0, 1, 0.0),  # no group serves
         ([0, 0], 0, 1, 32.0),  # all slots are lent to the only host with requests
         ([0, 0], 0, 4, 8.0),  # four hosts share the room
         ([8, 8], 4, 1, 20.0),  # peers use 12 slots
