--- a/ryelever/console/access.py
+++ b/ryelever/console/access.py
@@ -22,8 +22,8 @@
 #: Longest name of an operator, in characters.
 MAX_OPERATOR_LENGTH = 60
 
-#: Fields that a form needs for itself.  The sign-in form does not carry them along with
-#: a draft.
+#: Fields that belong to a single form.  They are not copied into the sign-in form along
+#: with a draft.
 _NOT_CARRIED = frozenset({"token", "key", "operator"})
 
 
--- a/ryelever/console/sections.py
+++ b/ryelever/console/sections.py
@@ -16,9 +16,8 @@
     Attributes
     ----------
     parse : callable
-        Return the value for the document that the entered text stands for.  Text that
-        cannot be parsed is returned unchanged, so that the check of the document
-        reports it.
+        Return the document's value for the entered text.  Text that cannot be parsed
+        is returned unchanged, so that the check of the document reports it.
     format : callable
         Return the text that the field shows for a value of the document.
     """
--- a/ryelever/console/status.py
+++ b/ryelever/console/status.py
@@ -1,4 +1,7 @@
-"""Collect the contents of the status page: groups, repairs and both measures."""
+"""Collect the contents of the status page.
+
+The page shows groups, repairs, group downtime and stranded accelerators.
+"""
 
 from __future__ import annotations
 
@@ -99,7 +102,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class StatusView:
-    """Hold the values that the status page shows."""
+    """Values that the status page shows."""
 
     groups: list[GroupRow]
     repairs: list[RepairRow]
--- a/ryelever/emulator/day.py
+++ b/ryelever/emulator/day.py
@@ -1,4 +1,4 @@
-"""Simulate a day on which backend servers are lost and added, and rate its service."""
+"""Simulate a day of losses and additions of servers, and measure the value served."""
 
 from __future__ import annotations
 
--- a/ryelever/emulator/deployment.py
+++ b/ryelever/emulator/deployment.py
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Deployment:
-    """The servers, models and weight store that the planners manage.
+    """An emulated deployment: its servers, its models and its weight store.
 
     Attributes
     ----------
--- a/ryelever/emulator/fleet.py
+++ b/ryelever/emulator/fleet.py
@@ -30,8 +30,8 @@
 #: Steps until the server list shows a change.  The list is read three times a second.
 LIST_LAG_STEPS = 3
 
-#: Seconds until the entry of a lost server expires: three record renewals, one each
-#: 1.2 s.
+#: Seconds until the entry of a lost server expires: the time of three record renewals,
+#: which are 1.2 s apart.
 LAPSE = 3.6
 
 #: Seconds until the streams of a group that lost a member are detected as stalled, and
--- a/ryelever/protocol/host_messages.py
+++ b/ryelever/protocol/host_messages.py
@@ -284,8 +284,9 @@
 ) -> HostHeartbeat | ServerUpdates | RelayedDatagram | RyeleverError:
     """Decode a datagram; return an error if the datagram is invalid.
 
-    The return value is not wrapped in a ``Result``, since this takes as long as
-    decoding the rest of a heartbeat, and dozens of heartbeats arrive per second.
+    The return value is not wrapped in a ``Result``, since wrapping takes as long as
+    decoding the part of a heartbeat that is not cached, and dozens of heartbeats arrive
+    per second.
     """
     try:
         if data[:1] == UPDATES:
--- a/ryelever/protocol/soft_state.py
+++ b/ryelever/protocol/soft_state.py
@@ -6,7 +6,7 @@
 import hmac
 import math
 from importlib import resources
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import capnp
 from expression import Error, Ok, Result
@@ -35,9 +35,6 @@
     SuspicionRow,
 )
 
-if TYPE_CHECKING:
-    pass
-
 __all__ = ["MAX_DATAGRAM", "MAC_SIZE", "decode_message", "encode_message"]
 
 #: Maximum size of a datagram, in bytes.
--- a/ryelever/protocol/store_documents.py
+++ b/ryelever/protocol/store_documents.py
@@ -1,4 +1,4 @@
-"""Define the interface to the documents in the platform's store, and to orders."""
+"""Define interfaces for the records in the platform's store and for group orders."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class StoreDocuments(Protocol):
-    """Give the topics of the store, and decode and encode the records in them."""
+    """Names of the store's topics, and encoding and decoding of their records."""
 
     operator_topic: str
     configuration_key: str
--- a/ryelever/state/claims.py
+++ b/ryelever/state/claims.py
@@ -99,7 +99,7 @@
         self._complete_since = NO_HISTORY
 
     def record_loss(self, *, before: int, reason: str) -> None:
-        """Record that records below ``before`` can no longer be read."""
+        """Register that the records below ``before`` can no longer be read."""
         super().record_loss(before=before, reason=reason)
         self._complete_since = NO_HISTORY
 
--- a/ryelever/state/configuration.py
+++ b/ryelever/state/configuration.py
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Weights:
-    """Weight group downtime and stranded accelerators against each other."""
+    """Relative weights of group downtime and stranded accelerators."""
 
     group_downtime: float = 0.5
     stranded_accelerators: float = 0.5
--- a/ryelever/state/configuration_check.py
+++ b/ryelever/state/configuration_check.py
@@ -2,8 +2,9 @@
 
 ``ConfigurationFold`` and ``check_document`` both call ``find_faults``, which depends on
 the configuration alone, so that every process finds the same faults in the same order.
-A rule must not become stricter while hosts of two releases run side by side: the newer
-hosts would ignore a publication that the older hosts have in force.
+Hosts of two releases that run side by side must apply the same rules: with a stricter
+rule, for example, the newer hosts would ignore a publication that the older hosts have
+in force.
 """
 
 from __future__ import annotations
--- a/ryelever/state/configuration_fold.py
+++ b/ryelever/state/configuration_fold.py
@@ -63,7 +63,7 @@
         self._last_unjudged_offset = NO_VERSION
 
     def record_loss(self, *, before: int, reason: str) -> None:
-        """Record that records below ``before`` can no longer be read.
+        """Register that the records below ``before`` can no longer be read.
 
         The loss opens no gap if the version in force, adopted from a peer, is at least
         as new as the last lost record: the host that accepted this version had read
--- a/ryelever/state/directory.py
+++ b/ryelever/state/directory.py
@@ -49,7 +49,8 @@
     draining : bool
         True once the server has announced that it will leave.
     cold_for : float
-        Seconds for which the server stays cold, counted from its listing.
+        Remaining seconds for which the server stays cold, counted from the moment at
+        which this record is applied.
     started_at : int or None
         Start time in Unix milliseconds by the server's own clock; None if the server
         does not state it.  A server may restart under the same id and then has none of
--- a/ryelever/state/fold.py
+++ b/ryelever/state/fold.py
@@ -47,7 +47,7 @@
 
 
 class BaseFold:
-    """Base class of folds: drop repeated appends and keep why entries were ignored.
+    """Base class of folds: drops repeated appends, keeps reasons of ignored entries.
 
     A subclass implements ``_apply_record``, which returns None if the record took
     effect and the reason otherwise, and the pair ``_contents`` and ``_restore`` for
@@ -108,7 +108,7 @@
         return reason
 
     def record_loss(self, *, before: int, reason: str) -> None:
-        """Record that records below ``before`` can no longer be read."""
+        """Register that the records below ``before`` can no longer be read."""
         self.gap = Gap(before=before, reason=reason)
         self.next_offset = max(self.next_offset, before)
 
--- a/ryelever/state/observations.py
+++ b/ryelever/state/observations.py
@@ -80,13 +80,14 @@
     Attributes
     ----------
     crash : str
-        Identifier of the newest crash, the same on all entry hosts: the target and
-        its fencing number.
+        Identifier of a crash, the same on all entry hosts: the target and its fencing
+        number.  The crash is the one in which the request was involved again as a
+        suspect or, if there is none, the newest one.
     repeated : bool
-        True if the request was already a suspect when the newest crash happened.
+        True if the request was already a suspect when this crash happened.
     proved : bool
-        True if, before the newest crash, the request had got past the point at which
-        an earlier crash happened.
+        True if, before this crash, the request had run past the point at which its
+        earlier crash happened.
     """
 
     fingerprint: str
--- a/ryelever/state/placement.py
+++ b/ryelever/state/placement.py
@@ -142,7 +142,7 @@
         self._lease_unknown = False
 
     def record_loss(self, *, before: int, reason: str) -> None:
-        """Record that records below ``before`` can no longer be read."""
+        """Register that the records below ``before`` can no longer be read."""
         super().record_loss(before=before, reason=reason)
         self._lease_unknown = True
 
--- a/ryelever/state/records.py
+++ b/ryelever/state/records.py
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Publication:
-    """Record a published configuration, derived from ``base_version``.
+    """Publication of a configuration, derived from ``base_version``.
 
     Attributes
     ----------
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class LeaseTaken:
-    """Record that a planner acquired or renewed the lease of an availability zone.
+    """Acquisition or renewal of the planner's lease of an availability zone.
 
     Attributes
     ----------
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class GroupFormed:
-    """Record a new replica group and claim its hosts.
+    """Formation of a replica group, which claims its hosts.
 
     The offset of this record is the group's fencing number.
 
@@ -107,7 +107,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class GroupDraining:
-    """Record that a group drains: it gets no new requests and is dissolved later.
+    """Start of draining: the group gets no new requests and is dissolved later.
 
     The group is dissolved after its requests in flight have ended.
     """
@@ -119,7 +119,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class GroupDissolved:
-    """Record the end of a group, whose hosts stay claimed until each is released."""
+    """End of a group, whose hosts stay claimed until each is released."""
 
     group: str
     lease: int
@@ -128,7 +128,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class HostReleased:
-    """Record that one host of a dissolved group is free again.
+    """Release of one host of a dissolved group; the host is free again.
 
     Attributes
     ----------
@@ -148,7 +148,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Claim:
-    """Record a claim to the single run of a non-repeatable request.
+    """Claim to the single run of a non-repeatable request.
 
     Attributes
     ----------
@@ -169,7 +169,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Outcome:
-    """Record how a claimed request ended.
+    """Outcome of a claimed request.
 
     Attributes
     ----------
@@ -192,7 +192,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class RememberedId:
-    """Store the offset and time at which a record id was first read.
+    """Offset and time at which a record id was first read.
 
     Later appends of the same record are dropped by this id.
     """
@@ -204,10 +204,10 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class SnapshotPart:
-    """Record one part of a snapshot of a fold's state.
+    """One part of a snapshot of a fold's state.
 
-    Snapshots are written before the retention of the log deletes the records that
-    led to the state.  Each stream's fold defines its own subclass.  A snapshot is
+    Snapshots are written before the log's retention deletes the records that led to
+    the state.  Each stream's fold defines its own subclass.  A snapshot is
     complete only when all of its parts were read.  It describes the state just
     before ``as_of``, not at its own offset, and therefore never overrides records
     that were appended between the two.
@@ -237,7 +237,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Unreadable:
-    """Represent a record that this program cannot decode.
+    """A record that this program cannot decode.
 
     Attributes
     ----------
@@ -267,7 +267,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Entry:
-    """Represent one record as read from the log.
+    """One record as read from the log.
 
     Attributes
     ----------
--- a/ryelever/state/routes.py
+++ b/ryelever/state/routes.py
@@ -49,7 +49,7 @@
     pause_objective : float
         Objective in seconds for the longest pause between two events of a stream.
     priority : int
-        Rank; 0 is served first.
+        Priority class; 0 is served first.
     weight_by_service : dict of str to float
         Relative share of the requests that each service gets.
     max_attempts : int
@@ -128,7 +128,8 @@
     prefill_rate : float
         Prompt tokens processed per second.
     tokens_per_event : int
-        Steps of one pass; each step writes one token of every request.
+        Tokens of one request in each event of a stream.  A group takes this many steps
+        in one pass, and each step writes one token of every request.
     form_time : float
         Time from an accepted open order to the first request.
     loads_per_second : float
@@ -170,7 +171,13 @@
 
 
 class RouteAccount(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent a client account and its rank, which overrides the route's rank."""
+    """Represent a client account with a priority that replaces the route's priority.
+
+    Attributes
+    ----------
+    priority : int or None
+        Priority class; 0 is served first.  None if the route's priority applies.
+    """
 
     name: str
     priority: int | None = None
--- a/ryelever/transport/caller_server.py
+++ b/ryelever/transport/caller_server.py
@@ -1,4 +1,4 @@
-"""Accept callers' connections, and send to them without a detour by the poller."""
+"""Accept callers' connections, and send to them without going through the poller."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
         The method of circuits that this one overrides is a generator, as connections
         with TLS need: each connection would become a task that waits for the next
-        round of the main loop, and only one connection would be accepted a round.
+        round of the main loop, and only one would be accepted per round.
         """
         for _ in range(MAX_ACCEPTS_PER_EVENT):
             try:
@@ -64,7 +64,7 @@
     def send_now(self, sock: socket.socket, data: bytes) -> int:
         """Send as many bytes as the kernel accepts at once, and queue the rest.
 
-        Sending through the poller costs two more events a chunk, and a stream has
+        Sending through the poller costs two more events per chunk, and a stream has
         dozens or thousands of chunks.
 
         Returns
--- a/ryelever/transport/callers.py
+++ b/ryelever/transport/callers.py
@@ -87,7 +87,7 @@
     Attributes
     ----------
     n_refused_by_code : dict of str to int
-        Requests that were refused before ``circuits.web``, by error code.
+        Requests that were refused before they reached ``circuits.web``, by error code.
     n_unread : int
         Answers that were abandoned because the caller did not read them.
     """
@@ -180,7 +180,7 @@
         self._keep_idle_until = time.monotonic() + self._limits.linger
 
     def _close_gracefully(self, connection: _Connection) -> None:
-        """Close after the answer is sent and the caller had time to read it.
+        """Close after the answer is sent and the caller has had time to read it.
 
         Closing a socket with unread input resets the connection, and the caller may
         lose the answer.  Input is therefore read and discarded for ``linger`` seconds.
--- a/ryelever/transport/http_client.py
+++ b/ryelever/transport/http_client.py
@@ -1,4 +1,4 @@
-"""Send HTTP requests to outside systems over pooled connections.
+"""Send HTTP requests to external systems over pooled connections.
 
 ``circuits.web.client`` returns an answer only when the answer is complete, and one
 circuits component for each connection would empty the handler cache at each connect.
@@ -11,7 +11,6 @@
 import socket
 import time
 from collections import Counter
-from typing import TYPE_CHECKING
 
 import h11
 from circuits import BaseComponent, handler
@@ -39,15 +38,13 @@
 )
 from .http_pool import IdleConnections
 
-if TYPE_CHECKING:
-    pass
-
 __all__ = ["REFUSED", "HttpClient"]
 
 #: Maximum bytes of one read from a socket.
 READ_SIZE = 64 * 1024
 
-#: Error code if no process listens at an address: the process that did has ended.
+#: Error code if no process listens at an address; the process that listened there has
+#: ended.
 REFUSED = "connection_refused"
 
 
@@ -235,7 +232,8 @@
             self._fail(connection, f"connection broke: {error.strerror}")
             return
         if connection.request is None:
-            # Input on an idle connection means that the peer has closed it.
+            # Input on an idle connection is the peer's close, or bytes that belong to
+            # no request.  The connection cannot be used any more in either case.
             self._close(connection)
             return
         self.n_bytes_received_by_step[connection.request.step] += len(data)
--- a/ryelever/transport/http_connection.py
+++ b/ryelever/transport/http_connection.py
@@ -29,7 +29,7 @@
 #: connection.
 TCP_USER_TIMEOUT_MS = 5000
 
-#: Methods whose requests carry no ``Content-Length`` when they have no body.
+#: Methods whose verbatim requests get no ``Content-Length`` if they have no body.
 BODILESS_METHODS = frozenset({"GET", "HEAD", "DELETE", "OPTIONS"})
 
 #: Seconds for which a connection may idle if the peer sends no ``Keep-Alive`` timeout.
--- a/ryelever/transport/peers.py
+++ b/ryelever/transport/peers.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import socket
-from typing import TYPE_CHECKING
 
 from circuits import BaseComponent, handler
 from circuits.core.pollers import BasePoller
@@ -11,9 +10,6 @@
 
 from ..events import Datagram, peers_received
 
-if TYPE_CHECKING:
-    pass
-
 __all__ = ["Peers"]
 
 #: Bytes read of a datagram: one more than the longest valid one, to detect longer ones.
@@ -105,8 +101,8 @@
             except BlockingIOError:
                 break
             except OSError:
-                # Reports that a datagram sent earlier reached a closed port: that
-                # peer is not running at present.
+                # The error reports that a datagram sent earlier reached a closed port:
+                # that peer is not running at present.
                 continue
             self.n_received += 1
             self.n_bytes_received += len(data)
--- a/ryelever/transport/request_heads.py
+++ b/ryelever/transport/request_heads.py
@@ -1,4 +1,4 @@
-"""Validate the heads of callers' requests, for both callers' interfaces alike."""
+"""Validate the heads of callers' requests, for ``Callers`` and ``RelayCallers``."""
 
 from __future__ import annotations
 
--- a/tests/test_console/test_through_processes.py
+++ b/tests/test_console/test_through_processes.py
@@ -1,4 +1,4 @@
-"""Test the console with processes of entry hosts and of the emulated log."""
+"""Test the console with processes of entry hosts and the log stand-in."""
 
 from __future__ import annotations
 
--- a/tests/test_protocol/test_soft_state.py
+++ b/tests/test_protocol/test_soft_state.py
@@ -175,9 +175,9 @@
 def test_arbitrary_bytes_under_the_right_key_never_raise(body: bytes) -> None:
     """Decode messages of a peer whose release uses another message format.
 
-    Symptom: an entry host fails whenever a host with a newer release sends a message.
-    Sequence: the key is right, so that the bytes reach the parser.
-    Cause: the parser raises an exception while it reads some field.
+    Guards against an entry host that fails whenever a host with a newer release sends a
+    message: the key is right, so that the bytes reach the parser, which raises an
+    exception while it reads some field.
     """
     decode_message(_authenticated(body), key=KEY, peer="p")
 
--- a/tests/test_protocol/test_sse.py
+++ b/tests/test_protocol/test_sse.py
@@ -26,10 +26,10 @@
 ) -> None:
     """Return each event exactly once, wherever the received chunks end.
 
-    Symptom: a stream counts as broken and restarts at another group.  Sequence: an
+    Guards against a stream that counts as broken and restarts at another group: an
     engine sends a comment to keep the connection open, or ends its lines with CR LF.
-    Cause: the comment was treated as an event without data, and CR LF was not
-    recognized as the end of an event.
+    The comment was treated as an event without data, and CR LF was not recognized as
+    the end of an event.
     """
     for size in range(1, len(stream) + 1):
         splitter = SseSplitter()
--- a/tests/test_state/test_claims.py
+++ b/tests/test_state/test_claims.py
@@ -98,9 +98,9 @@
 ) -> None:
     """Fold claims and outcomes, including late and repeated ones.
 
-    Symptom: a charge is made twice.  Sequence: several entry hosts append claims of one
-    key and their outcomes in an unfavorable order.  Cause: a later claim is treated as
-    the first one, or a claim is freed or dropped while the key can still be claimed.
+    Guards against making a charge twice: several entry hosts append claims of one key
+    and their outcomes in an unfavorable order, and a later claim is treated as the
+    first one, or a claim is freed or dropped while the key can still be claimed.
     """
     fold = ClaimsFold(window=WINDOW, max_ahead=MAX_AHEAD)
     last = None
@@ -130,10 +130,10 @@
 ) -> None:
     """Continue reading after a loss of records, without a snapshot.
 
-    Symptom: after all hosts were replaced, no booking is possible any more.  Sequence:
-    a claim expires in the log before it is read.  Cause: the reader's state never
-    counts as complete again.  If the gap ended too early instead, a claimed key would
-    be treated as unclaimed.
+    Guards against a state in which, after all hosts were replaced, no booking is
+    possible any more: a claim expires in the log before it is read, and the reader's
+    state never counts as complete again.  If the gap ended too early instead, a claimed
+    key would be treated as unclaimed.
     """
     fold = ClaimsFold(window=WINDOW, max_ahead=MAX_AHEAD)
     if kind == "expired":
--- a/tests/test_state/test_configuration_fold.py
+++ b/tests/test_state/test_configuration_fold.py
@@ -29,9 +29,9 @@
 def test_first_of_two_racing_publications_wins() -> None:
     """Publish two documents with the same base.
 
-    Symptom: an operator's accepted change is lost.  Sequence: two operators derive
-    documents from version 0, and both publish.  Cause: the second document does not
-    contain the first operator's change, so that accepting it undoes this change.
+    Guards against the loss of an operator's accepted change: two operators derive
+    documents from version 0, and both publish.  The second document does not contain
+    the first operator's change, so that accepting it undoes this change.
     """
     fold = _fold()
     assert fold.apply(_publication(1, 0)) is None
@@ -43,9 +43,9 @@
 def test_repeated_append_changes_nothing() -> None:
     """Read the same record at two offsets.
 
-    Symptom: a change is refused as conflicting with itself.  Sequence: an append
-    succeeds, its answer is lost, and the writer appends the record again.  Cause: the
-    log contains one record twice.
+    Guards against refusing a change as conflicting with itself: an append succeeds, its
+    answer is lost, and the writer appends the record again, so that the log contains
+    one record twice.
     """
     fold = _fold()
     reason = fold.apply(_publication(1, -1, id="first"))
@@ -56,8 +56,8 @@
 def test_invalid_document_is_ignored_and_the_reason_names_its_fault() -> None:
     """Append an invalid document to the log without the console.
 
-    Symptom: groups of 0 hosts are formed.  Sequence: someone appends a document
-    directly to the log.  Cause: only the console checked documents.
+    Guards against forming groups of 0 hosts: someone appends a document directly to the
+    log, and only the console checked documents.
     """
     document = declared(model="notes", hosts_per_group=0)
     record = Publication(base_version=-1, author="ana", document=document)
@@ -82,9 +82,9 @@
 ) -> None:
     """Receive an older version from a peer that was disconnected.
 
-    Symptom: an accepted change is undone on some hosts.  Sequence: a peer that was
-    disconnected for an hour sends its version.  Cause: the version is treated as newer
-    because it is received later.
+    Guards against undoing an accepted change on some hosts: a peer that was
+    disconnected for an hour sends its version, which is treated as newer because it is
+    received later.
     """
     fold = _fold(_publication(in_force, 0))
     document = declared("v")
@@ -96,9 +96,9 @@
 def test_records_up_to_an_adopted_version_change_nothing() -> None:
     """Read the log from the start after adopting a peer's version.
 
-    Symptom: an operator is told that the change in force was refused.  Sequence: a host
-    without access to the log adopts version 2 from a peer, then reads records 0 to 3.
-    Cause: the publications that led to version 2 are compared with version 2.
+    Guards against reporting to an operator that the change in force was refused: a host
+    without access to the log adopts version 2 from a peer, then reads records 0 to 3,
+    and compares the publications that led to version 2 with version 2.
     """
     fold = ConfigurationFold()
     fold.adopt(version=2, document=declared("v"), author="ana")
@@ -140,10 +140,10 @@
 ) -> None:
     """Read a publication while records before offset 10 are missing.
 
-    Symptom: two hosts permanently have different configurations in force.  Sequence: a
+    Guards against two hosts that permanently have different configurations in force: a
     host resumes after a pause longer than the log's retention and reads a publication
-    based on its own version; all other hosts have a newer version in force and refuse
-    the publication.  Cause: the host accepts a publication without knowing the version
+    based on its own version.  All other hosts have a newer version in force and refuse
+    the publication, while this host accepts the publication without knowing the version
     in force.
     """
     fold = _gap_before(10)
@@ -172,9 +172,9 @@
 ) -> None:
     """Adopt a version after records 10 to 14 were read but not evaluated.
 
-    Symptom: a host permanently keeps an old version.  Sequence: the host reads past a
+    Guards against a host that permanently keeps an old version: the host reads past a
     publication that it cannot evaluate during a gap, then receives the version before
-    this publication from a peer.  Cause: the skipped records are not read again.
+    this publication from a peer, and does not read the skipped records again.
     """
     fold = _gap_before(10)
     for offset in range(10, 15):
@@ -199,10 +199,10 @@
 ) -> None:
     """Adopt a version, then find that the records before it have expired.
 
-    Symptom: every entry host refuses publications permanently.  Sequence: all entry
-    hosts are replaced during an outage of the log and adopt the version from the last
-    remaining old host; the log returns without the old records.  Cause: each host
-    counts the expired records as missing.
+    Guards against entry hosts that all refuse publications permanently: all entry hosts
+    are replaced during an outage of the log and adopt the version from the last
+    remaining old host.  The log returns without the old records, and each host counts
+    the expired records as missing.
     """
     fold = ConfigurationFold()
     fold.adopt(version=version, document=declared("v"), author="ana")
@@ -218,10 +218,10 @@
 def test_snapshot_older_than_an_adopted_version_changes_nothing() -> None:
     """Restore a snapshot that is older than a version adopted from a peer.
 
-    Symptom: an accepted change is undone on a host.  Sequence: a host without access to
-    the log adopts version 4 from a peer; when the log returns, the host's next offset
-    has expired, and the newest snapshot predates version 4.  Cause: the snapshot
-    replaces the host's complete state.
+    Guards against undoing an accepted change on a host: a host without access to the
+    log adopts version 4 from a peer.  When the log returns, the host's next offset has
+    expired, and the newest snapshot predates version 4 but replaces the host's complete
+    state.
     """
     parts = _fold().to_snapshot(snapshot="s")
     fold = ConfigurationFold()
--- a/tests/test_transport/test_operators.py
+++ b/tests/test_transport/test_operators.py
@@ -29,7 +29,7 @@
 
 
 def test_alive_but_not_ready_without_a_configuration(fleet: Fleet) -> None:
-    """Refuse readiness to the balancer, and callers' requests with ``Retry-After``."""
+    """Answer 503 to the readiness check, and to callers with ``Retry-After``."""
     fleet.start_platform()
     entry = fleet.start_entry("e1", zone="z")
     assert httpx.get(f"{entry.url}/healthz").status_code == 200
@@ -76,7 +76,7 @@
 def test_dump_shows_the_current_state_with_ages(
     served: Fleet, entry: EntryHost
 ) -> None:
-    """Find the group, its lease, hosts, a request and its two connections."""
+    """Show the group, its lease, its hosts and a request with two connections."""
     headers = {"Authorization": f"Bearer {served.keys_by_account['pawroute']}"}
     body = CHAT | {"max_tokens": 20_000, "stream": True}
     url = f"{entry.url}/v1/chat/completions"
--- a/tests/test_transport/test_relay_callers.py
+++ b/tests/test_transport/test_relay_callers.py
@@ -131,7 +131,7 @@
 def test_refuses_the_same_requests_as_the_other_interface(
     listener: Listener, data: bytes, status: int, code: str | None
 ) -> None:
-    """Refuse with the same status as the other interface, and close the connection.
+    """Refuse with the same status as ``Callers``, and close the connection.
 
     Guards against relaying a request of which the backend server sees the end
     elsewhere, or a head beyond the operator's limit.  h11 applies its limit only to
