--- a/benchmarks/slopes_operators.py
+++ b/benchmarks/slopes_operators.py
@@ -10,7 +10,7 @@
 
 from ryelever.application import Application
 from ryelever.metrics import Metrics
-from ryelever.protocol.backend import read_hosts_list
+from ryelever.protocol.backend import decode_hosts_list
 from ryelever.protocol.json_codec import encode
 from ryelever.settings_reader import read_settings
 from ryelever.state.configuration import Configuration
@@ -103,7 +103,7 @@
         unit="ms",
         design_size=N_WORKERS,
         points=[
-            (n, ms(lambda body=body: read_hosts_list(body, peer="list"), n_times=5))
+            (n, ms(lambda body=body: decode_hosts_list(body, peer="list"), n_times=5))
             for n, body in bodies.items()
         ],
     )
--- a/ryelever/arrivals.py
+++ b/ryelever/arrivals.py
@@ -14,10 +14,10 @@
 from .coordination.requests import KEY_IN_FUTURE, check_key, mark_outcome_unknown
 from .errors import Category, RyeleverError
 from .protocol.openai import (
+    decode_chat_request,
     fingerprint,
     model_body,
     models_list,
-    read_chat_request,
 )
 from .state.configuration_fold import NO_VERSION
 from .state.idempotency_key import issued_at
@@ -133,7 +133,7 @@
     def _chat_arrival(
         self, request: CallerRequest, account: str
     ) -> Result[Arrival | None, RyeleverError]:
-        work = read_chat_request(request.body)
+        work = decode_chat_request(request.body)
         if work.is_error():
             return work
         configuration = self._configuration.configuration
--- a/ryelever/console/access.py
+++ b/ryelever/console/access.py
@@ -78,7 +78,7 @@
         """Return a page that states why the request was refused."""
         return render_page(
             request,
-            "told.html",
+            "refusal.html",
             status=status,
             session=session,
             token=self.form_token(session),
--- a/ryelever/coordination/topic.py
+++ b/ryelever/coordination/topic.py
@@ -15,7 +15,7 @@
         KeyedLogInterface,
         KeyedRecord,
         NewestPage,
-        ReadPage,
+        RecordsPage,
     )
     from ..state.keyed_record import ServerUpdates
 
@@ -328,7 +328,7 @@
         self._phase = _Phase.READING
         return TopicUpdates(records=self._listed, complete=True)
 
-    def _apply_read(self, page: ReadPage) -> TopicUpdates:
+    def _apply_read(self, page: RecordsPage) -> TopicUpdates:
         if page.expired:
             self._phase = _Phase.LISTING
             return TopicUpdates(records=[])
--- a/ryelever/emulator/day.py
+++ b/ryelever/emulator/day.py
@@ -131,13 +131,17 @@
 
 
 def _lose_members(fleet: Fleet, rng: random.Random, *, n: int) -> None:
-    members = [server for server in fleet.living if server.entry.group is not None]
+    members = [
+        server for server in fleet.running_servers if server.entry.group is not None
+    ]
     for server in rng.sample(members, min(n, len(members))):
         fleet.lose(server, restart_after=None)
 
 
 def _lose_domain(fleet: Fleet, rng: random.Random, *, seconds: float) -> None:
-    domain = rng.choice(sorted({server.entry.domain for server in fleet.living}))
-    for server in fleet.living:
+    domain = rng.choice(
+        sorted({server.entry.domain for server in fleet.running_servers})
+    )
+    for server in fleet.running_servers:
         if server.entry.domain == domain:
             fleet.lose(server, restart_after=seconds)
--- a/ryelever/emulator/fleet.py
+++ b/ryelever/emulator/fleet.py
@@ -32,7 +32,7 @@
 
 #: Seconds until the entry of a lost server expires: the time of three record renewals,
 #: which are 1.2 s apart.
-LAPSE = 3.6
+EXPIRY_TIME = 3.6
 
 #: Seconds until the streams of a group that lost a member are detected as stalled, and
 #: steps until an order without an answer, such as a probe, counts as unanswered.
@@ -110,7 +110,7 @@
                 server.restarts_at = self.now + restart_after
 
     @property
-    def living(self) -> list[EmulatedServer]:
+    def running_servers(self) -> list[EmulatedServer]:
         """Return the servers that are not lost."""
         return [item for item in self.servers_by_id.values() if item.lost_at is None]
 
@@ -120,7 +120,7 @@
         """Advance the servers by one step, then run the planners."""
         self._step += 1
         self.now = round(self.now + STEP, 3)
-        n_loading = sum(len(server.loads) for server in self.living)
+        n_loading = sum(len(server.loads) for server in self.running_servers)
         pace = min(1.0, self.deployment.loads_at_once / max(1, n_loading))
         pace = WARM_UP_LOAD_SPEED if self.now < 0 else pace
         for server in list(self.servers_by_id.values()):
@@ -128,7 +128,7 @@
                 server.advance(seconds=STEP, load_speed=pace, now=self.now)
             else:
                 self._advance_lost_server(server)
-        for server in self.living:
+        for server in self.running_servers:
             if server.is_open_head:
                 self._update_stall(server)
         self._update_list()
@@ -138,7 +138,7 @@
         """Return the number of open and complete groups for each model."""
         return Counter(
             server.last_model
-            for server in self.living
+            for server in self.running_servers
             if server.is_open_head and self.is_complete(server)
         )
 
@@ -149,12 +149,12 @@
             other.entry.group is not None
             and (other.entry.group.name, other.entry.group.epoch)
             == (report.name, report.epoch)
-            for other in self.living
+            for other in self.running_servers
         )
         return n_members == self.deployment.models_by_name[head.last_model].size
 
     def _advance_lost_server(self, server: EmulatedServer) -> None:
-        if self.now - server.lost_at >= LAPSE:
+        if self.now - server.lost_at >= EXPIRY_TIME:
             self.directory.remove(server.id, last_renewed_at=server.lost_at)
             self._last_queued.pop(server.id, None)
             if server.restarts_at == float("inf"):
@@ -185,7 +185,7 @@
 
     def _update_list(self) -> None:
         """Show changed entries in the server list after ``LIST_LAG_STEPS`` steps."""
-        for server in self.living:
+        for server in self.running_servers:
             if self._last_queued.get(server.id) != server.entry:
                 self._last_queued[server.id] = server.entry
                 self._pending_list_updates.append(
--- a/ryelever/peer_requests.py
+++ b/ryelever/peer_requests.py
@@ -13,7 +13,7 @@
     CONFIGURATION_PATH,
     SERVERS_PATH,
     encode_servers,
-    read_changes_path,
+    parse_changes_path,
 )
 
 if TYPE_CHECKING:
@@ -102,7 +102,7 @@
         """Return the requested document or changes; empty if they aren't known."""
         if path == CONFIGURATION_PATH:
             return self._document()
-        place = read_changes_path(path)
+        place = parse_changes_path(path)
         changes = self._changes(*place) if place is not None else None
         if changes is None:
             return b""
--- a/ryelever/platform/messages.py
+++ b/ryelever/platform/messages.py
@@ -38,7 +38,7 @@
 class PlatformMessages:
     """``RelayInterface`` of the platform, which decodes requests and answers once."""
 
-    def arrival(
+    def decode_arrival(
         self, *, head: Headers, target: bytes, content: str, now: float
     ) -> RelayArrival:
         """Read the fields of a request's head that determine its handling.
@@ -67,7 +67,7 @@
             arrived_at=now,
         )
 
-    def forwarded(
+    def attempt_headers(
         self, head: Headers, attempt: RelayAttempt, *, now: float
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers of one attempt at a backend server."""
@@ -86,7 +86,7 @@
             headers.append((wire_names.LAST_EVENT_ID, attempt.last_event_id.encode()))
         return headers
 
-    def answer_head(self, status: int, headers: Headers) -> AnswerHead:
+    def decode_answer_head(self, status: int, headers: Headers) -> AnswerHead:
         """Read the head of a backend server's answer."""
         found = dict(headers)
         not_run = wire_names.NOT_RUN in found or status == WRONG_SERVER
--- a/ryelever/platform/store.py
+++ b/ryelever/platform/store.py
@@ -23,7 +23,7 @@
     HttpRequest,
     KeyedRecord,
     NewestPage,
-    ReadPage,
+    RecordsPage,
 )
 from . import wire_names
 
@@ -130,10 +130,10 @@
 
     def read_page(
         self, status: int, body: bytes, *, offset: int
-    ) -> Result[ReadPage, RyeleverError]:
+    ) -> Result[RecordsPage, RyeleverError]:
         """Read the answer to ``read`` from ``offset``."""
         if status == EXPIRED:
-            return Ok(ReadPage(records=[], end=offset, expired=True))
+            return Ok(RecordsPage(records=[], end=offset, expired=True))
         if status != 200 or len(body) < _OFFSETS.size:
             return Error(self._unexpected_status(status, step="read_log"))
         end, first = _OFFSETS.unpack_from(body)
@@ -152,7 +152,7 @@
             value = bytes(record[1 + key_length :])
             records.append(KeyedRecord(key=key, value=value, offset=at))
             at += 1
-        return Ok(ReadPage(records=records, end=end, expired=first > offset))
+        return Ok(RecordsPage(records=records, end=end, expired=first > offset))
 
     def appended(
         self, status: int, body: bytes
--- a/ryelever/protocol/backend.py
+++ b/ryelever/protocol/backend.py
@@ -19,9 +19,9 @@
     "HostsList",
     "Order",
     "StreamItem",
-    "read_hosts_list",
-    "read_report",
-    "read_stream_item",
+    "decode_hosts_list",
+    "decode_report",
+    "decode_stream_item",
 ]
 
 
@@ -104,7 +104,7 @@
 _STREAM_ITEM_DECODER = msgspec.json.Decoder(StreamItem)
 
 
-def read_report(
+def decode_report(
     data: bytes, *, host: str, peer: str
 ) -> Result[HostReport, RyeleverError]:
     """Decode a host's report of its own state; a report by another host is an error.
@@ -129,12 +129,12 @@
     )
 
 
-def read_hosts_list(data: bytes, *, peer: str) -> Result[HostsList, RyeleverError]:
+def decode_hosts_list(data: bytes, *, peer: str) -> Result[HostsList, RyeleverError]:
     """Decode the platform's list of hosts."""
     return decode(data, HostsList, step="read_hosts_list", peer=peer)
 
 
-def read_stream_item(data: bytes) -> StreamItem:
+def decode_stream_item(data: bytes) -> StreamItem:
     """Decode one event of a generation.
 
     Raises
--- a/ryelever/protocol/external_systems.py
+++ b/ryelever/protocol/external_systems.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-from .backend import read_hosts_list, read_report, read_stream_item
+from .backend import decode_hosts_list, decode_report, decode_stream_item
 from .json_codec import encode
-from .log import append_request, read_page, read_path
+from .log import append_request, decode_page, read_path
 
 if TYPE_CHECKING:
     from expression import Result
@@ -29,7 +29,7 @@
     "HTTP_HOSTS_LIST",
     "HTTP_LOG",
     "HTTP_PLAIN_SERVICE",
-    "Call",
+    "ExternalRequest",
     "EngineInterface",
     "HostsListInterface",
     "LogInterface",
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Call:
+class ExternalRequest:
     """Represent one HTTP request to an external system, without the address."""
 
     path: str
@@ -52,13 +52,15 @@
 class LogInterface(Protocol):
     """Interface to the platform's append-only log service."""
 
-    def append(self, stream: str, items: list[AppendItem]) -> Call:
+    def append(self, stream: str, items: list[AppendItem]) -> ExternalRequest:
         """Append records.
 
         An append counts as successful only once its records are read back.
         """
 
-    def read(self, stream: str, *, offset: int, wait_ms: int, limit: int) -> Call:
+    def read(
+        self, stream: str, *, offset: int, wait_ms: int, limit: int
+    ) -> ExternalRequest:
         """Read records from ``offset`` on.
 
         If there are none yet, the service waits up to ``wait_ms`` milliseconds.
@@ -71,7 +73,7 @@
 class HostsListInterface(Protocol):
     """Interface to the platform's list of hosts, which may be out of date."""
 
-    def list(self, *, known_tag: str) -> Call:
+    def list(self, *, known_tag: str) -> ExternalRequest:
         """Request the list, unless its entity tag still equals ``known_tag``."""
 
     def hosts(self, body: bytes, *, peer: str) -> Result[HostsList, RyeleverError]:
@@ -81,16 +83,16 @@
 class EngineInterface(Protocol):
     """Interface to the model engine of one host."""
 
-    def report(self) -> Call:
+    def report(self) -> ExternalRequest:
         """Request the host's report of its group and its load."""
 
-    def order(self, order: Order) -> Call:
+    def order(self, order: Order) -> ExternalRequest:
         """Order the host to join or leave a group; the answer is the host's report."""
 
-    def generate(self, request: GenerateRequest) -> Call:
+    def generate(self, request: GenerateRequest) -> ExternalRequest:
         """Request rank 0 of a group to generate tokens; the answer is a stream."""
 
-    def cancel(self, attempt_id: str) -> Call:
+    def cancel(self, attempt_id: str) -> ExternalRequest:
         """Cancel the generation of an attempt."""
 
     def host_report(
@@ -114,71 +116,77 @@
 class PlainServiceInterface(Protocol):
     """Interface to a plain service, which runs beside the engines."""
 
-    def call(self, work: ServiceWork, *, arrival: Arrival) -> Call:
+    def call(self, work: ServiceWork, *, arrival: Arrival) -> ExternalRequest:
         """Forward a caller's request."""
 
 
 class _HttpLog:
-    def append(self, stream: str, items: list[AppendItem]) -> Call:
-        return Call(
+    def append(self, stream: str, items: list[AppendItem]) -> ExternalRequest:
+        return ExternalRequest(
             method="POST",
             path=f"/v1/streams/{stream}/records",
             headers=_JSON,
             body=append_request(items),
         )
 
-    def read(self, stream: str, *, offset: int, wait_ms: int, limit: int) -> Call:
-        return Call(path=read_path(stream, offset=offset, wait_ms=wait_ms, limit=limit))
+    def read(
+        self, stream: str, *, offset: int, wait_ms: int, limit: int
+    ) -> ExternalRequest:
+        return ExternalRequest(
+            path=read_path(stream, offset=offset, wait_ms=wait_ms, limit=limit)
+        )
 
     def page(self, body: bytes, *, peer: str) -> Result[LogPage, RyeleverError]:
-        return read_page(body, peer=peer)
+        return decode_page(body, peer=peer)
 
 
 class _HttpHostsList:
-    def list(self, *, known_tag: str) -> Call:
+    def list(self, *, known_tag: str) -> ExternalRequest:
         headers = (("If-None-Match", known_tag),) if known_tag else ()
-        return Call(path="/v1/hosts", headers=headers)
+        return ExternalRequest(path="/v1/hosts", headers=headers)
 
     def hosts(self, body: bytes, *, peer: str) -> Result[HostsList, RyeleverError]:
-        return read_hosts_list(body, peer=peer)
+        return decode_hosts_list(body, peer=peer)
 
 
 class _HttpEngine:
-    def report(self) -> Call:
-        return Call(path="/v1/report")
+    def report(self) -> ExternalRequest:
+        return ExternalRequest(path="/v1/report")
 
-    def order(self, order: Order) -> Call:
+    def order(self, order: Order) -> ExternalRequest:
         return _post("/v1/orders", order)
 
-    def generate(self, request: GenerateRequest) -> Call:
+    def generate(self, request: GenerateRequest) -> ExternalRequest:
         return _post("/v1/generate", request)
 
-    def cancel(self, attempt_id: str) -> Call:
+    def cancel(self, attempt_id: str) -> ExternalRequest:
         return _post("/v1/cancel", {"attempt": attempt_id})
 
     def host_report(
         self, body: bytes, *, host: str, peer: str
     ) -> Result[HostReport, RyeleverError]:
-        return read_report(body, host=host, peer=peer)
+        return decode_report(body, host=host, peer=peer)
 
     def stream_item(self, data: bytes) -> StreamItem:
-        return read_stream_item(data)
+        return decode_stream_item(data)
 
 
 class _HttpPlainService:
-    def call(self, work: ServiceWork, *, arrival: Arrival) -> Call:
+    def call(self, work: ServiceWork, *, arrival: Arrival) -> ExternalRequest:
         headers = [("X-Request-Id", arrival.request_id)]
         if work.content_type:
             headers.append(("Content-Type", work.content_type))
         if arrival.idempotency_key:
             headers.append(("Idempotency-Key", arrival.idempotency_key))
-        return Call(
+        return ExternalRequest(
             method=work.method, path=work.path, headers=tuple(headers), body=work.body
         )
 
 
-def _post(path: str, message: object) -> Call:
-    return Call(method="POST", path=path, headers=_JSON, body=encode(message))
+def _post(path: str, message: object) -> ExternalRequest:
+    return ExternalRequest(
+        method="POST", path=path, headers=_JSON, body=encode(message)
+    )
 
 
 #: Implementations of the HTTP protocols in docs/INTERFACES.md.
--- a/ryelever/protocol/host_messages.py
+++ b/ryelever/protocol/host_messages.py
@@ -34,7 +34,7 @@
     "encode_relayed",
     "encode_servers",
     "encode_heartbeat",
-    "read_changes_path",
+    "parse_changes_path",
 ]
 
 #: Paths at which an entry host requests the configuration in force and the records of
@@ -114,7 +114,7 @@
     return f"{SERVERS_PATH}/{era}/{offset}"
 
 
-def read_changes_path(path: str) -> tuple[int, int] | None:
+def parse_changes_path(path: str) -> tuple[int, int] | None:
     """Return the offset and the era in a path of ``changes_path``.
 
     Returns None for any other path.
--- a/ryelever/protocol/keyed_log.py
+++ b/ryelever/protocol/keyed_log.py
@@ -22,7 +22,7 @@
     "KeyedRecord",
     "HttpRequest",
     "NewestPage",
-    "ReadPage",
+    "RecordsPage",
 ]
 
 
@@ -50,7 +50,7 @@
     end: int
 
 
-class ReadPage(msgspec.Struct, kw_only=True, frozen=True):
+class RecordsPage(msgspec.Struct, kw_only=True, frozen=True):
     """Represent one page of records in the order of their offsets.
 
     Attributes
@@ -139,7 +139,7 @@
 
     def read_page(
         self, status: int, body: bytes, *, offset: int
-    ) -> Result[ReadPage, RyeleverError]:
+    ) -> Result[RecordsPage, RyeleverError]:
         """Decode the answer to ``read``."""
 
     def appended(
--- a/ryelever/protocol/log.py
+++ b/ryelever/protocol/log.py
@@ -28,7 +28,7 @@
     "decode_entry",
     "encode_record",
     "placement_stream",
-    "read_page",
+    "decode_page",
     "read_path",
 ]
 
@@ -132,7 +132,7 @@
     return f"/v1/streams/{stream}/records?from={offset}&wait_ms={wait_ms}&limit={limit}"
 
 
-def read_page(data: bytes, *, peer: str) -> Result[LogPage, RyeleverError]:
+def decode_page(data: bytes, *, peer: str) -> Result[LogPage, RyeleverError]:
     """Decode one page of a stream."""
     return decode(data, LogPage, step="read_log", peer=peer)
 
--- a/ryelever/protocol/openai.py
+++ b/ryelever/protocol/openai.py
@@ -23,7 +23,7 @@
     "http_status",
     "model_body",
     "models_list",
-    "read_chat_request",
+    "decode_chat_request",
 ]
 
 DEFAULT_MAX_TOKENS = 512
@@ -113,7 +113,7 @@
 _CHAT_DECODER = msgspec.json.Decoder(_ChatRequest)
 
 
-def read_chat_request(body: bytes) -> Result[ChatWork, RyeleverError]:
+def decode_chat_request(body: bytes) -> Result[ChatWork, RyeleverError]:
     """Decode the body of ``POST /v1/chat/completions``.
 
     The field ``model`` may include an adapter, as in ``model:adapter``.
--- a/ryelever/protocol/relaying.py
+++ b/ryelever/protocol/relaying.py
@@ -18,7 +18,7 @@
 class RelayInterface(Protocol):
     """Decode and encode the headers of relayed requests and answers."""
 
-    def arrival(
+    def decode_arrival(
         self, *, head: Headers, target: bytes, content: str, now: float
     ) -> RelayArrival:
         """Decode the headers that determine how a request is handled.
@@ -29,10 +29,12 @@
             Hash of the content that is forwarded.
         """
 
-    def forwarded(self, head: Headers, attempt: RelayAttempt, *, now: float) -> Headers:
+    def attempt_headers(
+        self, head: Headers, attempt: RelayAttempt, *, now: float
+    ) -> Headers:
         """Return the request headers for one attempt at a backend server."""
 
-    def answer_head(self, status: int, headers: Headers) -> AnswerHead:
+    def decode_answer_head(self, status: int, headers: Headers) -> AnswerHead:
         """Decode the status and headers of a backend server's answer."""
 
     def answer_headers(self, request_id: str, *, retry_after: float | None) -> Headers:
--- a/ryelever/relay.py
+++ b/ryelever/relay.py
@@ -117,7 +117,7 @@
     @handler("relayed_request")
     def _on_request(self, received: RelayedRequest) -> None:
         now = time.monotonic()
-        arrival = self._messages.arrival(
+        arrival = self._messages.decode_arrival(
             head=received.headers,
             target=received.target,
             content=_content_hash(received),
@@ -148,7 +148,7 @@
     @handler("outbound_head")
     def _on_head(self, head: AnswerHead) -> None:
         now = time.monotonic()
-        read = self._messages.answer_head(head.status, list(head.raw_headers))
+        read = self._messages.decode_answer_head(head.status, list(head.raw_headers))
         self.requests.answer_head(head.id, read, now=now)
 
     @handler("outbound_data")
@@ -202,7 +202,9 @@
             address=attempt.address,
             method=received.method.decode("ascii"),
             path=received.target.decode("latin-1"),
-            headers=tuple(self._messages.forwarded(received.headers, attempt, now=now)),
+            headers=tuple(
+                self._messages.attempt_headers(received.headers, attempt, now=now)
+            ),
             body=received.body,
             reply_channel=self.channel,
             step="relay",
--- a/ryelever/state/configuration_fold.py
+++ b/ryelever/state/configuration_fold.py
@@ -60,7 +60,7 @@
         self.configuration = Configuration()
         self.author = ""
         self.accepted_versions: deque[int] = deque(maxlen=MAX_ACCEPTED_VERSIONS)
-        self._last_unjudged_offset = NO_VERSION
+        self._last_unevaluated_offset = NO_VERSION
 
     def record_loss(self, *, before: int, reason: str) -> None:
         """Register that the records below ``before`` can no longer be read.
@@ -118,7 +118,7 @@
 
     def _rejection_reason(self, entry: Entry, record: Publication) -> str | None:
         if self.gap is not None and not self._replaces_any_version(record):
-            self._last_unjudged_offset = entry.offset
+            self._last_unevaluated_offset = entry.offset
             return (
                 f"{NOT_EVALUATED}: the version in force is not known here, since "
                 f"{self.gap.reason}"
@@ -138,7 +138,7 @@
         # below ``replaces_below``, the other hosts accept the publication, too.
         return (
             record.replaces_below >= self.gap.before
-            and record.replaces_below > self._last_unjudged_offset
+            and record.replaces_below > self._last_unevaluated_offset
         )
 
     def _accept(self, *, version: int, document: Configuration, author: str) -> None:
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -322,7 +322,7 @@
         server = self.servers[attempt.server_id]
         if server.limit is not None:
             server.limit_known_at_by_host.setdefault(host.name, self.now)
-        answer = MESSAGES.answer_head(200, headers)
+        answer = MESSAGES.decode_answer_head(200, headers)
         host.requests.answer_head(attempt.id, answer, now=self.now)
         host.requests.answer_end(attempt.id, cut=False, now=self.now)
 
--- a/tests/test_console/test_pages.py
+++ b/tests/test_console/test_pages.py
@@ -118,7 +118,7 @@
     assert fields["models.1.name"] == "more" and fields["models.2.name"] == ""
 
 
-def test_rejected_operator_sees_the_winner_and_keeps_the_draft(
+def test_rejected_publication_names_the_winner_and_keeps_the_draft(
     host: Host, browser: Browser
 ) -> None:
     """Publish a draft after another operator has published.
--- a/tests/test_coordination/test_groups/test_returns_explored.py
+++ b/tests/test_coordination/test_groups/test_returns_explored.py
@@ -100,7 +100,7 @@
             self._log.era = era
             self._read_at = self.now + READ_AFTER
         elif event == "lose":
-            self.lose(self.random.choice(self.living), restart_after=1.0)
+            self.lose(self.random.choice(self.running_servers), restart_after=1.0)
         elif event == "replace-planner":
             self.planners_by_zone[ZONE] = self._new_planner(ZONE)
             self._read_at = self.now + READ_AFTER
@@ -122,7 +122,7 @@
         """Return the names of the groups that are open and complete."""
         return {
             server.entry.group.name
-            for server in self.living
+            for server in self.running_servers
             if server.is_open_head and self.is_complete(server)
         }
 
@@ -183,7 +183,7 @@
         report = server.entry.group
         if report is None or report.epoch == order.epoch:
             return
-        for head in self.living:
+        for head in self.running_servers:
             head_report = head.entry.group
             if (
                 head_report is None
--- a/tests/test_emulator/test_days.py
+++ b/tests/test_emulator/test_days.py
@@ -117,7 +117,7 @@
 
     def record_ready_members(self) -> None:
         """Record which servers are ready in their groups."""
-        for server in self.fleet.living:
+        for server in self.fleet.running_servers:
             report = server.entry.group
             if report is not None and report.state is GroupState.READY:
                 self.ready[report.name, report.epoch].add(server.id)
@@ -128,7 +128,7 @@
         report = server.entry.group
         if report is None or (report.name, report.epoch) == group:
             return
-        for other in self.fleet.living:
+        for other in self.fleet.running_servers:
             head = other.entry.group
             is_same_group = head is not None and (head.name, head.epoch) == (
                 report.name,
@@ -160,7 +160,7 @@
         fleet.advance()
         invariants.record_ready_members()
         if fleet.now >= 0 and step % 11 == seed % 11:
-            server = fleet.random.choice(fleet.living)
+            server = fleet.random.choice(fleet.running_servers)
             restart_delay = fleet.random.choice([None, 0.4, 3.0, 8.0])
             fleet.lose(server, restart_after=restart_delay)
     assert invariants.n_opened > 12
--- a/tests/test_fleet_directory.py
+++ b/tests/test_fleet_directory.py
@@ -42,7 +42,7 @@
     decode_datagram,
     encode_servers,
     encode_updates,
-    read_changes_path,
+    parse_changes_path,
 )
 from ryelever.protocol.keyed_log import HttpRequest
 from ryelever.relay_settings import RelaySettings
@@ -210,7 +210,7 @@
 
 
 def _answer_of(provider: Host, request: OutboundRequest) -> OutboundAnswer:
-    place = read_changes_path(request.path)
+    place = parse_changes_path(request.path)
     fleet = provider.fleet
     updates = fleet.changes_since(*place) if place else fleet.all_servers()
     return OutboundAnswer(
--- a/tests/test_platform/test_messages.py
+++ b/tests/test_platform/test_messages.py
@@ -38,7 +38,9 @@
 
 
 def test_request_head_is_decoded() -> None:
-    arrival = MESSAGES.arrival(head=HEAD, target=b"/a/b?q=/c", content="c", now=100.0)
+    arrival = MESSAGES.decode_arrival(
+        head=HEAD, target=b"/a/b?q=/c", content="c", now=100.0
+    )
     assert (arrival.host, arrival.path, arrival.key) == ("calls.example", "/a/b", "key")
     assert (arrival.model, arrival.n_prompt) == ("m", 1460)
     assert arrival.deadline == 108.0
@@ -46,7 +48,7 @@
 
 def test_headers_without_valid_numbers_count_as_absent() -> None:
     head = [(b"deadline-ms", b"soon"), (b"token-usage", b"many")]
-    arrival = MESSAGES.arrival(head=head, target=b"/", content="c", now=100.0)
+    arrival = MESSAGES.decode_arrival(head=head, target=b"/", content="c", now=100.0)
     assert (arrival.deadline, arrival.n_prompt, arrival.key) == (None, 0, None)
 
 
@@ -56,7 +58,7 @@
         (b"target-instance", b"i9"),
         (b"request-priority", b"0"),
     ]
-    sent = MESSAGES.forwarded([*HEAD, *forged], _attempt(), now=102.0)
+    sent = MESSAGES.attempt_headers([*HEAD, *forged], _attempt(), now=102.0)
     found = dict(sent)
     assert found[b"tenant"] == b"pawroute"
     assert found[b"target-instance"] == b"i1"
@@ -76,33 +78,37 @@
     ]
     names = {
         name
-        for name, _ in MESSAGES.forwarded([*HEAD, *hop_by_hop], _attempt(), now=1.0)
+        for name, _ in MESSAGES.attempt_headers(
+            [*HEAD, *hop_by_hop], _attempt(), now=1.0
+        )
     }
     assert not names & {b"connection", b"x-hop", b"te"}
 
 
 def test_stream_is_resumed_after_the_last_event_passed_on() -> None:
     head = [*HEAD, (b"last-event-id", b"3")]
-    sent = MESSAGES.forwarded(head, _attempt(last_event_id="12"), now=1.0)
+    sent = MESSAGES.attempt_headers(head, _attempt(last_event_id="12"), now=1.0)
     assert [text for name, text in sent if name == b"last-event-id"] == [b"12"]
 
 
 def test_requests_of_public_routes_have_no_account_header() -> None:
-    sent = MESSAGES.forwarded([*HEAD, (b"tenant", b"x")], _attempt(account=""), now=1.0)
+    sent = MESSAGES.attempt_headers(
+        [*HEAD, (b"tenant", b"x")], _attempt(account=""), now=1.0
+    )
     assert b"tenant" not in dict(sent)
 
 
 def test_answer_head_is_decoded() -> None:
     passed = [(b"request-id", b"r1"), (b"response-seal", b"s"), (b"x", b"1")]
     hop_by_hop = [(b"connection", b"keep-alive"), (b"content-length", b"12")]
-    head = MESSAGES.answer_head(200, [*passed, *hop_by_hop])
+    head = MESSAGES.decode_answer_head(200, [*passed, *hop_by_hop])
     assert (head.signed, head.not_run) == (True, False)
     assert head.headers == passed
-    assert MESSAGES.answer_head(503, [(b"not-executed", b"1")]).not_run
-    assert not MESSAGES.answer_head(503, []).not_run
-    wrong = MESSAGES.answer_head(421, [])
+    assert MESSAGES.decode_answer_head(503, [(b"not-executed", b"1")]).not_run
+    assert not MESSAGES.decode_answer_head(503, []).not_run
+    wrong = MESSAGES.decode_answer_head(421, [])
     assert (wrong.not_run, wrong.wrong_server) == (True, True)
-    assert MESSAGES.answer_head(200, [(b"content-encoding", b"gzip")]).encoded
+    assert MESSAGES.decode_answer_head(200, [(b"content-encoding", b"gzip")]).encoded
 
 
 def test_refusal_has_a_retry_after_header() -> None:
@@ -128,9 +134,9 @@
     ],
 )
 def test_rate_limit_of_an_answer_is_parsed(text: bytes, rate: float | None) -> None:
-    head = MESSAGES.answer_head(200, [(b"server-limit", text)])
+    head = MESSAGES.decode_answer_head(200, [(b"server-limit", text)])
     assert head.rate_limit == NamedLimit(text=text.decode(), rate=rate)
 
 
 def test_answer_without_a_rate_limit() -> None:
-    assert MESSAGES.answer_head(200, []).rate_limit is None
+    assert MESSAGES.decode_answer_head(200, []).rate_limit is None
--- a/tests/test_protocol/test_external_systems.py
+++ b/tests/test_protocol/test_external_systems.py
@@ -14,7 +14,7 @@
     HTTP_HOSTS_LIST,
     HTTP_LOG,
     HTTP_PLAIN_SERVICE,
-    Call,
+    ExternalRequest,
 )
 from ryelever.protocol.log import encode_record
 from ryelever.state.records import Claim
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize(("call", "line", "fields"), CALLS)
 def test_call_matches_the_published_interface(
-    call: Call, line: str, fields: set[str]
+    call: ExternalRequest, line: str, fields: set[str]
 ) -> None:
     """Use only methods, paths and fields that docs/INTERFACES.md describes."""
     assert f"{call.method} {call.path}" == line
--- a/tests/test_protocol/test_openai.py
+++ b/tests/test_protocol/test_openai.py
@@ -10,11 +10,11 @@
 from ryelever.errors import Category, RunState, RyeleverError
 from ryelever.protocol.openai import (
     ChatStreamEncoder,
+    decode_chat_request,
     error_body,
     error_event,
     error_headers,
     http_status,
-    read_chat_request,
 )
 from ryelever.protocol.sse import SseSplitter
 
@@ -64,9 +64,11 @@
     "text", ['"quoted"\n', "line\u2028end", "\x00", "ção 🐕", "</script>", ""]
 )
 def test_stream_carries_any_text(text: str) -> None:
-    shape = ChatStreamEncoder(request_id="r", model='m"', created=1, include_usage=True)
-    data = shape.started() + shape.tokens((text, "."))
-    data += shape.finished(finish_reason="stop", usage=Usage(n_prompt_tokens=1))
+    encoder = ChatStreamEncoder(
+        request_id="r", model='m"', created=1, include_usage=True
+    )
+    data = encoder.started() + encoder.tokens((text, "."))
+    data += encoder.finished(finish_reason="stop", usage=Usage(n_prompt_tokens=1))
     *events, done = SseSplitter().feed(data)
     chunks = [json.loads(event) for event in events]
     assert done == b"[DONE]"
@@ -85,5 +87,5 @@
     ],
 )
 def test_chat_request_is_read(fields: dict, expected: tuple) -> None:
-    work = read_chat_request(json.dumps(QUESTION | fields).encode()).ok
+    work = decode_chat_request(json.dumps(QUESTION | fields).encode()).ok
     assert (work.model, work.adapter, work.max_tokens, work.streamed) == expected
--- a/tests/test_protocol/test_soft_state.py
+++ b/tests/test_protocol/test_soft_state.py
@@ -172,7 +172,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=400)
 @given(st.binary(max_size=400))
-def test_arbitrary_bytes_under_the_right_key_never_raise(body: bytes) -> None:
+def test_arbitrary_bytes_with_a_valid_mac_never_raise(body: bytes) -> None:
     """Decode messages of a peer whose release uses another message format.
 
     Guards against an entry host that fails whenever a host with a newer release sends a
@@ -184,7 +184,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=400)
 @given(messages, st.data())
-def test_a_damaged_message_under_the_right_key_never_raises(
+def test_damaged_message_with_a_valid_mac_never_raises(
     message: Message, data: st.DataObject
 ) -> None:
     body = bytearray(encode_message(message, key=KEY)[MAC_SIZE:])
--- a/tests/test_state/test_folds_machine.py
+++ b/tests/test_state/test_folds_machine.py
@@ -303,7 +303,7 @@
                 self._add(self.hosts[index], stream, part, fate)
 
     @rule(index=hosts, peer=hosts)
-    def pass_version_on(self, index: int, peer: int) -> None:
+    def send_version(self, index: int, peer: int) -> None:
         known = self.hosts[index].configuration
         self.hosts[peer].configuration.adopt(
             version=known.version, document=known.configuration, author=known.author
--- a/tests/test_system/test_log_outage.py
+++ b/tests/test_system/test_log_outage.py
@@ -12,8 +12,8 @@
     append_request,
     claims_stream,
     decode_entry,
+    decode_page,
     encode_record,
-    read_page,
 )
 from ryelever.state.claims import ClaimsFold
 from ryelever.state.records import Outcome, Record
@@ -106,7 +106,7 @@
 def _read_to_end(fleet: Fleet, stream: str, fold: ClaimsFold) -> None:
     url = f"http://{fleet.addresses_by_name['log']}/v1/streams/{stream}/records"
     answer = httpx.get(url, params={"from": fold.next_offset})
-    for raw in read_page(answer.content, peer="log").ok.records:
+    for raw in decode_page(answer.content, peer="log").ok.records:
         fold.apply(decode_entry(raw, peer="log"))
 
 
--- a/tests/test_transport/test_relay_callers.py
+++ b/tests/test_transport/test_relay_callers.py
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize(("data", "status", "code"), named(REFUSED))
-def test_refuses_the_same_requests_as_the_other_interface(
+def test_both_caller_interfaces_refuse_the_same_requests(
     listener: Listener, data: bytes, status: int, code: str | None
 ) -> None:
     """Refuse with the same status as ``Callers``, and close the connection.
