--- a/ryelever/console/forms.py
+++ b/ryelever/console/forms.py
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Row:
-    """Represent one entry of a section, with its values as text from the form."""
+    """One entry of a section, with its values as text from the form."""
 
     index: int
     name: str = ""
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Draft:
-    """Represent a configuration document that is being edited.
+    """A configuration document that is being edited.
 
     Attributes
     ----------
--- a/ryelever/console/pages.py
+++ b/ryelever/console/pages.py
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class _PendingPublication:
-    """Represent a publication that is answered once it is read back from the log."""
+    """A publication that is answered once it is read back from the log."""
 
     request: CallerRequest
     session: Session
--- a/ryelever/console/publications.py
+++ b/ryelever/console/publications.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Outcome:
-    """Represent the outcome of a publication, as far as this entry host knows.
+    """The outcome of a publication, as far as this entry host knows.
 
     Attributes
     ----------
--- a/ryelever/console/sections.py
+++ b/ryelever/console/sections.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Field:
-    """Describe one field of the edit form.
+    """One field of the edit form.
 
     Attributes
     ----------
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Section:
-    """Describe one section of the document.
+    """One section of the document.
 
     Attributes
     ----------
--- a/ryelever/console/sessions.py
+++ b/ryelever/console/sessions.py
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Session:
-    """Represent the contents of a session token.
+    """Contents of a session token.
 
     Attributes
     ----------
--- a/ryelever/console/status.py
+++ b/ryelever/console/status.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class MemberRow:
-    """Describe one member of a group and the state that its host reports.
+    """One member of a group and the state that its host reports.
 
     Attributes
     ----------
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class GroupRow:
-    """Describe one group.
+    """One group, as shown in the table of groups.
 
     Attributes
     ----------
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class RepairRow:
-    """Describe one repair.
+    """One repair, as shown in the table of repairs.
 
     Attributes
     ----------
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Plot:
-    """Represent the samples of one measure as a stepped line.
+    """Samples of one measure as a stepped line.
 
     Attributes
     ----------
--- a/ryelever/protocol/backend.py
+++ b/ryelever/protocol/backend.py
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class StreamItem:
-    """Represent one server-sent event of a generation.
+    """One server-sent event of a generation.
 
     Attributes
     ----------
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class HostsList:
-    """Represent the platform's list of hosts, which may be out of date."""
+    """The platform's list of hosts, which may be out of date."""
 
     hosts: list[ListedHost] = field(default_factory=list)
 
--- a/ryelever/protocol/configuration_document.py
+++ b/ryelever/protocol/configuration_document.py
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Change:
-    """Represent one difference between two documents.
+    """One difference between two documents.
 
     Attributes
     ----------
--- a/ryelever/protocol/external_systems.py
+++ b/ryelever/protocol/external_systems.py
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ExternalRequest:
-    """Represent one HTTP request to an external system, without the address."""
+    """One HTTP request to an external system, without the address."""
 
     path: str
     method: str = "GET"
--- a/ryelever/protocol/host_messages.py
+++ b/ryelever/protocol/host_messages.py
@@ -124,7 +124,7 @@
 
 
 class RelayedDatagram(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent a datagram that the receiver processes and forwards to other hosts.
+    """A datagram that the receiver processes and forwards to other hosts.
 
     Attributes
     ----------
--- a/ryelever/protocol/keyed_log.py
+++ b/ryelever/protocol/keyed_log.py
@@ -27,7 +27,7 @@
 
 
 class HttpRequest(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent one HTTP request to the log."""
+    """One HTTP request to the log."""
 
     method: str
     path: str
@@ -35,7 +35,7 @@
 
 
 class NewestPage(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent one page of the newest record of each key.
+    """One page of the newest record of each key.
 
     Attributes
     ----------
@@ -51,7 +51,7 @@
 
 
 class RecordsPage(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent one page of records in the order of their offsets.
+    """One page of records in the order of their offsets.
 
     Attributes
     ----------
--- a/ryelever/protocol/log.py
+++ b/ryelever/protocol/log.py
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class AppendItem:
-    """Represent one record in the body of an append request."""
+    """One record in the body of an append request."""
 
     id: str
     kind: str
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class RawEntry:
-    """Represent one record as returned by the log service, with its body undecoded."""
+    """One record as returned by the log service, with its body undecoded."""
 
     offset: int
     time: float
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class LogPage:
-    """Represent one page of a stream; an answer with status 410 has no records.
+    """One page of a stream; an answer with status 410 has no records.
 
     Attributes
     ----------
--- a/ryelever/state/claims.py
+++ b/ryelever/state/claims.py
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class ClaimState:
-    """Represent the first claim of a key and, once known, its outcome."""
+    """The first claim of a key and, once known, its outcome."""
 
     key: str
     fingerprint: str
--- a/ryelever/state/configuration.py
+++ b/ryelever/state/configuration.py
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Configuration:
-    """Represent the complete desired state; collections are keyed by name."""
+    """The complete desired state; collections are keyed by name."""
 
     models: dict[str, Model] = field(default_factory=dict)
     client_accounts: dict[str, ClientAccount] = field(default_factory=dict)
--- a/ryelever/state/directory.py
+++ b/ryelever/state/directory.py
@@ -24,7 +24,7 @@
 
 
 class GroupReport(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent a backend server's report of its own group.
+    """A backend server's report of its own group.
 
     Attributes
     ----------
@@ -42,7 +42,7 @@
 
 
 class BackendServer(msgspec.Struct, kw_only=True, frozen=True):
-    """Describe one incarnation of a backend server.
+    """One incarnation of a backend server.
 
     Attributes
     ----------
--- a/ryelever/state/fleet.py
+++ b/ryelever/state/fleet.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ListedHost:
-    """Represent one row of the platform's list of hosts, which may be out of date.
+    """One row of the platform's list of hosts, which may be out of date.
 
     Attributes
     ----------
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class HostReport:
-    """Represent a host's report of its own state.
+    """A host's report of its own state.
 
     Attributes
     ----------
--- a/ryelever/state/fold.py
+++ b/ryelever/state/fold.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Ignored:
-    """Describe an entry that was ignored, with the reason."""
+    """An entry that was ignored, with the reason."""
 
     offset: int
     id: str
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Gap:
-    """Describe a gap: records below offset ``before`` were never read."""
+    """A gap: records below offset ``before`` were never read."""
 
     before: int
     reason: str
--- a/ryelever/state/keyed_record.py
+++ b/ryelever/state/keyed_record.py
@@ -8,7 +8,7 @@
 
 
 class KeyedRecord(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent one record of a key; an empty value deletes the key."""
+    """One record of a key; an empty value deletes the key."""
 
     key: str
     value: bytes
@@ -16,7 +16,7 @@
 
 
 class ServerUpdates(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent a range of the backend servers' topic that one host has read.
+    """A range of the backend servers' topic that one host has read.
 
     Attributes
     ----------
--- a/ryelever/state/observations.py
+++ b/ryelever/state/observations.py
@@ -28,7 +28,7 @@
 
 
 class DemandRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Report the demand of a client account as observed by one entry host.
+    """Demand of a client account as observed by one entry host.
 
     Attributes
     ----------
@@ -45,7 +45,7 @@
 
 
 class RateLimitRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Report the rate limit that a backend server stated in an answer.
+    """Rate limit that a backend server stated in an answer.
 
     Attributes
     ----------
@@ -75,7 +75,7 @@
 
 
 class SuspicionRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Report the number of crashes in which a request's fingerprint was involved.
+    """Number of crashes in which a request's fingerprint was involved.
 
     Attributes
     ----------
@@ -118,7 +118,7 @@
 
 
 class LoadRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Report the number of requests that an entry host has in flight at a target."""
+    """Number of requests that an entry host has in flight at a target."""
 
     target: str
     n_in_flight: int
--- a/ryelever/state/placement.py
+++ b/ryelever/state/placement.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Group:
-    """Represent one replica group as recorded in the log.
+    """One replica group as recorded in the log.
 
     Attributes
     ----------
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Lease:
-    """Represent the planner's lease of the zone.
+    """The planner's lease of the zone.
 
     Attributes
     ----------
--- a/ryelever/state/routes.py
+++ b/ryelever/state/routes.py
@@ -37,7 +37,7 @@
 
 
 class Route(msgspec.Struct, kw_only=True, frozen=True):
-    """Describe how requests for one host and path prefix are handled.
+    """Handling of the requests for one host and path prefix.
 
     Attributes
     ----------
@@ -92,7 +92,7 @@
 
 
 class ModelProfile(msgspec.Struct, kw_only=True, frozen=True):
-    """Describe one model of an engine service.
+    """One model of an engine service.
 
     Attributes
     ----------
@@ -116,7 +116,7 @@
 
 
 class EngineProfile(msgspec.Struct, kw_only=True, frozen=True):
-    """Describe the engines of one service; times are in seconds.
+    """The engines of one service; times are in seconds.
 
     Attributes
     ----------
@@ -155,7 +155,7 @@
 
 
 class RoutedService(msgspec.Struct, kw_only=True, frozen=True):
-    """Describe one service that is the target of routes.
+    """One service that is the target of routes.
 
     Attributes
     ----------
@@ -171,7 +171,7 @@
 
 
 class RouteAccount(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent a client account with a priority that replaces the route's priority.
+    """A client account with a priority that replaces the route's priority.
 
     Attributes
     ----------
@@ -193,7 +193,7 @@
 
 
 class RouteTable(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent the routes of one configuration version.
+    """The routes of one configuration version.
 
     Attributes
     ----------
