--- a/ryelever/console/sections.py
+++ b/ryelever/console/sections.py
@@ -11,14 +11,13 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Field:
-    """Describe one field of the edit form.
+    """One field of the edit form.
 
     Attributes
     ----------
     parse : callable
-        Return the value for the document that the entered text stands for.  Text that
-        cannot be parsed is returned unchanged, so that the check of the document
-        reports it.
+        Return the document's value for the entered text.  Text that cannot be parsed
+        is returned unchanged, so that the check of the document reports it.
     format : callable
         Return the text that the field shows for a value of the document.
     """
@@ -33,7 +32,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Section:
-    """Describe one section of the document.
+    """One section of the document.
 
     Attributes
     ----------
--- a/ryelever/console/status.py
+++ b/ryelever/console/status.py
@@ -1,4 +1,7 @@
-"""Collect the contents of the status page: groups, repairs and both measures."""
+"""Collect the contents of the status page.
+
+The page shows groups, repairs, group downtime and stranded accelerators.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class MemberRow:
-    """Describe one member of a group and the state that its host reports.
+    """One member of a group and the state that its host reports.
 
     Attributes
     ----------
@@ -40,7 +43,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class GroupRow:
-    """Describe one group.
+    """One group, as shown in the table of groups.
 
     Attributes
     ----------
@@ -61,7 +64,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class RepairRow:
-    """Describe one repair.
+    """One repair, as shown in the table of repairs.
 
     Attributes
     ----------
@@ -80,7 +83,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Plot:
-    """Represent the samples of one measure as a stepped line.
+    """Samples of one measure as a stepped line.
 
     Attributes
     ----------
@@ -99,7 +102,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class StatusView:
-    """Hold the values that the status page shows."""
+    """Values that the status page shows."""
 
     groups: list[GroupRow]
     repairs: list[RepairRow]
--- a/ryelever/protocol/host_messages.py
+++ b/ryelever/protocol/host_messages.py
@@ -34,7 +34,7 @@
     "encode_relayed",
     "encode_servers",
     "encode_heartbeat",
-    "read_changes_path",
+    "parse_changes_path",
 ]
 
 #: Paths at which an entry host requests the configuration in force and the records of
@@ -114,7 +114,7 @@
     return f"{SERVERS_PATH}/{era}/{offset}"
 
 
-def read_changes_path(path: str) -> tuple[int, int] | None:
+def parse_changes_path(path: str) -> tuple[int, int] | None:
     """Return the offset and the era in a path of ``changes_path``.
 
     Returns None for any other path.
@@ -124,7 +124,7 @@
 
 
 class RelayedDatagram(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent a datagram that the receiver processes and forwards to other hosts.
+    """A datagram that the receiver processes and forwards to other hosts.
 
     Attributes
     ----------
@@ -284,8 +284,9 @@
 ) -> HostHeartbeat | ServerUpdates | RelayedDatagram | RyeleverError:
     """Decode a datagram; return an error if the datagram is invalid.
 
-    The return value is not wrapped in a ``Result``, since this takes as long as
-    decoding the rest of a heartbeat, and dozens of heartbeats arrive per second.
+    The return value is not wrapped in a ``Result``, since wrapping takes as long as
+    decoding the part of a heartbeat that is not cached, and dozens of heartbeats arrive
+    per second.
     """
     try:
         if data[:1] == UPDATES:
--- a/ryelever/protocol/keyed_log.py
+++ b/ryelever/protocol/keyed_log.py
@@ -22,12 +22,12 @@
     "KeyedRecord",
     "HttpRequest",
     "NewestPage",
-    "ReadPage",
+    "RecordsPage",
 ]
 
 
 class HttpRequest(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent one HTTP request to the log."""
+    """One HTTP request to the log."""
 
     method: str
     path: str
@@ -35,7 +35,7 @@
 
 
 class NewestPage(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent one page of the newest record of each key.
+    """One page of the newest record of each key.
 
     Attributes
     ----------
@@ -50,8 +50,8 @@
     end: int
 
 
-class ReadPage(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent one page of records in the order of their offsets.
+class RecordsPage(msgspec.Struct, kw_only=True, frozen=True):
+    """One page of records in the order of their offsets.
 
     Attributes
     ----------
@@ -139,7 +139,7 @@
 
     def read_page(
         self, status: int, body: bytes, *, offset: int
-    ) -> Result[ReadPage, RyeleverError]:
+    ) -> Result[RecordsPage, RyeleverError]:
         """Decode the answer to ``read``."""
 
     def appended(
--- a/ryelever/protocol/log.py
+++ b/ryelever/protocol/log.py
@@ -28,7 +28,7 @@
     "decode_entry",
     "encode_record",
     "placement_stream",
-    "read_page",
+    "decode_page",
     "read_path",
 ]
 
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class AppendItem:
-    """Represent one record in the body of an append request."""
+    """One record in the body of an append request."""
 
     id: str
     kind: str
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class RawEntry:
-    """Represent one record as returned by the log service, with its body undecoded."""
+    """One record as returned by the log service, with its body undecoded."""
 
     offset: int
     time: float
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class LogPage:
-    """Represent one page of a stream; an answer with status 410 has no records.
+    """One page of a stream; an answer with status 410 has no records.
 
     Attributes
     ----------
@@ -132,7 +132,7 @@
     return f"/v1/streams/{stream}/records?from={offset}&wait_ms={wait_ms}&limit={limit}"
 
 
-def read_page(data: bytes, *, peer: str) -> Result[LogPage, RyeleverError]:
+def decode_page(data: bytes, *, peer: str) -> Result[LogPage, RyeleverError]:
     """Decode one page of a stream."""
     return decode(data, LogPage, step="read_log", peer=peer)
 
--- a/ryelever/state/fold.py
+++ b/ryelever/state/fold.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Ignored:
-    """Describe an entry that was ignored, with the reason."""
+    """An entry that was ignored, with the reason."""
 
     offset: int
     id: str
@@ -40,14 +40,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Gap:
-    """Describe a gap: records below offset ``before`` were never read."""
+    """A gap: records below offset ``before`` were never read."""
 
     before: int
     reason: str
 
 
 class BaseFold:
-    """Base class of folds: drop repeated appends and keep why entries were ignored.
+    """Base class of folds: drops repeated appends, keeps reasons of ignored entries.
 
     A subclass implements ``_apply_record``, which returns None if the record took
     effect and the reason otherwise, and the pair ``_contents`` and ``_restore`` for
@@ -108,7 +108,7 @@
         return reason
 
     def record_loss(self, *, before: int, reason: str) -> None:
-        """Record that records below ``before`` can no longer be read."""
+        """Register that the records below ``before`` can no longer be read."""
         self.gap = Gap(before=before, reason=reason)
         self.next_offset = max(self.next_offset, before)
 
--- a/ryelever/state/observations.py
+++ b/ryelever/state/observations.py
@@ -28,7 +28,7 @@
 
 
 class DemandRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Report the demand of a client account as observed by one entry host.
+    """Demand of a client account as observed by one entry host.
 
     Attributes
     ----------
@@ -45,7 +45,7 @@
 
 
 class RateLimitRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Report the rate limit that a backend server stated in an answer.
+    """Rate limit that a backend server stated in an answer.
 
     Attributes
     ----------
@@ -75,18 +75,19 @@
 
 
 class SuspicionRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Report the number of crashes in which a request's fingerprint was involved.
+    """Number of crashes in which a request's fingerprint was involved.
 
     Attributes
     ----------
     crash : str
-        Identifier of the newest crash, the same on all entry hosts: the target and
-        its fencing number.
+        Identifier of a crash, the same on all entry hosts: the target and its fencing
+        number.  The crash is the one in which the request was involved again as a
+        suspect or, if there is none, the newest one.
     repeated : bool
-        True if the request was already a suspect when the newest crash happened.
+        True if the request was already a suspect when this crash happened.
     proved : bool
-        True if, before the newest crash, the request had got past the point at which
-        an earlier crash happened.
+        True if, before this crash, the request had run past the point at which its
+        earlier crash happened.
     """
 
     fingerprint: str
@@ -117,7 +118,7 @@
 
 
 class LoadRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Report the number of requests that an entry host has in flight at a target."""
+    """Number of requests that an entry host has in flight at a target."""
 
     target: str
     n_in_flight: int
--- a/ryelever/state/placement.py
+++ b/ryelever/state/placement.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Group:
-    """Represent one replica group as recorded in the log.
+    """One replica group as recorded in the log.
 
     Attributes
     ----------
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Lease:
-    """Represent the planner's lease of the zone.
+    """The planner's lease of the zone.
 
     Attributes
     ----------
@@ -142,7 +142,7 @@
         self._lease_unknown = False
 
     def record_loss(self, *, before: int, reason: str) -> None:
-        """Record that records below ``before`` can no longer be read."""
+        """Register that the records below ``before`` can no longer be read."""
         super().record_loss(before=before, reason=reason)
         self._lease_unknown = True
 
--- a/ryelever/state/routes.py
+++ b/ryelever/state/routes.py
@@ -37,7 +37,7 @@
 
 
 class Route(msgspec.Struct, kw_only=True, frozen=True):
-    """Describe how requests for one host and path prefix are handled.
+    """Handling of the requests for one host and path prefix.
 
     Attributes
     ----------
@@ -49,7 +49,7 @@
     pause_objective : float
         Objective in seconds for the longest pause between two events of a stream.
     priority : int
-        Rank; 0 is served first.
+        Priority class; 0 is served first.
     weight_by_service : dict of str to float
         Relative share of the requests that each service gets.
     max_attempts : int
@@ -92,7 +92,7 @@
 
 
 class ModelProfile(msgspec.Struct, kw_only=True, frozen=True):
-    """Describe one model of an engine service.
+    """One model of an engine service.
 
     Attributes
     ----------
@@ -116,7 +116,7 @@
 
 
 class EngineProfile(msgspec.Struct, kw_only=True, frozen=True):
-    """Describe the engines of one service; times are in seconds.
+    """The engines of one service; times are in seconds.
 
     Attributes
     ----------
@@ -128,7 +128,8 @@
     prefill_rate : float
         Prompt tokens processed per second.
     tokens_per_event : int
-        Steps of one pass; each step writes one token of every request.
+        Tokens of one request in each event of a stream.  A group takes this many steps
+        in one pass, and each step writes one token of every request.
     form_time : float
         Time from an accepted open order to the first request.
     loads_per_second : float
@@ -154,7 +155,7 @@
 
 
 class RoutedService(msgspec.Struct, kw_only=True, frozen=True):
-    """Describe one service that is the target of routes.
+    """One service that is the target of routes.
 
     Attributes
     ----------
@@ -170,7 +171,13 @@
 
 
 class RouteAccount(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent a client account and its rank, which overrides the route's rank."""
+    """A client account with a priority that replaces the route's priority.
+
+    Attributes
+    ----------
+    priority : int or None
+        Priority class; 0 is served first.  None if the route's priority applies.
+    """
 
     name: str
     priority: int | None = None
@@ -186,7 +193,7 @@
 
 
 class RouteTable(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent the routes of one configuration version.
+    """The routes of one configuration version.
 
     Attributes
     ----------
