--- a/ryelever/coordination/actions.py
+++ b/ryelever/coordination/actions.py
@@ -95,7 +95,7 @@
     fencing : int
         Fencing number of the group; -1 for a plain service.
     hosts : tuple of str
-        Hosts of the backend server, which fail together with the attempt.
+        Members of the group, the head first; for a plain service only its host.
     """
 
     name: str
--- a/ryelever/coordination/fan_out.py
+++ b/ryelever/coordination/fan_out.py
@@ -6,9 +6,10 @@
 
 __all__ = ["MAX_RECEIVERS", "Relayer", "fan_out"]
 
-#: Hosts to which the sender sends a datagram directly.  With more receivers, these
-#: hosts forward the datagram: a link of 20 Mbit/s can't carry a copy for each of a
-#: hundred hosts while the groups of a large fleet form.
+#: Maximum number of hosts to which the sender sends a datagram directly.  If there are
+#: more hosts, the direct receivers forward the datagram to the others: a link of
+#: 20 Mbit/s can't carry a copy for each of a hundred hosts while the groups of a large
+#: fleet form.
 MAX_RECEIVERS = 12
 
 
@@ -34,7 +35,8 @@
         All hosts that are to receive the datagram.
     live_hosts : set of str
         Hosts whose heartbeats are received.  The others may be lost, together with
-        the datagrams that they were to forward, and are not chosen to forward.
+        the datagrams that they were to forward, and are chosen to forward only if no
+        host is live.
     rotation : int
         Number that differs from datagram to datagram and selects other forwarding
         hosts each time.  A lost host that is not detected yet then costs the same
--- a/ryelever/coordination/host_heartbeats.py
+++ b/ryelever/coordination/host_heartbeats.py
@@ -22,9 +22,10 @@
 #: are not lost by chance.
 HOST_TIMEOUT = 0.9
 
-#: Timeout of an entry host in multiples of its own heartbeat interval, if longer than
-#: ``HOST_TIMEOUT``.  Hosts on which no other host relies send less often; two lost
-#: heartbeats of such a host do no harm, and its requests in flight count meanwhile.
+#: Timeout of a host or zone in multiples of its own heartbeat interval, if longer than
+#: ``HOST_TIMEOUT``.  In a zone of more than ``MAX_HOSTS_AT_FULL_RATE`` hosts, a host on
+#: which no other host relies sends less often.  Nothing depends on the heartbeats of
+#: such a host within two intervals; its last reported requests in flight still count.
 TIMEOUT_INTERVALS = 2.5
 
 #: Maximum rounding error of sums of times, in seconds.
@@ -414,7 +415,11 @@
         )
 
     def is_among_first(self, *, now: float) -> bool:
-        """Return whether this host is a reader when no host reaches the store."""
+        """Return whether this host is among the first of its zone by name.
+
+        The first ``READERS_PER_ZONE`` hosts count, whether they reach the store or not;
+        stopping hosts are left out.
+        """
         return self._is_among_first(self.of_own_zone(now=now))
 
     def _is_among_first(self, heartbeats: Iterable[HostHeartbeat]) -> bool:
--- a/ryelever/coordination/polling.py
+++ b/ryelever/coordination/polling.py
@@ -10,7 +10,7 @@
 #: Number of entry hosts that are responsible for polling a backend server.
 N_POLLERS = 2
 
-#: Maximum number of entry hosts in a zone with which only the first poller polls
+#: Maximum number of entry hosts in a zone at which only the first poller polls
 #: regularly and the second one is on standby.  With more hosts, reports of the first
 #: poller reach the others so late that most of them would poll themselves.
 MAX_HOSTS_WITH_STANDBY = 4
--- a/ryelever/coordination/quarantine/quarantine.py
+++ b/ryelever/coordination/quarantine/quarantine.py
@@ -233,7 +233,7 @@
         ]
 
     def changes(self, *, since: float) -> list[SuspicionRow]:
-        """Return the rows that this host has changed since a time, newest first."""
+        """Return rows of suspects whose local evidence changed since a time, newest first."""
         suspects = [
             suspect
             for suspect in self._suspects_by_fingerprint.values()
@@ -390,10 +390,11 @@
     if refused or error.code != error.category.value:
         return False
     if error.category is Category.UNAVAILABLE:
-        # A pooled connection broke after the request had been sent, and the server
-        # refused the connection opened in its place: no process listens any more.  The
-        # only other cause of the same error is a live service that answers 502 or 503,
-        # with the step "call_service".
+        # A pooled connection broke after the request had been sent, and no connection
+        # could be opened in its place.  (A connection that fails with ECONNREFUSED
+        # after connecting began has the code "connection_refused" and is not counted.)
+        # For the step "call_service", a live service that answers 502, 503 or 504 leads
+        # to the same error, so only "generate" counts.
         return error.step == "generate"
     return error.category is Category.BROKEN and error.step in _ATTEMPT_STEPS
 
--- a/ryelever/coordination/removals.py
+++ b/ryelever/coordination/removals.py
@@ -1,6 +1,6 @@
 """Delay the removal of backend servers after the store was unreachable.
 
-Entries of backend servers expire while the servers can't reach the store to renew
+Records of backend servers expire while the servers can't reach the store to renew
 them, and return soon after the store does.  Removing the servers immediately would
 empty the fleet.
 """
@@ -9,15 +9,16 @@
 
 __all__ = ["Removals"]
 
-#: Seconds after the store's return within which the entry of a live server is back.
+#: Seconds after the store's return within which the record of a live server is
+#: back.
 RECORDS_RETURN_TIME = 2.1
 
 #: Minimum seconds without an answered read that count as an outage of the store
 #: instead of a single failure.
 MIN_OUTAGE = 1.0
 
-#: Record renewals during which a server stays in the list after an undecodable entry
-#: with its id.  A live server writes its own entry again within one renewal interval.
+#: Renewal intervals during which a server stays in the list after an undecodable record
+#: with its id.  A live server writes its own record again within one renewal interval.
 UNREADABLE_RENEWALS = 2.0
 
 
@@ -27,7 +28,7 @@
     Parameters
     ----------
     renewal_interval : float
-        Seconds between two entries that a live server writes.
+        Seconds between two writes of a live server's record.
     """
 
     def __init__(self, *, renewal_interval: float) -> None:
@@ -39,7 +40,7 @@
     def record_reads(self, *, answered_at: float, failed_at: float) -> None:
         """Record when a read was last answered and when a read last failed.
 
-        An answer after an outage delays removals until entries are back.
+        An answer after an outage delays removals until the records are back.
         """
         if answered_at <= self._answered_at:
             return
@@ -49,19 +50,19 @@
         self._answered_at = answered_at
 
     def record_return(self, returned_at: float) -> None:
-        """Record when the store returned without entries that it had before."""
+        """Record when the store returned without records that it had before."""
         self._outage_until = max(self._outage_until, returned_at + RECORDS_RETURN_TIME)
 
     def add(self, server_id: str, *, now: float) -> None:
-        """Record that a backend server's entry is gone."""
+        """Schedule the removal of a backend server whose record is gone."""
         self._due_at_by_id[server_id] = now
 
     def add_unreadable(self, server_id: str, *, now: float) -> None:
-        """Record that a backend server's entry is undecodable and names no server."""
+        """Schedule the removal of a backend server whose record can't be decoded."""
         self._due_at_by_id.setdefault(server_id, now + self._unreadable_delay)
 
     def cancel(self, server_id: str) -> bool:
-        """Record that a server's entry exists; return whether a removal was pending."""
+        """Cancel the removal of a server; return whether one was scheduled."""
         return self._due_at_by_id.pop(server_id, None) is not None
 
     def due(self, *, now: float) -> list[str]:
--- a/ryelever/coordination/reported_records.py
+++ b/ryelever/coordination/reported_records.py
@@ -18,8 +18,8 @@
 __all__ = ["REPORTED_PRECEDENCE", "ReportedRecords"]
 
 #: Seconds after the list is read again during which reported records keep precedence.
-#: Entries that are read first were written before the outage and are older; servers
-#: write their entries again within about two seconds of the store's return.
+#: Records that are read first were written before the outage and are older; servers
+#: write their records again within about two seconds of the store's return.
 REPORTED_PRECEDENCE = 3.0
 
 
@@ -68,11 +68,11 @@
         return not self._reported_by_server
 
     def overrides(self, server_id: str) -> bool:
-        """Return whether a server's reported record has precedence over its entry."""
+        """Return whether a server's reported record has precedence over the list."""
         return server_id in self._reported_by_server
 
     def is_superseded(self, listed: BackendServer, reported: BackendServer) -> bool:
-        """Return whether a listed entry is from a later start than the reported record.
+        """Return whether a listed record is from a later start than the reported one.
 
         The start is later if it is neither the start of the reported record nor the
         start that was listed before.  Times of starts are not compared, since clocks
@@ -84,7 +84,7 @@
         )
 
     def forget(self, server_id: str) -> None:
-        """Drop the reported record of a server, so that its entries take effect."""
+        """Drop the reported record of a server, so that its listed records take effect."""
         self._reported_by_server.pop(server_id, None)
         self._listed_before_by_server.pop(server_id, None)
         self._held_back_by_server.pop(server_id, None)
@@ -93,7 +93,7 @@
         """Return the reported value with precedence over a listed record, or None.
 
         A listed record without precedence is held back until ``due`` returns it.  The
-        removal of an entry is never held back.
+        removal of a record is never held back.
         """
         reported = self._reported_by_server.get(record.key)
         if reported is None or not record.value:
@@ -107,7 +107,7 @@
         """Return the records that were held back, once precedence has ended.
 
         Precedence ends ``REPORTED_PRECEDENCE`` after the list is read again, when all
-        live servers have written their entries again.
+        live servers have written their records again.
         """
         since = self._list_resumed_at
         if since is None or now - since < REPORTED_PRECEDENCE:
--- a/ryelever/coordination/server_reading.py
+++ b/ryelever/coordination/server_reading.py
@@ -1,6 +1,6 @@
-"""Decide whether a host reads backend servers' records from the store or from hosts.
+"""Decide whether a host reads servers' records itself or receives them from others.
 
-In a fleet of 3,000 servers, reading the records takes half of a link of 20 Mbit/s, and
+In a fleet of 3,000 backend servers, reading the records takes half of a link of 20 Mbit/s, and
 the reads of all hosts share the store's rate.  Therefore a few hosts read the records
 and send updates to the others.  A host that missed updates fetches them from a nearby
 host, and reads from the store only if that fails.
@@ -38,7 +38,7 @@
 MAX_UPDATE_SILENCE = 2.0
 
 #: Seconds without any read after which a suspended host assumes an outage of the store,
-#: so that expired entries are not removed.  It can't know of an outage before it reads
+#: so that expired records are not removed.  It can't know of an outage before it reads
 #: the store itself.
 OUTAGE_SILENCE = 1.8
 
@@ -173,9 +173,10 @@
     def record_missed(self, updates: ServerUpdates, *, now: float) -> None:
         """Record updates that show that this host missed earlier ones.
 
-        The store could return them only together with all unchanged records.  A host
-        that missed a datagram would read a thousand times as much, and all hosts that
-        missed it would fill the link of the store and their own links.
+        The missed updates are requested from the host that sent these updates.  The
+        store could return them only together with all unchanged records: a host that
+        missed a datagram would read a thousand times as much, and all hosts that missed
+        it would fill the link of the store and their own links.
         """
         since = now if self._missed is None else self._missed.since
         self._missed = _Missed(since=since, provider=updates.provider)
--- a/ryelever/coordination/soft_state/compose.py
+++ b/ryelever/coordination/soft_state/compose.py
@@ -24,7 +24,7 @@
 
 __all__ = ["Composer"]
 
-#: Estimated bytes that a datagram should not exceed, and those of its header.
+#: Maximum size of a datagram and size of its header, both estimated, in bytes.
 DATAGRAM_SIZE = 1300
 HEADER_SIZE = 80
 
--- a/ryelever/coordination/soft_state/digest.py
+++ b/ryelever/coordination/soft_state/digest.py
@@ -30,8 +30,9 @@
     """Return the rows that other zones need, each with its time of observation.
 
     Demand and crashes are added up; a sum is as old as its oldest addend.  Loads and
-    reports stay inside the zone.  In the sum of the ``LIVENESS_ACCOUNT`` rows, which
-    hosts send even without any demand, ``n_in_flight`` is the number of those hosts.
+    reports stay inside the zone.  Each host sends a row of the account
+    ``LIVENESS_ACCOUNT`` even without any demand; in the sum of these rows,
+    ``n_in_flight`` is the number of hosts that sent one.
     """
     rows_by_key: dict[tuple[str, ...], tuple[SoftRow, float]] = {}
     for table in tables:
--- a/ryelever/coordination/soft_state/exchange.py
+++ b/ryelever/coordination/soft_state/exchange.py
@@ -38,8 +38,9 @@
 
 __all__ = ["Delivery", "Received", "SoftStateExchange"]
 
-#: Minimum seconds between two answers to unauthenticated datagrams of one address, and
-#: between two responses to its requests.
+#: Minimum seconds between two answers to unauthenticated datagrams of one address,
+#: between two responses to its requests, and between any datagram to a peer and a
+#: request for its missing reports.
 ANSWER_INTERVAL = 0.2
 
 #: Seconds of silence after which a peer of this zone is excluded from sharing work.
@@ -149,8 +150,9 @@
         return LocalTable(origin=origin, member=member, flat=self._flat)
 
     def _accepts(self, member: Member, zone: str) -> bool:
-        # A peer of another zone has only this zone's digest.  If single hosts' rows
-        # were accepted from such a peer, they would hide missing rows between them.
+        # A peer of another zone has only this zone's digest, not all rows of its hosts.
+        # Accepting a single host's row from such a peer would advance the version of
+        # that host's table past missing rows, which would then never be requested.
         if member.host == self._host:
             return False
         return member.digest or member.availability_zone == zone == self._zone
--- a/ryelever/coordination/soft_state/links.py
+++ b/ryelever/coordination/soft_state/links.py
@@ -1,4 +1,4 @@
-"""Track each peer's tokens, sequence numbers and clock offset.
+"""Check the tokens and sequence numbers of peers' datagrams, and estimate their age.
 
 Three faults between peers must be detected without relying on a wall clock:
 
@@ -92,9 +92,11 @@
     link : Link or None
         The link of the boot that sent the datagram; None if the datagram was replayed.
     composed_at : float or None
-        Time on this host's monotonic clock from which the ages in the datagram are
-        counted, never later than the peer composed the datagram; None while the peer
-        has echoed no datagram.
+        Estimated time on this host's monotonic clock at which the peer composed the
+        datagram; the ages in the datagram are counted from this time.  The estimate may
+        be too early, but not too late while the rates of the clocks differ by at most
+        ``MAX_DRIFT``.  None if the datagram echoes none of the ``N_ECHOED`` newest
+        datagrams to the peer.
     newest : bool
         No later datagram of this boot has been received before.
     """
--- a/ryelever/coordination/soft_state/messages.py
+++ b/ryelever/coordination/soft_state/messages.py
@@ -49,9 +49,11 @@
 class Step(enum.IntEnum):
     """Step of an exchange to which a datagram belongs.
 
-    ``REQUEST`` lists the table versions that the sender has.  ``RESPONSE`` carries the
-    updates that the requester lacks and lists the responder's versions.  ``UPDATES``
-    carries the updates that the receiver lacks, and expects no response.
+    ``GREETING`` exchanges tokens and carries no rows.  ``REQUEST`` lists the table
+    versions that the sender has.  ``RESPONSE`` carries the updates that the requester
+    lacks and lists the responder's versions.  ``UPDATES`` carries the updates that the
+    receiver lacks, and expects no response.  ``TRANSFER`` requests or carries pieces of
+    a configuration.
     """
 
     GREETING = 0
--- a/ryelever/coordination/soft_state/soft_state.py
+++ b/ryelever/coordination/soft_state/soft_state.py
@@ -58,7 +58,9 @@
         peer : str
             The entry host that observed the row.
         observed_at : float
-            Time of the observation on this host's monotonic clock, never later than the
-            actual one: the age that the peer states is subtracted from a time at or
-            before that at which the peer composed its datagram.
+            Time on this host's monotonic clock at which the peer observed the row or
+            last confirmed it: the estimated time at which the peer composed its
+            datagram, minus the age that the datagram states.  The time may be too
+            early, but not too late while the rates of the clocks differ by at most
+            ``MAX_DRIFT``.
         """
--- a/ryelever/coordination/soft_state/tables.py
+++ b/ryelever/coordination/soft_state/tables.py
@@ -67,8 +67,9 @@
     Attributes
     ----------
     observed_at : float
-        Time of the observation on this host's monotonic clock, never later than the
-        actual one.
+        Time on this host's monotonic clock at which the owner observed the row or last
+        confirmed it.  In a peer's table the time may be too early, but not too late
+        while the rates of the clocks differ by at most ``MAX_DRIFT``.
     last_update_at : float
         Monotonic time at which this host last changed the row (in its own table) or
         last delivered it to the sinks (in a peer's table).
--- a/ryelever/coordination/transfer_rate.py
+++ b/ryelever/coordination/transfer_rate.py
@@ -11,7 +11,7 @@
 class TransferRate:
     """Decide whether a long transfer to another host may start.
 
-    A host that is refused sends its request to another host.  Each host that has
+    A host whose request is refused sends it to another host.  Each host that has
     received the data provides it to others, so the number of providers doubles within
     the time of one transfer.
 
--- a/ryelever/coordination/zone_summary.py
+++ b/ryelever/coordination/zone_summary.py
@@ -1,8 +1,8 @@
 """Merge the heartbeats of an availability zone's entry hosts into a zone heartbeat.
 
 If each host sent heartbeats to each host of the other zones, their number would grow
-with the square of the number of hosts: with 390 hosts they took a twelfth of a core on
-each host.  Therefore one host represents its zone.
+with the square of the number of hosts: with 390 hosts they would take a twelfth of a
+core on each host.  Therefore one host represents its zone.
 """
 
 from __future__ import annotations
--- a/ryelever/platform/messages.py
+++ b/ryelever/platform/messages.py
@@ -13,7 +13,8 @@
 
 __all__ = ["PlatformMessages"]
 
-#: Hop-by-hop headers, which concern one connection and are never passed on.
+#: Hop-by-hop headers, and headers that are handled separately on each connection (length
+#: of the body, expectation of ``100 Continue``).  These headers are never passed on.
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -47,8 +48,8 @@
         them, and the request is passed on unchanged.
         """
         found = dict(head)
-        # The second number, the maximum of generated tokens, predicts little about how
-        # many tokens are generated.
+        # The second number, the maximum number of generated tokens, predicts little
+        # about how many tokens are generated.
         n_prompt = _parse_number(found.get(wire_names.TOKENS, b"").partition(b",")[0])
         deadline = _parse_number(found.get(wire_names.DEADLINE, b""))
         host = found.get(b"host", b"").decode("latin-1").lower()
--- a/ryelever/platform/orders.py
+++ b/ryelever/platform/orders.py
@@ -85,9 +85,10 @@
 
 
 def _probe_outcome(order: GroupOrder, body: bytes) -> OrderOutcome:
-    """Return whether a probed backend server is a member of the probe's group.
+    """Return ``APPLIED`` if a probed backend server is a member of the probe's group.
 
-    An answer that can't be read is still a sign of life.
+    Otherwise return ``NOT_A_MEMBER``.  A report that can't be read or has no group field
+    is still a sign of life and counts as ``APPLIED``.
     """
     read = decode(body, _Report, step="read_report", peer=order.address)
     if read.is_error():
--- a/ryelever/platform/records.py
+++ b/ryelever/platform/records.py
@@ -55,7 +55,7 @@
         return read_configuration(data, peer=peer)
 
     def evacuated_zone(self, key: str) -> str | None:
-        """Return the zone to evacuate by a key of the operator's topic, or None."""
+        """Return the zone that a key of the operator's topic evacuates, or None."""
         if not key.startswith(wire_names.EVACUATION_KEY):
             return None
         return key.removeprefix(wire_names.EVACUATION_KEY)
--- a/ryelever/platform/settings.py
+++ b/ryelever/platform/settings.py
@@ -19,7 +19,7 @@
 #: Environment variable that holds the path of the settings file.
 SETTINGS_VARIABLE = "RYELEVER_NODE_FILE"
 
-#: A line of the file.
+#: Start of a line of the file: a key and an equals sign.
 _LINE = re.compile(r"^[A-Za-z_][\w.-]*=")
 
 #: Seconds of a graceful shutdown that are reserved for sending the last bytes.
--- a/ryelever/platform/wire_names.py
+++ b/ryelever/platform/wire_names.py
@@ -38,7 +38,7 @@
 #: restored from an older copy.
 ERA = "store-era"
 
-#: Number of prompt tokens and maximum of generated tokens: ``"IN,OUT"``.
+#: Number of prompt tokens and maximum number of generated tokens: ``"IN,OUT"``.
 TOKENS = b"token-usage"
 
 MODEL = b"model"
@@ -54,7 +54,7 @@
 OPERATOR_TOPIC = "keyed.op"
 CONFIGURATION_KEY = "config"
 
-#: Prefix of the key of a request to evacuate an availability zone, before its name.
+#: Prefix of the key of an evacuation request; the availability zone's name follows.
 EVACUATION_KEY = "evacuate/"
 
 #: Contains each backend server's record under its id; written by the servers.
--- a/ryelever/schema/host_words.capnp
+++ b/ryelever/schema/host_words.capnp
@@ -43,7 +43,8 @@
   moving @9 :List(Text);
   # Size in bytes of the configuration in force at the sender.
   configurationSize @10 :UInt32;
-  # Requests of the sender that were recently in flight when a backend server crashed.
+  # Requests of the sender that were recently in flight when a backend server crashed, or
+  # that have completed since.
   suspicions @11 :List(Suspicion);
   # Address of the sender; a forwarded heartbeat arrives from another address.
   address @12 :Text;
--- a/tests/test_coordination/test_host_heartbeats.py
+++ b/tests/test_coordination/test_host_heartbeats.py
@@ -510,7 +510,7 @@
     """Guard against servers whose load is counted twice.
 
     A new representative sends the zone's heartbeat before the heartbeat of the former
-    representative has timed out, and both heartbeats are added.
+    representative has timed out.  The sum of the loads must contain only the newer one.
     """
     far = {"availability_zone": "y", "for_zone": True, "n_hosts": 5}
     _take(heartbeats, _heartbeat("y1", in_flight_by_server={"i1": 3}, **far), now=0.0)
