--- a/benchmarks/soft_state.py
+++ b/benchmarks/soft_state.py
@@ -26,8 +26,8 @@
     configuration,
 )
 
-#: Seconds between two probes of a host in the first half of the warm-up.
-WARM_UP_PROBE_INTERVAL = 0.02
+#: Seconds between two greetings by a host in the first half of the warm-up.
+WARM_UP_GREETING_INTERVAL = 0.02
 
 KEY = b"key-of-the-benchmark"
 
@@ -125,14 +125,14 @@
     network = Network(zones=zones, seed=seed)
     network.route = lambda *_: () if rng.random() < loss else (0.002,)
     load = Load(network, n_workers=n_workers, n_accounts=n_accounts, seed=seed)
-    # At the product's 4 probes a second hundreds of hosts take minutes to discover each
-    # other, which is no steady state and takes hours to simulate.
-    usual, soft_state_schedule.PROBE_INTERVAL = (
-        soft_state_schedule.PROBE_INTERVAL,
-        WARM_UP_PROBE_INTERVAL,
+    # At the product's 4 greetings a second hundreds of hosts take minutes to discover
+    # each other, which is no steady state and takes hours to simulate.
+    usual, soft_state_schedule.GREETING_INTERVAL = (
+        soft_state_schedule.GREETING_INTERVAL,
+        WARM_UP_GREETING_INTERVAL,
     )
     _run(network, load, seconds=warm_up / 2)
-    soft_state_schedule.PROBE_INTERVAL = usual
+    soft_state_schedule.GREETING_INTERVAL = usual
     _run(network, load, seconds=warm_up / 2)
     for node in network.nodes:
         node.deliveries.clear()
--- a/ryelever/coordination/fan_out.py
+++ b/ryelever/coordination/fan_out.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-__all__ = ["MAX_RECEIVERS", "Relayer", "fan_out"]
+__all__ = ["MAX_RECEIVERS", "DirectReceiver", "fan_out"]
 
 #: Maximum number of hosts to which the sender sends a datagram directly.  If there are
 #: more hosts, the direct receivers forward the datagram to the others: a link of
@@ -13,7 +13,7 @@
 MAX_RECEIVERS = 12
 
 
-class Relayer(msgspec.Struct, kw_only=True, frozen=True):
+class DirectReceiver(msgspec.Struct, kw_only=True, frozen=True):
     """Represent a direct receiver and the hosts to which it forwards the datagram.
 
     Attributes
@@ -26,7 +26,9 @@
     hosts: tuple[str, ...] = ()
 
 
-def fan_out(hosts: list[str], *, live_hosts: set[str], rotation: int) -> list[Relayer]:
+def fan_out(
+    hosts: list[str], *, live_hosts: set[str], rotation: int
+) -> list[DirectReceiver]:
     """Return the direct receivers of a datagram, each with its forwarding targets.
 
     Parameters
@@ -43,13 +45,13 @@
         receivers one datagram instead of all datagrams.
     """
     if len(hosts) <= MAX_RECEIVERS:
-        return [Relayer(host=host) for host in hosts]
+        return [DirectReceiver(host=host) for host in hosts]
     candidates = [host for host in hosts if host in live_hosts] or hosts
     first = rotation % len(candidates)
-    relayers = (candidates[first:] + candidates[:first])[:MAX_RECEIVERS]
-    chosen = set(relayers)
+    receivers = (candidates[first:] + candidates[:first])[:MAX_RECEIVERS]
+    chosen = set(receivers)
     others = [host for host in hosts if host not in chosen]
     return [
-        Relayer(host=host, hosts=tuple(others[place :: len(relayers)]))
-        for place, host in enumerate(relayers)
+        DirectReceiver(host=host, hosts=tuple(others[place :: len(receivers)]))
+        for place, host in enumerate(receivers)
     ]
--- a/ryelever/coordination/lease.py
+++ b/ryelever/coordination/lease.py
@@ -24,7 +24,7 @@
 TERMS_BEFORE_TAKEOVER = 1.25
 
 #: Terms without a change of the lease after which the log counts as unreachable.
-TERMS_BEFORE_LOG_IS_AWAY = 2.0
+TERMS_BEFORE_LOG_UNREACHABLE = 2.0
 
 #: Terms without a change of the lease before a process takes it whose placement lacks
 #: records.  A process with all records takes the lease much sooner and knows the
@@ -124,7 +124,7 @@
         if self._lease_offset < 0:
             return False
         since = max(self._lease_seen_at, self._ticking_since)
-        return now >= since + self._term * TERMS_BEFORE_LOG_IS_AWAY
+        return now >= since + self._term * TERMS_BEFORE_LOG_UNREACHABLE
 
     def release(self, placement: PlacementFold, *, now: float) -> list[Action]:
         """Return the append that returns the lease; this host never holds it again."""
--- a/ryelever/coordination/log_reader.py
+++ b/ryelever/coordination/log_reader.py
@@ -53,11 +53,11 @@
 #: Maximum seconds that a read at the end of a stream waits for a record.
 READ_WAIT = 1.0
 
-#: The same for streams whose records may be read some seconds late.  A read returns with
-#: the first record anyway; a longer wait only avoids empty answers, of which hundreds
-#: of hosts would request thousands a second.  A silent connection times out after the
-#: wait and ``progress_timeout``, which must leave time within the 8 s for a change of
-#: the configuration.
+#: The same for streams whose records may be read some seconds late.  A read returns
+#: with the first record anyway; a longer wait only avoids empty answers, of which
+#: hundreds of hosts would request thousands a second.  A silent connection times out
+#: after the wait and ``progress_timeout``, which must leave time within the 8 s for a
+#: change of the configuration.
 LONG_READ_WAIT = 4.0
 
 
--- a/ryelever/coordination/polling.py
+++ b/ryelever/coordination/polling.py
@@ -90,7 +90,7 @@
             self._rank_by_server[server] = rank
         return rank
 
-    def forget(self, servers: Collection[str]) -> None:
+    def retain(self, servers: Collection[str]) -> None:
         """Drop the state of all servers except the given ones."""
         for server in self._rank_by_server.keys() - set(servers):
             del self._rank_by_server[server]
@@ -151,8 +151,8 @@
         self._polled_at_by_server[server] = now
         return True
 
-    def forget(self, servers: Collection[str]) -> None:
+    def retain(self, servers: Collection[str]) -> None:
         """Drop the state of all servers except the given ones."""
-        self._shares.forget(servers)
+        self._shares.retain(servers)
         for server in self._polled_at_by_server.keys() - set(servers):
             del self._polled_at_by_server[server]
--- a/ryelever/coordination/quarantine/quarantine.py
+++ b/ryelever/coordination/quarantine/quarantine.py
@@ -233,7 +233,10 @@
         ]
 
     def changes(self, *, since: float) -> list[SuspicionRow]:
-        """Return rows of suspects whose local evidence changed since a time, newest first."""
+        """Return the rows of suspects whose evidence changed here since a time.
+
+        The newest change comes first.
+        """
         suspects = [
             suspect
             for suspect in self._suspects_by_fingerprint.values()
--- a/ryelever/coordination/reported_records.py
+++ b/ryelever/coordination/reported_records.py
@@ -84,7 +84,7 @@
         )
 
     def forget(self, server_id: str) -> None:
-        """Drop the reported record of a server, so that its listed records take effect."""
+        """Drop a server's reported record, so that its listed records take effect."""
         self._reported_by_server.pop(server_id, None)
         self._listed_before_by_server.pop(server_id, None)
         self._held_back_by_server.pop(server_id, None)
--- a/ryelever/coordination/server_reading.py
+++ b/ryelever/coordination/server_reading.py
@@ -1,9 +1,9 @@
 """Decide whether a host reads servers' records itself or receives them from others.
 
-In a fleet of 3,000 backend servers, reading the records takes half of a link of 20 Mbit/s, and
-the reads of all hosts share the store's rate.  Therefore a few hosts read the records
-and send updates to the others.  A host that missed updates fetches them from a nearby
-host, and reads from the store only if that fails.
+In a fleet of 3,000 backend servers, reading the records takes half of a link of
+20 Mbit/s, and the reads of all hosts share the store's rate.  Therefore a few hosts
+read the records and send updates to the others.  A host that missed updates fetches
+them from a nearby host, and reads from the store only if that fails.
 """
 
 from __future__ import annotations
--- a/ryelever/coordination/soft_state/configuration.py
+++ b/ryelever/coordination/soft_state/configuration.py
@@ -27,8 +27,8 @@
 #: Bytes of one piece.
 PIECE_SIZE = 1100
 
-#: Maximum pieces served for one request, and seconds without a new piece after which the
-#: request is repeated.
+#: Maximum pieces served for one request, and seconds without a new piece after which
+#: the request is repeated.
 PIECES_PER_REQUEST = 4
 REQUEST_INTERVAL = 0.1
 
--- a/ryelever/coordination/soft_state/schedule.py
+++ b/ryelever/coordination/soft_state/schedule.py
@@ -18,9 +18,10 @@
 MAX_REMOTE_RATE = 2.0
 REMOTE_ZONE_RATE = 1.0
 
-#: Seconds between two greetings, and between two greetings to the same address.
-PROBE_INTERVAL = 0.25
-GREETING_INTERVAL = 2.0
+#: Seconds between two greetings, and between two greetings to the same address while no
+#: peer there has authenticated itself.
+GREETING_INTERVAL = 0.25
+ADDRESS_GREETING_INTERVAL = 2.0
 
 #: Seconds between two attempts to reach a silent peer: in this zone, in other zones.
 SILENT_LOCAL_RETRY = 4.0
@@ -51,7 +52,7 @@
         self.zone_addresses: list[str] = []
         self._zone_due_at = 0.0
         self._remote_due_at = 0.0
-        self._probe_due_at = 0.0
+        self._greeting_due_at = 0.0
         self._cycle: list[str] = []
         self._zones: list[str] = []
         self._n_zones = 0
@@ -96,9 +97,9 @@
         return rendezvous(self._host, addresses, n_chosen=1)
 
     def _due_greeting(self, *, now: float) -> list[str]:
-        if now < self._probe_due_at:
+        if now < self._greeting_due_at:
             return []
-        self._probe_due_at = now + PROBE_INTERVAL
+        self._greeting_due_at = now + GREETING_INTERVAL
         silent = [
             peer
             for peer in self._peers_by_address.values()
@@ -113,7 +114,7 @@
 
     def _silence_before_greeting(self, peer: Peer) -> float:
         if peer.current is None:
-            return GREETING_INTERVAL
+            return ADDRESS_GREETING_INTERVAL
         if peer.availability_zone != self._zone:
             return SILENT_REMOTE_RETRY
         # A live peer of the zone gets its regular exchanges and needs no greeting.  A
--- a/ryelever/fleet_watch.py
+++ b/ryelever/fleet_watch.py
@@ -153,7 +153,7 @@
         self.hosts_by_name.clear()
         self.hosts_by_name.update((listed.host, listed) for listed in hosts.ok.hosts)
         self._polled_by_name = self._hosts_to_poll()
-        self._report_polling.forget(self.hosts_by_name)
+        self._report_polling.retain(self.hosts_by_name)
         self._unreadable &= self.hosts_by_name.keys()
         self._contacted &= self.hosts_by_name.keys()
         for host in self._local_reports_by_host.keys() - self.hosts_by_name.keys():
--- a/ryelever/host_exchange.py
+++ b/ryelever/host_exchange.py
@@ -16,10 +16,10 @@
 from .events import Datagram, peers_send, server_updates
 from .logs import log_event
 from .protocol.host_messages import (
-    RelayedDatagram,
+    ForwardedDatagram,
     decode_datagram,
+    encode_forwarded,
     encode_heartbeat,
-    encode_relayed,
     encode_updates,
 )
 from .state.keyed_record import ServerUpdates
@@ -188,15 +188,17 @@
         now = time.monotonic()
         for datagram in datagrams:
             message = decode_datagram(datagram.data, peer=datagram.address)
-            if isinstance(message, RelayedDatagram):
-                self._forward_relayed(message)
+            if isinstance(message, ForwardedDatagram):
+                self._forward(message)
                 message = decode_datagram(message.data, peer=datagram.address)
             if isinstance(message, RyeleverError):
                 log_event("word_unreadable", peer=datagram.address, why=str(message))
             elif isinstance(message, ServerUpdates):
                 self._apply_updates(replace(message, provider=datagram.address))
-            elif isinstance(message, RelayedDatagram):
-                log_event("word_unreadable", peer=datagram.address, why="relayed twice")
+            elif isinstance(message, ForwardedDatagram):
+                log_event(
+                    "word_unreadable", peer=datagram.address, why="forwarded twice"
+                )
             elif self._heartbeats.record(message, address=datagram.address, now=now):
                 if message.for_zone and not message.passed_on:
                     # The other hosts of this zone get this heartbeat only from here.
@@ -272,20 +274,20 @@
             for heartbeat in self._heartbeats.of_own_zone(now=time.monotonic())
         }
         self._n_broadcasts += 1
-        relayers = fan_out(
+        receivers = fan_out(
             self._zone_peers(), live_hosts=living, rotation=self._n_broadcasts
         )
         self._send_datagrams(
             (
                 item.host,
-                encode_relayed(data, item.hosts) if item.hosts else data,
+                encode_forwarded(data, item.hosts) if item.hosts else data,
             )
-            for item in relayers
+            for item in receivers
         )
 
-    def _forward_relayed(self, relayed: RelayedDatagram) -> None:
-        """Forward a relayed datagram to the receivers of this zone that it names."""
-        self._send(relayed.data, set(relayed.hosts).intersection(self._zone_peers()))
+    def _forward(self, datagram: ForwardedDatagram) -> None:
+        """Forward a datagram to those of its hosts that are in this zone."""
+        self._send(datagram.data, set(datagram.hosts).intersection(self._zone_peers()))
 
     def _send(self, data: bytes, hosts: Iterable[str]) -> None:
         """Send one datagram to several hosts; skip hosts without a known address."""
--- a/ryelever/platform/messages.py
+++ b/ryelever/platform/messages.py
@@ -13,8 +13,8 @@
 
 __all__ = ["PlatformMessages"]
 
-#: Hop-by-hop headers, and headers that are handled separately on each connection (length
-#: of the body, expectation of ``100 Continue``).  These headers are never passed on.
+#: Hop-by-hop headers, and headers that are handled separately on each connection
+#: (length of the body, expectation of ``100 Continue``).  None of them is passed on.
 HOP_BY_HOP = frozenset(
     {
         b"connection",
--- a/ryelever/platform/orders.py
+++ b/ryelever/platform/orders.py
@@ -87,8 +87,8 @@
 def _probe_outcome(order: GroupOrder, body: bytes) -> OrderOutcome:
     """Return ``APPLIED`` if a probed backend server is a member of the probe's group.
 
-    Otherwise return ``NOT_A_MEMBER``.  A report that can't be read or has no group field
-    is still a sign of life and counts as ``APPLIED``.
+    Otherwise return ``NOT_A_MEMBER``.  A report that can't be read or has no group
+    field is still a sign of life and counts as ``APPLIED``.
     """
     read = decode(body, _Report, step="read_report", peer=order.address)
     if read.is_error():
--- a/ryelever/protocol/host_messages.py
+++ b/ryelever/protocol/host_messages.py
@@ -26,12 +26,12 @@
     "BUSY_STATUS",
     "CONFIGURATION_PATH",
     "SERVERS_PATH",
-    "RelayedDatagram",
+    "ForwardedDatagram",
     "changes_path",
     "decode_datagram",
     "decode_servers",
     "encode_updates",
-    "encode_relayed",
+    "encode_forwarded",
     "encode_servers",
     "encode_heartbeat",
     "read_changes_path",
@@ -56,7 +56,7 @@
 HEARTBEAT = b"s"
 UPDATES = b"n"
 COMPRESSED_UPDATES = b"z"
-RELAYED = b"r"
+FORWARDED = b"r"
 
 #: Maximum size of a datagram, in bytes.
 MAX_DATAGRAM = 8192
@@ -123,7 +123,7 @@
     return None if match is None else (int(match[2]), int(match[1]))
 
 
-class RelayedDatagram(msgspec.Struct, kw_only=True, frozen=True):
+class ForwardedDatagram(msgspec.Struct, kw_only=True, frozen=True):
     """Represent a datagram that the receiver processes and forwards to other hosts.
 
     Attributes
@@ -138,10 +138,10 @@
     data: bytes
 
 
-def encode_relayed(data: bytes, hosts: Iterable[str]) -> bytes:
+def encode_forwarded(data: bytes, hosts: Iterable[str]) -> bytes:
     """Return a datagram that its receiver processes and forwards to ``hosts``."""
-    message = _schema.Relayed.new_message(hosts=list(hosts), datagram=data)
-    return RELAYED + message.to_bytes_packed()
+    message = _schema.Forwarded.new_message(hosts=list(hosts), datagram=data)
+    return FORWARDED + message.to_bytes_packed()
 
 
 def encode_heartbeat(heartbeat: HostHeartbeat) -> bytes:
@@ -281,7 +281,7 @@
 
 def decode_datagram(
     data: bytes, *, peer: str
-) -> HostHeartbeat | ServerUpdates | RelayedDatagram | RyeleverError:
+) -> HostHeartbeat | ServerUpdates | ForwardedDatagram | RyeleverError:
     """Decode a datagram; return an error if the datagram is invalid.
 
     The return value is not wrapped in a ``Result``, since this takes as long as
@@ -295,8 +295,8 @@
             return _decode_updates(packed, max_words=MAX_WORDS)
         if data[:1] == HEARTBEAT:
             return _decode_heartbeat(data[1:])
-        if data[:1] == RELAYED:
-            return _decode_relayed(data[1:])
+        if data[:1] == FORWARDED:
+            return _decode_forwarded(data[1:])
         why = "unknown first byte"
     except (capnp.KjException, ValueError, zlib.error) as error:
         why = str(error)
@@ -351,11 +351,11 @@
     )
 
 
-def _decode_relayed(data: bytes) -> RelayedDatagram:
-    message = _schema.Relayed.from_bytes_packed(
+def _decode_forwarded(data: bytes) -> ForwardedDatagram:
+    message = _schema.Forwarded.from_bytes_packed(
         data, traversal_limit_in_words=MAX_WORDS
     )
-    return RelayedDatagram(hosts=tuple(message.hosts), data=bytes(message.datagram))
+    return ForwardedDatagram(hosts=tuple(message.hosts), data=bytes(message.datagram))
 
 
 def _decode_heartbeat(data: bytes) -> HostHeartbeat:
--- a/ryelever/schema/host_words.capnp
+++ b/ryelever/schema/host_words.capnp
@@ -86,7 +86,7 @@
 }
 
 # Datagram that the receiver handles and forwards to some hosts of its zone.
-struct Relayed {
+struct Forwarded {
   # Names of the hosts to which the datagram is forwarded.
   hosts @0 :List(Text);
   datagram @1 :Data;
--- a/tests/test_coordination/test_fan_out.py
+++ b/tests/test_coordination/test_fan_out.py
@@ -20,10 +20,10 @@
 ) -> None:
     """Guard against hosts that receive a datagram not at all or several times."""
     hosts = HOSTS[:n_hosts]
-    relayers = fan_out(hosts, live_hosts=live_hosts, rotation=rotation)
-    reached = [host for item in relayers for host in (item.host, *item.hosts)]
+    receivers = fan_out(hosts, live_hosts=live_hosts, rotation=rotation)
+    reached = [host for item in receivers for host in (item.host, *item.hosts)]
     assert sorted(reached) == hosts
-    assert len(relayers) <= MAX_RECEIVERS
+    assert len(receivers) <= MAX_RECEIVERS
 
 
 @given(
@@ -32,5 +32,5 @@
 )
 def test_only_live_hosts_forward_datagrams(live_hosts: set[str], rotation: int) -> None:
     """Guard against a lost host that is to forward datagrams to other hosts."""
-    for relayer in fan_out(HOSTS, live_hosts=live_hosts, rotation=rotation):
-        assert not relayer.hosts or relayer.host in live_hosts
+    for receiver in fan_out(HOSTS, live_hosts=live_hosts, rotation=rotation):
+        assert not receiver.hosts or receiver.host in live_hosts
--- a/tests/test_coordination/test_quarantine/test_quarantine.py
+++ b/tests/test_coordination/test_quarantine/test_quarantine.py
@@ -266,7 +266,7 @@
         "service answered 503",
     ],
 )
-def test_only_a_death_is_a_crash(
+def test_only_the_death_of_a_server_counts_as_a_crash(
     category: Category, step: str, code: str, refused: bool, crash: bool
 ) -> None:
     error = RyeleverError("gone", category=category, step=step, code=code)
--- a/tests/test_coordination/test_soft_state/test_soft_state.py
+++ b/tests/test_coordination/test_soft_state/test_soft_state.py
@@ -262,7 +262,7 @@
     return route
 
 
-def test_zones_go_on_during_a_partition_and_meet_after_it() -> None:
+def test_zones_exchange_rows_during_and_after_a_partition() -> None:
     """Exchange inside each zone during a partition, and between zones after it.
 
     Guards against zones that never share demand again after an hour's partition.  All
--- a/tests/test_coordination/test_soft_state/test_soft_state_configuration.py
+++ b/tests/test_coordination/test_soft_state/test_soft_state_configuration.py
@@ -52,7 +52,7 @@
     assert all(node.configuration == large(8) for node in network.nodes)
 
 
-def test_no_host_steps_below_a_version() -> None:
+def test_no_host_returns_to_an_older_version() -> None:
     """Keep the highest version on every host when a host restarts with an old one."""
     network = Network(zones=["a"] * 3, seed=SEED)
     network.nodes[0].configuration = configuration(9)
