--- a/ryelever/coordination/quarantine/quarantine.py
+++ b/ryelever/coordination/quarantine/quarantine.py
@@ -394,10 +394,10 @@
         return False
     if error.category is Category.UNAVAILABLE:
         # A pooled connection broke after the request had been sent, and no connection
-        # could be opened in its place.  (A connection that fails with ECONNREFUSED
-        # after connecting began has the code "connection_refused" and is not counted.)
-        # For the step "call_service", a live service that answers 502, 503 or 504 leads
-        # to the same error, so only "generate" counts.
+        # could be opened in its place: the server counts as dead.  An ECONNREFUSED that
+        # arrives while connecting has the code "connection_refused" and is excluded
+        # above.  For the step "call_service", a live service that answers 502, 503 or
+        # 504 leads to the same error, so only "generate" counts.
         return error.step == "generate"
     return error.category is Category.BROKEN and error.step in _ATTEMPT_STEPS
 
--- a/ryelever/coordination/removals.py
+++ b/ryelever/coordination/removals.py
@@ -9,8 +9,7 @@
 
 __all__ = ["Removals"]
 
-#: Seconds after the store's return within which the record of a live server is
-#: back.
+#: Seconds after the store's return within which a live server's record is back.
 RECORDS_RETURN_TIME = 2.1
 
 #: Minimum seconds without an answered read that count as an outage of the store
--- a/ryelever/coordination/soft_state/tables.py
+++ b/ryelever/coordination/soft_state/tables.py
@@ -102,7 +102,7 @@
     rows_by_slot: dict[int, TableRow] = field(default_factory=dict)
 
     def alive_at(self) -> float:
-        """Return a time never later than the owner's newest sign of life."""
+        """Return ``observed_at`` of the owner's newest sign of life."""
         alive = self.rows_by_slot.get(ALIVE_SLOT)
         return alive.observed_at if alive is not None else float("-inf")
 
