--- a/ryelever/coordination/fan_out.py
+++ b/ryelever/coordination/fan_out.py
@@ -4,15 +4,16 @@
 
 import msgspec
 
-__all__ = ["MAX_RECEIVERS", "Relayer", "fan_out"]
+__all__ = ["MAX_RECEIVERS", "DirectReceiver", "fan_out"]
 
-#: Hosts to which the sender sends a datagram directly.  With more receivers, these
-#: hosts forward the datagram: a link of 20 Mbit/s can't carry a copy for each of a
-#: hundred hosts while the groups of a large fleet form.
+#: Maximum number of hosts to which the sender sends a datagram directly.  If there are
+#: more hosts, the direct receivers forward the datagram to the others: a link of
+#: 20 Mbit/s can't carry a copy for each of a hundred hosts while the groups of a large
+#: fleet form.
 MAX_RECEIVERS = 12
 
 
-class Relayer(msgspec.Struct, kw_only=True, frozen=True):
+class DirectReceiver(msgspec.Struct, kw_only=True, frozen=True):
     """Represent a direct receiver and the hosts to which it forwards the datagram.
 
     Attributes
@@ -25,7 +26,9 @@
     hosts: tuple[str, ...] = ()
 
 
-def fan_out(hosts: list[str], *, live_hosts: set[str], rotation: int) -> list[Relayer]:
+def fan_out(
+    hosts: list[str], *, live_hosts: set[str], rotation: int
+) -> list[DirectReceiver]:
     """Return the direct receivers of a datagram, each with its forwarding targets.
 
     Parameters
@@ -34,20 +37,21 @@
         All hosts that are to receive the datagram.
     live_hosts : set of str
         Hosts whose heartbeats are received.  The others may be lost, together with
-        the datagrams that they were to forward, and are not chosen to forward.
+        the datagrams that they were to forward, and are chosen to forward only if no
+        host is live.
     rotation : int
         Number that differs from datagram to datagram and selects other forwarding
         hosts each time.  A lost host that is not detected yet then costs the same
         receivers one datagram instead of all datagrams.
     """
     if len(hosts) <= MAX_RECEIVERS:
-        return [Relayer(host=host) for host in hosts]
+        return [DirectReceiver(host=host) for host in hosts]
     candidates = [host for host in hosts if host in live_hosts] or hosts
     first = rotation % len(candidates)
-    relayers = (candidates[first:] + candidates[:first])[:MAX_RECEIVERS]
-    chosen = set(relayers)
+    receivers = (candidates[first:] + candidates[:first])[:MAX_RECEIVERS]
+    chosen = set(receivers)
     others = [host for host in hosts if host not in chosen]
     return [
-        Relayer(host=host, hosts=tuple(others[place :: len(relayers)]))
-        for place, host in enumerate(relayers)
+        DirectReceiver(host=host, hosts=tuple(others[place :: len(receivers)]))
+        for place, host in enumerate(receivers)
     ]
--- a/ryelever/coordination/polling.py
+++ b/ryelever/coordination/polling.py
@@ -10,7 +10,7 @@
 #: Number of entry hosts that are responsible for polling a backend server.
 N_POLLERS = 2
 
-#: Maximum number of entry hosts in a zone with which only the first poller polls
+#: Maximum number of entry hosts in a zone at which only the first poller polls
 #: regularly and the second one is on standby.  With more hosts, reports of the first
 #: poller reach the others so late that most of them would poll themselves.
 MAX_HOSTS_WITH_STANDBY = 4
@@ -90,7 +90,7 @@
             self._rank_by_server[server] = rank
         return rank
 
-    def forget(self, servers: Collection[str]) -> None:
+    def retain(self, servers: Collection[str]) -> None:
         """Drop the state of all servers except the given ones."""
         for server in self._rank_by_server.keys() - set(servers):
             del self._rank_by_server[server]
@@ -151,8 +151,8 @@
         self._polled_at_by_server[server] = now
         return True
 
-    def forget(self, servers: Collection[str]) -> None:
+    def retain(self, servers: Collection[str]) -> None:
         """Drop the state of all servers except the given ones."""
-        self._shares.forget(servers)
+        self._shares.retain(servers)
         for server in self._polled_at_by_server.keys() - set(servers):
             del self._polled_at_by_server[server]
--- a/ryelever/coordination/quarantine/quarantine.py
+++ b/ryelever/coordination/quarantine/quarantine.py
@@ -233,7 +233,10 @@
         ]
 
     def changes(self, *, since: float) -> list[SuspicionRow]:
-        """Return the rows that this host has changed since a time, newest first."""
+        """Return the rows of suspects whose evidence changed here since a time.
+
+        The newest change comes first.
+        """
         suspects = [
             suspect
             for suspect in self._suspects_by_fingerprint.values()
@@ -390,10 +393,11 @@
     if refused or error.code != error.category.value:
         return False
     if error.category is Category.UNAVAILABLE:
-        # A pooled connection broke after the request had been sent, and the server
-        # refused the connection opened in its place: no process listens any more.  The
-        # only other cause of the same error is a live service that answers 502 or 503,
-        # with the step "call_service".
+        # A pooled connection broke after the request had been sent, and no connection
+        # could be opened in its place: the server counts as dead.  An ECONNREFUSED that
+        # arrives while connecting has the code "connection_refused" and is excluded
+        # above.  For the step "call_service", a live service that answers 502, 503 or
+        # 504 leads to the same error, so only "generate" counts.
         return error.step == "generate"
     return error.category is Category.BROKEN and error.step in _ATTEMPT_STEPS
 
