--- a/tests/processes.py
+++ b/tests/processes.py
@@ -27,7 +27,7 @@
 __all__ = ["Fleet", "Process", "running_fleet", "wait_until"]
 
 #: Seconds after which waiting for a condition fails; ample also for a busy machine.
-PATIENCE = 30.0
+WAIT_TIMEOUT = 30.0
 
 PEER_KEY = "peer-key-of-the-tests"
 OPERATOR_KEY = "operator-key-of-the-tests"
@@ -41,7 +41,7 @@
 
 
 def wait_until(
-    condition: Callable[[], Any], *, what: str, timeout: float = PATIENCE
+    condition: Callable[[], Any], *, what: str, timeout: float = WAIT_TIMEOUT
 ) -> Any:
     """Evaluate a condition every 0.02 s and return its first true value.
 
@@ -151,7 +151,7 @@
 
     def wait(self) -> int:
         """Wait for the process to end and return its exit code."""
-        code = self._popen.wait(PATIENCE)
+        code = self._popen.wait(WAIT_TIMEOUT)
         self._stream.close()
         return code
 
--- a/tests/relay_zone.py
+++ b/tests/relay_zone.py
@@ -18,7 +18,7 @@
     "RelayHost",
     "RelayZone",
     "events_of_stream",
-    "own_address",
+    "unused_loopback_address",
     "running_relay_zone",
 ]
 
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class RelayHost:
-    """Represent one running entry host."""
+    """Running entry host with its addresses."""
 
     process: Process
     callers_address: str
@@ -231,8 +231,11 @@
         return total
 
 
-def own_address() -> str:
-    """Return an IP number of the loopback network that no other process uses."""
+def unused_loopback_address() -> str:
+    """Return a loopback IP address derived from the process id.
+
+    No other process uses this address.
+    """
     high, low = divmod(os.getpid(), 250)
     return f"127.{1 + high // 250}.{high % 250}.{1 + low}"
 
--- a/tests/test_system/test_claims.py
+++ b/tests/test_system/test_claims.py
@@ -13,7 +13,7 @@
 import httpx
 
 from ..callers import Caller, error_of, new_key
-from ..processes import PATIENCE, Fleet, wait_until
+from ..processes import WAIT_TIMEOUT, Fleet, wait_until
 
 
 class _Booking:
@@ -44,9 +44,9 @@
 def test_entry_host_dies_between_claim_and_run(fleet: Fleet) -> None:
     """Kill an entry host after it has appended a claim and before it has read it back.
 
-    Symptom: a booking runs twice, or is answered with not_run and runs afterwards.
-    Sequence: the claim is appended, the host is killed, the caller sends the booking to
-    another entry host.  Cause: only the killed host knew whether it had sent the
+    Guards against a booking that runs twice, or that is answered with not_run and runs
+    afterwards.  The claim is appended, the host is killed, and the caller sends the
+    booking to another entry host.  Only the killed host knew whether it had sent the
     booking to the service.
     """
     fleet.start_world()
@@ -84,10 +84,10 @@
 def test_entry_host_dies_between_run_and_outcome(fleet: Fleet) -> None:
     """Kill an entry host while the booking runs.
 
-    Symptom: a customer is charged twice.  Sequence: the service runs the booking, the
-    entry host is killed before it has the answer, the caller sends the booking to
-    another entry host.  Cause: a claim without an outcome shows only that no other
-    entry host may run the booking, not whether it ran.
+    Guards against charging a customer twice.  The service runs the booking, the entry
+    host is killed before it receives the answer, and the caller sends the booking to
+    another entry host.  A claim without an outcome shows only that no other entry host
+    may run the booking, not whether it ran.
     """
     fleet.start_world()
     caller, key = Caller(fleet), new_key()
@@ -104,11 +104,11 @@
 def test_resumed_host_answers_with_the_true_run_state(fleet: Fleet) -> None:
     """Pause an entry host between its claim and the run, beyond every deadline.
 
-    Symptom: a booking is answered with not_run and runs afterwards.  Sequence: the
-    claim is appended, the entry host is paused for longer than the claim timeout,
-    another entry host receives the booking in the meantime, the first one resumes and
-    reads its claim.  Cause: a resumed process does not take the duration of its pause
-    into account.
+    Guards against a booking that is answered with not_run and runs afterwards.  The
+    claim is appended, the entry host is paused for longer than the claim timeout, and
+    another entry host receives the booking in the meantime.  Then the first host
+    resumes and reads its claim.  A resumed process must take the duration of its
+    pause into account.
     """
     fleet.start_world(claim_timeout=0.8)
     caller, key = Caller(fleet), new_key()
@@ -138,10 +138,10 @@
 def test_log_down_while_claiming(fleet: Fleet) -> None:
     """Send a booking while the log is down, and again when the log is available.
 
-    Symptom: a booking runs without a claim, or hangs.  Sequence: the log refuses every
-    call, bookings arrive, the log is available again, the callers resend them.
-    Cause: without the log an entry host cannot know whether another one runs the
-    booking.
+    Guards against a booking that runs without a claim, or that hangs.  The log refuses
+    every call, bookings arrive, the log is available again, and the callers resend
+    their bookings.  Without the log, an entry host cannot know whether another one runs
+    the booking.
     """
     fleet.start_world(entries=("e1",), claim_timeout=1.0)
     caller, key = Caller(fleet), new_key()
@@ -161,10 +161,10 @@
 def test_log_down_while_the_outcome_is_appended(fleet: Fleet) -> None:
     """Stop the log between the run of a booking and the append of its outcome.
 
-    Symptom: every later request with the booking's key gets "in progress".  Sequence:
-    the booking runs, the log is down when the outcome is appended, and is available
-    again later.  Cause: the append of an outcome is abandoned as early as that of other
-    records.
+    Guards against answering every later request with the booking's key with "in
+    progress".  The booking runs, and the log is down when the outcome is appended and
+    available again later.  The outcome is lost if its append is abandoned as early as
+    that of other records.
     """
     fleet.start_world()
     caller, key = Caller(fleet), new_key()
@@ -183,12 +183,12 @@
 def test_booking_is_claimed_once_when_append_answers_are_lost(fleet: Fleet) -> None:
     """Break the connection of every append after it has taken effect.
 
-    Symptom: a booking is refused although it was claimed, or is claimed twice.
-    Sequence: the claim is in the log, the answer to its append is lost, the claim is
-    appended again.  Cause: a lost answer proves neither that the append took effect nor
-    that it failed.
+    Guards against a booking that is refused although it was claimed, or that is claimed
+    twice.  The claim is in the log, the answer to its append is lost, and the claim is
+    appended again.  A lost answer proves neither that the append took effect nor that
+    it failed.
     """
-    fleet.start_world(claim_timeout=PATIENCE)
+    fleet.start_world(claim_timeout=WAIT_TIMEOUT)
     fleet.control("log", lose_append_answers=True)
     caller, key = Caller(fleet), new_key()
     answer = caller.book(fleet.entries_by_name["e1"], key)
@@ -201,10 +201,10 @@
 def test_caller_disconnects_while_its_booking_runs(fleet: Fleet) -> None:
     """Close the caller's connection while its booking runs.
 
-    Symptom: every resend gets "in progress" although the booking ran long ago.
-    Sequence: the booking runs, its caller times out and disconnects, the service
-    answers, the caller sends the booking to another entry host.  Cause: the service's
-    answer is not recorded as the outcome because no caller waits for it.
+    Guards against answering every resend with "in progress" although the booking ran
+    long ago.  The booking runs, its caller times out and disconnects, the service
+    answers, and the caller sends the booking to another entry host.  The service's
+    answer must be recorded as the outcome even if no caller waits for it.
     """
     fleet.start_world()
     caller, key = Caller(fleet), new_key()
--- a/tests/test_system/test_drain.py
+++ b/tests/test_system/test_drain.py
@@ -72,9 +72,9 @@
 def test_rolling_replacement_of_all_entry_hosts_under_load(fleet: Fleet) -> None:
     """Replace every entry host, one after another, while callers send requests.
 
-    Symptom: callers see refused or broken answers during an upgrade.  Sequence: a host
-    gets SIGTERM while streams are open and the balancer still sends requests to it.
-    Cause: the host closes before the balancer has stopped selecting it, or before its
+    Guards against refused or broken answers during an upgrade.  A host gets SIGTERM
+    while streams are open and the balancer still sends requests to it.  Answers break
+    if the host closes before the balancer has stopped selecting it, or before its
     streams have ended.
     """
     fleet.start_world(entries=("e1", "e2", "e3"), drain_grace=DRAIN_GRACE)
@@ -95,10 +95,10 @@
 def test_drain_under_load(fleet: Fleet) -> None:
     """Stop a host with open streams.
 
-    Symptom: streams are cut off, or requests are refused at the moment of the signal.
-    Sequence: streams are open, SIGTERM arrives, one request arrives during the grace
-    and another one after the grace.  Cause: the steps of the shutdown run in the wrong
-    order.
+    Guards against streams that are cut off and requests that are refused at the moment
+    of the signal, which happens if the steps of the shutdown run in the wrong order.
+    SIGTERM arrives while streams are open; one request arrives during the grace and
+    another one after the grace.
     """
     fleet.start_world(entries=("e1",), drain_grace=1.0)
     entry = fleet.entries_by_name["e1"]
@@ -127,9 +127,9 @@
 def test_second_signal_ends_streams_with_an_error_event(fleet: Fleet) -> None:
     """Send a second SIGTERM during a long shutdown.
 
-    Symptom: streams end without an error event, and the exit code indicates success.
-    Sequence: SIGTERM, streams continue for long, SIGTERM again.  Cause: the process
-    exits without sending its callers an error.
+    Guards against streams that end without an error event and an exit code that
+    indicates success, which happens if the process exits without sending its callers an
+    error.  Streams continue for long after a first SIGTERM when the second one arrives.
     """
     fleet.start_world(entries=("e1",))
     entry = fleet.entries_by_name["e1"]
@@ -153,10 +153,10 @@
 def test_outcome_is_appended_before_the_host_ends(fleet: Fleet) -> None:
     """Stop a host while the log is down and the outcome of a booking is not appended.
 
-    Symptom: a booking ran and was answered, but every later request with its key gets
-    "in progress".  Sequence: the booking runs, the log is down, SIGTERM arrives, the
-    log is available again.  Cause: the host exits as soon as its callers have their
-    answers.
+    Guards against a booking that ran and was answered, but whose key gets "in progress"
+    in every later request.  The booking runs, the log is down, SIGTERM arrives, and the
+    log is available again.  The outcome is lost if the host exits as soon as its
+    callers have their answers.
     """
     fleet.start_world()
     caller, key = Caller(fleet), new_key()
--- a/tests/test_system/test_faults.py
+++ b/tests/test_system/test_faults.py
@@ -44,9 +44,9 @@
 def test_member_crash_with_a_hundred_open_streams(fleet: Fleet) -> None:
     """Kill one member of a group in mid-stream.
 
-    Symptom: answers stop in the middle, start again or contain the tokens of another
-    answer.  Sequence: a hundred streams are open on two groups, one host of one group
-    is killed, the whole group aborts.  Cause: the streams of the aborted group are not
+    Guards against answers that stop in the middle, start again or contain the tokens of
+    another answer.  A hundred streams are open on two groups, one host of one group is
+    killed, and the whole group aborts.  The streams of the aborted group must be
     resumed on the other group after the tokens that were delivered.
     """
     fleet.start_world(n_groups=2)
@@ -74,9 +74,9 @@
 def test_frozen_host_in_mid_stream(fleet: Fleet, rank: int) -> None:
     """Freeze the leader or another member of a group in mid-stream.
 
-    Symptom: streams hang, and new requests are sent to a group with a missing member.
-    Sequence: a host freezes without closing its connections.  Cause: the fault shows
-    only by silence, on the streams and in place of the host's reports.
+    Guards against streams that hang and against new requests to a group with a missing
+    member.  A host freezes without closing its connections: the streams make no
+    progress and the host sends no more reports, and no other sign shows the fault.
     """
     fleet.start_world(n_groups=2, progress_timeout=1.0)
     frozen: list[str] = []
@@ -108,10 +108,10 @@
 def test_requests_to_a_frozen_leader_are_retried(fleet: Fleet) -> None:
     """Freeze the leader of a group before requests reach it.
 
-    Symptom: a caller waits for its first token until the timeout, 10 s by default.
-    Sequence: a leader freezes while its last report is still valid, requests are sent
-    to it, then its group ceases to be complete.  Cause: only that timeout applied to
-    requests that waited for their first token.
+    Guards against a caller that waits for its first token until the timeout, 10 s by
+    default.  A leader freezes while its last report is still valid, requests are sent
+    to it, then its group ceases to be complete.  Requests that wait for their first
+    token must be retried then, not only at that timeout.
     """
     fleet.start_world(entries=("e1",), n_groups=2, first_token_timeout=60.0)
     fleet.processes_by_name["d0-0"].send(signal.SIGSTOP)
@@ -134,10 +134,10 @@
 def test_poison_request_ends_in_explicit_errors(fleet: Fleet) -> None:
     """Send a request that crashes every engine that runs it, and send it again.
 
-    Symptom: a caller hangs, or the answer of a bystander (a request that runs on the
-    same engine) stops without an error.  Sequence: the request crashes the leader of
-    one group, is retried on the other group and crashes its leader too; the caller
-    sends the request again.  Cause: each retry of a poison request crashes another
+    Guards against a caller that hangs, and against a bystander (a request that runs on
+    the same engine) whose answer stops without an error.  The request crashes the
+    leader of one group, is retried on the other group and crashes its leader too; the
+    caller sends the request again.  Each retry of a poison request crashes another
     engine.
     """
     fleet.start_world(n_groups=2, recovery_timeout=2.0)
@@ -167,12 +167,13 @@
 def test_poison_request_is_quarantined(fleet: Fleet, entries: tuple[str, ...]) -> None:
     """Send a poison request repeatedly while bystanders are served.
 
-    Symptom: one group after another crashes, and all answers are lost.  Sequence: the
-    poison request crashes the leader of one group after another, with four groups or
-    more, and the caller sends it to another entry host each time.  Cause: no entry host
-    records which requests ran when an engine crashed, or the requests that ran there
-    are retried together on one engine, or the other entry host has not received the
-    record.
+    Guards against one group after another crashing, with the loss of all answers.  With
+    four groups or more, the poison request crashes the leader of one group after
+    another, and the caller sends the request to another entry host each time.
+
+    This happens if no entry host records which requests ran when an engine crashed, if
+    the requests that ran there are retried together on one engine, or if the other
+    entry host has not received the record.
     """
     n_groups = 3 + len(entries)
     fleet.start_world(entries=(), n_groups=n_groups)
--- a/tests/test_system/test_leaving.py
+++ b/tests/test_system/test_leaving.py
@@ -82,11 +82,10 @@
 ) -> None:
     """Send requests while a host of one of two groups leaves.
 
-    Symptom: requests end in errors on a host that was ordered to leave.
-    Sequence: a host reports that it leaves, is listed as leaving, or refuses
-    connections; the list lags; requests arrive at all entry hosts.
-    Cause: an entry host that did not observe the leaving host itself goes on sending
-    requests to that host's group.
+    Guards against requests that end in errors on a host that was ordered to leave.  A
+    host reports that it leaves, is listed as leaving, or refuses connections; the list
+    lags, and requests arrive at all entry hosts.  An entry host that did not observe
+    the leaving host itself must also stop sending requests to that host's group.
     """
     members = start_two_groups(fleet)
     rank_0, leaving_host = members[0], members[rank]
--- a/tests/test_system/test_log_outage.py
+++ b/tests/test_system/test_log_outage.py
@@ -56,8 +56,8 @@
 ) -> None:
     """Stop the log and make it available again.
 
-    Symptom: a booking runs twice.  Sequence: the log is down, a booking is sent, its
-    caller sends it again to another entry host.  Cause: without the log neither entry
+    Guards against a booking that runs twice.  The log is down, a booking is sent, and
+    its caller sends it again to another entry host.  Without the log, neither entry
     host can know that the other one received the booking.
     """
     caller = Caller(bookings)
@@ -80,9 +80,9 @@
 def test_booking_runs_once_when_answers_to_appends_are_lost(bookings: Fleet) -> None:
     """Lose the answer to each append.
 
-    Symptom: a booking runs twice, or never.  Sequence: the append of a claim takes
-    effect, its answer is lost, and the claim is appended again.  Cause: the entry host
-    concludes from the answer alone whether the append took effect.
+    Guards against a booking that runs twice, or never.  The append of a claim takes
+    effect, its answer is lost, and the claim is appended again.  An entry host must not
+    conclude from the answer alone whether the append took effect.
     """
     caller = Caller(bookings)
     e1, e2 = bookings.entries_by_name.values()
@@ -115,10 +115,10 @@
 ) -> None:
     """Pause an entry host until records that it has not read have expired.
 
-    Symptom: a booking runs a second time.  Sequence: an entry host is paused, the
-    booking is claimed and run through another one, the log expires the claim, the
-    first host resumes and receives the booking.  Cause: the resumed host reads on from
-    the oldest record that is left and ignores the gap.
+    Guards against a booking that runs a second time.  An entry host is paused, the
+    booking is claimed and run through another one, the log expires the claim, and the
+    first host resumes and receives the booking.  The booking runs again if the resumed
+    host reads on from the oldest record that is left and ignores the gap.
     """
     caller = Caller(bookings)
     e1, e2 = bookings.entries_by_name.values()
--- a/tests/test_system/test_path.py
+++ b/tests/test_system/test_path.py
@@ -22,9 +22,9 @@
 def test_resent_booking_runs_once(small_fleet: Fleet) -> None:
     """Send the same booking again through another entry host.
 
-    Symptom: a customer is charged twice.  Sequence: the booking runs, its answer is
-    lost on the way, the caller sends it again and the balancer picks another entry
-    host.  Cause: the second entry host does not know of the first run.
+    Guards against charging a customer twice.  The booking runs, its answer is lost on
+    the way, the caller sends the booking again, and the balancer picks another entry
+    host, which has to know of the first run.
     """
     caller, key = Caller(small_fleet), new_key()
     entries = small_fleet.entries_by_name.values()
@@ -47,9 +47,9 @@
 def test_stream_ends_at_the_deadline_of_its_caller(small_fleet: Fleet) -> None:
     """End a stream at the deadline that its caller set.
 
-    Symptom: the request of a caller that timed out long ago still occupies a slot in
-    the engine's batch.  Sequence: generating the answer takes longer than the caller
-    waits.  Cause: one deadline for all callers.
+    Guards against a request that still occupies a slot in the engine's batch although
+    its caller timed out long ago.  Generating the answer takes longer than the caller
+    waits, and one deadline for all callers would not end the request.
     """
     answer = _chat(small_fleet, "0.5", stream=True)
     assert answer.status_code == 200
--- a/tests/test_system/test_peers.py
+++ b/tests/test_system/test_peers.py
@@ -47,10 +47,9 @@
 def test_host_without_the_log_gets_configurations_from_peers(fleet: Fleet) -> None:
     """Put each configuration version in force on a host that cannot read the log.
 
-    Symptom: one entry host serves by last week's configuration.
-    Sequence: an entry host can reach its peers but not the log; configurations are
-    published.
-    Cause: configuration versions could reach an entry host only through the log.
+    Guards against one entry host that serves by last week's configuration.  That host
+    can reach its peers but not the log while configurations are published.  The
+    host misses new versions if versions reach an entry host only through the log.
     """
     fleet.start_platform()
     entries = _start(fleet, cut_off=("e2",))
@@ -79,10 +78,10 @@
 ) -> None:
     """Keep a group complete on every entry host while a polling peer is frozen.
 
-    Symptom: groups stop serving on entry hosts that poll none of their members.
-    Sequence: one entry host is frozen and later resumed; the other entry hosts had
-    received members' reports through it.
-    Cause: reports that no entry host passes on expire.
+    Guards against groups that stop serving on entry hosts that poll none of their
+    members.  One entry host is frozen and later resumed; the other entry hosts had
+    received members' reports through it, and reports that no entry host passes on
+    expire.
     """
     fleet.start_platform()
     fleet.start_engines("h1", "h2", "h3", "h4", zone="brisbane", domain="d1")
--- a/tests/test_system/test_promises.py
+++ b/tests/test_system/test_promises.py
@@ -39,11 +39,11 @@
 ) -> None:
     """Replace every entry host during an outage of the log.
 
-    Symptom: an entry host serves with last week's configuration, or with none.
-    Sequence: version 1 is accepted, the log goes down, new hosts start, the old ones
-    are killed; another host starts without any peer; the log is available again.
-    Cause: a new host gets configurations from the log only, or starts to serve
-    without one.
+    Guards against an entry host that serves with last week's configuration, or with
+    none.  Version 1 is accepted, the log goes down, new hosts start, and the old ones
+    are killed; another host starts without any peer; the log is available again.  A new
+    host fails this test if it gets configurations from the log only, or if it starts to
+    serve without one.
     """
     fleet.start_platform()
     fleet.start_service("service", zone="z", service="bookings")
@@ -84,11 +84,11 @@
 def test_isolated_zone_serves_requests_that_need_no_log(fleet: Fleet) -> None:
     """Cut a zone's entry host off from the log and from all other entry hosts.
 
-    Symptom: a zone stops serving although it has all that it needs, or a booking runs
-    twice.  Sequence: booking A runs at the host, the cut begins, A is sent to the host
-    again, B is sent to the host and then to another one, the cut ends, B is sent to
-    the first host again.  Cause: the host waits for the log for requests that do not
-    need it, or guesses the outcome of requests that do.
+    Guards against a zone that stops serving although it has all that it needs, and
+    against a booking that runs twice.  Booking A runs at the host, the cut begins, A is
+    sent to the host again, B is sent to the host and then to another one, the cut ends,
+    and B is sent to the first host again.  The host must neither wait for the log for
+    requests that do not need it, nor guess the outcome of requests that do.
     """
     fleet.start_world(entries=("e1",), cut=("log",), progress_timeout=1.0)
     direct = fleet.addresses_by_name["log-direct"]
--- a/tests/test_system/test_relay.py
+++ b/tests/test_system/test_relay.py
@@ -15,8 +15,8 @@
     HEADERS,
     RelayZone,
     events_of_stream,
-    own_address,
     running_relay_zone,
+    unused_loopback_address,
 )
 
 
@@ -70,9 +70,9 @@
 def test_sighup_does_not_end_the_process(zone: RelayZone) -> None:
     """Guard against entry hosts that SIGHUP terminates.
 
-    Symptom: six processes ended with code 129, each with the requests in flight.
-    Sequence: the settings file changes, the platform sends SIGHUP.
-    Cause: no handler was installed, and the default action terminates the process.
+    The settings file changes and the platform sends SIGHUP.  Without a handler, the
+    default action terminates the process: six processes ended with code 129, each with
+    the requests in flight.
     """
     host = zone.start_host("e1")
     host.process.send(signal.SIGHUP)
@@ -95,10 +95,10 @@
 ) -> None:
     """Check that a new configuration reaches a host that the store refuses.
 
-    Symptom: a key that was removed is still accepted by one entry host.
-    Sequence: the store refuses that host and serves the others, and the operator
-    publishes a configuration.
-    Cause: each host used only configurations that it had read from the store itself.
+    Guards against a key that was removed and is still accepted by one entry host.  The
+    store refuses that host and serves the others, and the operator publishes a
+    configuration.  The host keeps the old key if it uses only configurations that it
+    has read from the store itself.
     """
     zone.start_host("e1")
     refused = zone.start_host("e2", store_endpoint="side-door")
@@ -118,13 +118,13 @@
 def test_host_restarted_while_the_store_is_unreachable_serves(zone: RelayZone) -> None:
     """Check that a host that is restarted while the store is unreachable serves.
 
-    Symptom: a restarted host refuses its callers until the store is reachable again.
-    Sequence: the store becomes unreachable, a host is killed and started again; its
-    peers still send it their addresses, and serve.
-    Cause: configuration and backend servers could come from the store only.
+    Guards against a restarted host that refuses its callers until the store is
+    reachable again.  The store becomes unreachable, and a host is killed and started
+    again; its peers still send it their addresses, and serve.  The host cannot serve if
+    configuration and backend servers come from the store only.
     """
     first = zone.start_host("e1")
-    place = {"ip": own_address(), "peers_port": 7000}
+    place = {"ip": unused_loopback_address(), "peers_port": 7000}
     killed = zone.start_host("e2", **place)
     first.process.wait_for_event("peer_heard")
     zone.head_of(2)
@@ -143,10 +143,10 @@
 def test_stopping_host_refuses_requests_that_it_cannot_finish(zone: RelayZone) -> None:
     """Check that late requests during a shutdown are refused, not accepted and cut off.
 
-    Symptom: a stream that began six seconds after the signal is cut off.
-    Sequence: a caller keeps an idle connection open during the shutdown, and sends a
-    request on it shortly before the process ends.
-    Cause: the host accepted requests until its process ended.
+    Guards against cutting off a stream that began six seconds after the signal.  A
+    caller keeps an idle connection open during the shutdown, and sends a request on it
+    shortly before the process ends.  The stream is cut off if the host accepts requests
+    until its process ends.
     """
     host = zone.start_host("e1", grace=6)
     head = zone.head_of(2)
@@ -183,10 +183,10 @@
 ) -> None:
     """Check that a caller gets every event once when its group is lost.
 
-    Symptom: an answer ends in the middle, or repeats events.
-    Sequence: a group begins a stream, then a member is lost: the stream stalls, or the
-    connection breaks in the middle of an event.
-    Cause: the second group must resume after the last complete event.
+    Guards against an answer that ends in the middle, or that repeats events.  A group
+    begins a stream, then a member is lost: the stream stalls, or the connection breaks
+    in the middle of an event.  The second group must resume after the last complete
+    event.
     """
     host = zone.start_host("e1")
     zone.head_of(1)
@@ -202,7 +202,7 @@
 
 
 def test_metrics_are_served_on_a_separate_address(zone: RelayZone) -> None:
-    ip = own_address()
+    ip = unused_loopback_address()
     host = zone.start_host("e1", ip=ip, metrics_port=9100)
     zone.head_of(2)
     wait_until(
@@ -210,7 +210,7 @@
         what="the host knows the group",
     )
     text = httpx.get(f"http://{ip}:9100/metrics", timeout=5).text
-    beside = httpx.get(f"http://{host.ready_address}/metrics", timeout=5).text
+    readiness_text = httpx.get(f"http://{host.ready_address}/metrics", timeout=5).text
     for name in (
         'ryelever_relay_request_seconds{outcome="200",quantile="0.5",route="chat"}',
         'ryelever_relay_sendings_total{kind="first"}',
@@ -224,4 +224,4 @@
         'ryelever_log_lines_total{kind="left_out"} 0.0',
     ):
         assert name in text, text
-        assert name in beside
+        assert name in readiness_text
--- a/tests/test_system/test_repair.py
+++ b/tests/test_system/test_repair.py
@@ -61,8 +61,8 @@
 def test_killed_member_is_replaced_and_reported_to_operators(zone: Fleet) -> None:
     """Kill a member of the group.
 
-    Symptom: the group stays down.  Sequence: SIGKILL of one engine.  Cause: no planner
-    replaces the killed member.
+    Guards against a group that stays down after SIGKILL of one engine because no
+    planner replaces the killed member.
     """
     before = _members(zone)
     lost = before[2]
@@ -86,9 +86,10 @@
 def test_resumed_member_leaves_its_former_group(zone: Fleet) -> None:
     """Pause a member until it is replaced, then resume it.
 
-    Symptom: one host is in two groups.  Sequence: SIGSTOP, replacement, SIGCONT; orders
-    and polls sent during the pause wait in the member's sockets.  Cause: the resumed
-    member acts as if it still belonged to its former group.
+    Guards against one host that is in two groups.  The member gets SIGSTOP, is
+    replaced, and gets SIGCONT; orders and polls sent during the pause wait in its
+    sockets.  The resumed member must not act as if it still belonged to its former
+    group.
     """
     lost = _members(zone)[1]
     zone.processes_by_name[lost].send(signal.SIGSTOP)
@@ -108,10 +109,10 @@
 def test_resumed_lease_holder_sends_no_orders(zone: Fleet) -> None:
     """Pause the planner that holds the lease while a member is killed.
 
-    Symptom: two planners send orders to the same hosts.  Sequence: SIGSTOP of the
-    holder, SIGKILL of a member, the other planner takes the lease and repairs the
-    group, SIGCONT.  Cause: the resumed holder plans with its state from before the
-    pause.
+    Guards against two planners that send orders to the same hosts.  The lease holder
+    gets SIGSTOP, a member gets SIGKILL, the other planner takes the lease and repairs
+    the group, and the former holder gets SIGCONT.  The resumed holder must not plan
+    with its state from before the pause.
     """
     name = _lease_holder(zone)
     other = next(
@@ -164,10 +165,10 @@
 ) -> None:
     """Deliver a join order after its host has joined another group.
 
-    Symptom: a healthy host leaves a complete group.  Sequence: an order is delayed on
-    its way, its group is dissolved, the host joins another group, the order arrives.
-    Cause: an engine obeys the order that arrives last, unless the fencing token or the
-    expiry time shows that the order is outdated.
+    Guards against a healthy host that leaves a complete group.  An order is delayed on
+    its way, its group is dissolved, the host joins another group, and the order
+    arrives.  An engine obeys the order that arrives last, unless the fencing token or
+    the expiry time shows that the order is outdated.
     """
     flag = "--checks-fencing" if checks_fencing else "--no-checks-fencing"
     address = fleet.start_standin("h", "engine", "--host", "h", flag)
--- a/tests/test_system/test_silent.py
+++ b/tests/test_system/test_silent.py
@@ -8,7 +8,7 @@
 import socket
 
 from ..callers import Answer, Caller, new_key
-from ..processes import PATIENCE, Fleet, wait_until
+from ..processes import WAIT_TIMEOUT, Fleet, wait_until
 
 LEADERS = ("d0-0", "d1-0")
 
@@ -16,11 +16,11 @@
 def test_silent_connections_to_engines(fleet: Fleet) -> None:
     """Silence the open connections to every leader while new connections work.
 
-    Symptom: streams hang until their deadline, and one request after another gets no
-    answer on a pooled connection.  Sequence: a device between the two ends loses the
-    state of all its connections and notifies neither end.  Cause: only the lack of
-    progress shows the fault, which affects every other old connection to the same
-    peer as well.
+    Guards against streams that hang until their deadline, and against a pooled
+    connection on which one request after another gets no answer.  A device between the
+    two ends loses the state of all its connections and notifies neither end.  Only the
+    lack of progress shows the fault, which affects every other old connection to the
+    same peer as well.
     """
     fleet.start_world(n_groups=2, cut=LEADERS, progress_timeout=1.0)
 
@@ -43,13 +43,13 @@
 def test_silent_connections_to_the_log(fleet: Fleet) -> None:
     """Silence the open connections to the log while new connections work.
 
-    Symptom: bookings are refused for as long as the entry host uses the old
-    connections.  Sequence: a booking's claim is appended over a connection that has
-    become silent.  Cause: only the lack of progress shows that the connection is dead;
-    the append has to be sent over a new one.
+    Guards against bookings that are refused for as long as the entry host uses the old
+    connections.  A booking's claim is appended over a connection that has become
+    silent.  Only the lack of progress shows that the connection is dead; the append has
+    to be sent over a new one.
     """
     fleet.start_world(
-        entries=("e1",), cut=("log",), progress_timeout=1.0, claim_timeout=PATIENCE
+        entries=("e1",), cut=("log",), progress_timeout=1.0, claim_timeout=WAIT_TIMEOUT
     )
     entry = fleet.entries_by_name["e1"]
     caller = Caller(fleet)
@@ -63,10 +63,10 @@
 def test_streams_resume_after_connections_break_in_mid_answer(fleet: Fleet) -> None:
     """Break connections to the only group in the middle of an answer.
 
-    Symptom: an answer ends without an error or a terminal event.  Sequence: three
+    Guards against an answer that ends without an error or a terminal event.  Three
     connections break after some hundred bytes, and no other group can resume the
-    streams.  Cause: a broken connection says nothing about the group, which is healthy:
-    the streams must resume there once the group has reported again.
+    streams.  A broken connection says nothing about the group, which is healthy: the
+    streams must resume there once the group has reported again.
     """
     fleet.start_world(
         entries=("e1",), cut=("d0-0",), report_max_age=1.0, report_interval=0.25
@@ -97,7 +97,7 @@
             )
             for prompt in prompts
         ]
-        await asyncio.wait_for(all_begun.wait(), PATIENCE)
+        await asyncio.wait_for(all_begun.wait(), WAIT_TIMEOUT)
         await asyncio.to_thread(fleet.control, "d0-0-cut", cut_after=1500, n_cuts=3)
         return await asyncio.gather(*streams)
 
@@ -139,10 +139,10 @@
 def test_caller_that_stops_reading_is_disconnected(fleet: Fleet) -> None:
     """Keep a connection open without ever reading its long answer.
 
-    Symptom: memory of the entry host and a slot in the engine's batch stay occupied
-    until the request's deadline.  Sequence: a caller requests megabytes and reads
-    nothing, but keeps its connection open.  Cause: a connection whose writing is paused
-    makes no progress, and no limit applies to the length of the pause.
+    Guards against memory of the entry host and a slot in the engine's batch that stay
+    occupied until the request's deadline.  A caller requests megabytes and reads
+    nothing, but keeps its connection open.  A connection whose writing is paused makes
+    no progress, so the length of the pause needs a limit.
     """
     fleet.start_world(entries=("e1",), engine=("--step-ms", "1"), unread_timeout=1.0)
     fleet.control("d0-0", token_bytes=20_000)
@@ -168,10 +168,10 @@
 def test_cancel_reaches_an_engine_behind_a_silent_connection(fleet: Fleet) -> None:
     """Disconnect a caller while the connection to the engine is silent.
 
-    Symptom: an engine generates an answer to its end although no caller waits for it.
-    Sequence: the path to the engine becomes silent, the caller disconnects, the entry
-    host closes its connection to the engine, which never receives the close.  Cause:
-    closing a silent connection cancels nothing; the cancellation has to be sent over a
+    Guards against an engine that generates an answer to its end although no caller
+    waits for it.  The path to the engine becomes silent, the caller disconnects, and
+    the entry host closes its connection to the engine, which never receives the close.
+    Closing a silent connection cancels nothing; the cancellation has to be sent over a
     new connection.
     """
     fleet.start_world(entries=("e1",), cut=("d0-0",))
