--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Run real entry hosts under drawn faults, and check what callers and servers see."""
+"""Run real entry hosts under random faults, and check them against the promises."""
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -15,10 +15,10 @@
 
 #: Deadline in seconds that a caller sends with each request.  The caller itself waits
 #: twice as long on its connection.
-PATIENCE = 4.0
+CALL_DEADLINE = 4.0
 
 #: Maximum number of seconds between two requests of one caller.
-PAUSE = 0.08
+MAX_PAUSE = 0.08
 
 #: Path of each kind of request.
 PATH_BY_KIND = {"stream": "/chat/1", "once": "/once/1", "look": "/look/1"}
@@ -89,17 +89,19 @@
         """Stop all callers after the requests in flight have ended."""
         self._stopping.set()
         for thread in self._threads:
-            thread.join(PATIENCE * 4)
+            thread.join(CALL_DEADLINE * 4)
 
     def _run(self, host: str, index: int) -> None:
         generator = random.Random(self._seed * 1000 + index)
         connection: http.client.HTTPConnection | None = None
         address = ""
-        while not self._stopping.wait(generator.uniform(0.0, PAUSE)):
+        while not self._stopping.wait(generator.uniform(0.0, MAX_PAUSE)):
             current = self._address_of(host)
             if connection is None or (connection.sock is None and current != address):
                 address = current
-                connection = http.client.HTTPConnection(address, timeout=2 * PATIENCE)
+                connection = http.client.HTTPConnection(
+                    address, timeout=2 * CALL_DEADLINE
+                )
             call = self._new_call(host, generator)
             try:
                 _exchange(connection, call)
@@ -125,7 +127,7 @@
     headers = {
         "Host": "calls.example",
         "Credential": "key-of-pawroute",
-        "Deadline-Ms": str(int(PATIENCE * 1000)),
+        "Deadline-Ms": str(int(CALL_DEADLINE * 1000)),
         "Request-Id": call.id,
     }
     if call.model:
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -19,8 +19,8 @@
 
 #: Seconds after which a leaving server must get no more requests, and after which a
 #: published configuration must be in force.
-DRAIN = 2.0
-IN_FORCE = 2.0
+DRAINED_WITHIN = 2.0
+IN_FORCE_WITHIN = 2.0
 
 #: Seconds within which a running host has read a request that was sent to it.
 READ_WITHIN = 0.2
@@ -62,9 +62,12 @@
     unserved_kinds: list[str] = field(default_factory=list)
 
     def is_undisturbed(self, host: str, at: float) -> bool:
-        """Return whether host and store were undisturbed for UNDISTURBED_FOR before."""
+        """Return whether host and store were undisturbed at a time and before.
+
+        The time without disturbance must have lasted UNDISTURBED_FOR seconds.
+        """
         return not any(
-            disturbance.who in (host, STORE)
+            disturbance.target in (host, STORE)
             and disturbance.start <= at
             and disturbance.end >= at - UNDISTURBED_FOR
             for disturbance in self.disturbances
@@ -148,7 +151,9 @@
 
 def _check_key(call: Call, evidence: Evidence, verdict: Verdict) -> None:
     for change in evidence.key_changes:
-        is_revoked = change.revoked_at + IN_FORCE < call.sent_at < change.restored_at
+        is_revoked = (
+            change.revoked_at + IN_FORCE_WITHIN < call.sent_at < change.restored_at
+        )
         if is_revoked and evidence.is_undisturbed(call.host, call.sent_at):
             verdict.record(
                 "a key that was taken away opens nothing",
@@ -166,7 +171,7 @@
     stops = [
         disturbance
         for disturbance in evidence.disturbances
-        if disturbance.who == call.host and disturbance.start < call.ended_at
+        if disturbance.target == call.host and disturbance.start < call.ended_at
         if disturbance.end > call.sent_at
     ]
     if not stops or any(disturbance.kind != "terminate" for disturbance in stops):
@@ -188,7 +193,7 @@
     for start, end in _spans(server["states"], "draining"):
         for at, request_id in server["arrivals"]:
             host = request_id.partition(".")[0]
-            if start + DRAIN < at < end and evidence.is_undisturbed(host, at):
+            if start + DRAINED_WITHIN < at < end and evidence.is_undisturbed(host, at):
                 seen = f"{name} got {request_id} {at - start:.2f} s after"
                 verdict.record(
                     "leaving servers get nothing new", holds=False, observed=seen
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -27,7 +27,8 @@
 #: Seconds between two checks for faults that are due to end.
 END_CHECK_INTERVAL = 0.05
 
-#: Name of the store in disturbances; hosts and servers have their own names.
+#: Target of disturbances of the store; other targets are hosts and servers by name,
+#: and ``"key"``.
 STORE = "store"
 
 #: Switches that make a backend server fail.
@@ -54,13 +55,13 @@
 
     Attributes
     ----------
-    who : str
+    target : str
         Name of the host or backend server, ``"store"``, or ``"key"`` for a revoked key.
     kind : str
         Kind of the fault.
     """
 
-    who: str
+    target: str
     kind: str
     start: float
     end: float = float("inf")
@@ -99,7 +100,7 @@
     lines: list[str] = field(default_factory=list)
     n_by_kind: Counter[str] = field(default_factory=Counter)
     _due: list[tuple[float, Callable[[], None]]] = field(default_factory=list)
-    _busy: set[str] = field(default_factory=set)
+    _disturbed: set[str] = field(default_factory=set)
     _version: int = 1
     _threads: list[threading.Thread] = field(default_factory=list)
     _started_at: float = field(default_factory=time.monotonic)
@@ -186,7 +187,7 @@
         self._end_after(duration, lambda: proxy.set(ProxyMode.PASS), disturbance)
 
     def _disturb_store(self, generator: random.Random, duration: float) -> None:
-        if STORE in self._busy:
+        if STORE in self._disturbed:
             return
         switch = generator.choice(["refuse", "silent", "lose_answers"])
         disturbance = self._record_begin(STORE, switch)
@@ -198,7 +199,7 @@
     def _restore_store_from_copy(
         self, generator: random.Random, duration: float
     ) -> None:
-        if STORE in self._busy:
+        if STORE in self._disturbed:
             return
         disturbance = self._record_begin(STORE, "older copy")
         self.zone.control(drill="copy")
@@ -260,7 +261,7 @@
         )
 
     def _revoke_key(self, generator: random.Random, duration: float) -> None:
-        if "key" in self._busy:
+        if "key" in self._disturbed:
             return
         disturbance = self._record_begin("key", "taken away")
         self._publish(tenants=[])
@@ -281,24 +282,28 @@
 
     def _free_host(self, generator: random.Random) -> str | None:
         """Return a random undisturbed host if another one remains undisturbed."""
-        free = [host for host in self.proxies_by_host if host not in self._busy]
+        free = [host for host in self.proxies_by_host if host not in self._disturbed]
         return generator.choice(free) if len(free) > 1 else None
 
     def _free_server(self, generator: random.Random) -> str | None:
-        free = [name for name in sorted(self.zone.servers()) if name not in self._busy]
+        free = [
+            name for name in sorted(self.zone.servers()) if name not in self._disturbed
+        ]
         return generator.choice(free) if free else None
 
-    def _record_begin(self, who: str, kind: str) -> Disturbance:
-        disturbance = Disturbance(who=who, kind=kind, start=time.monotonic())
+    def _record_begin(self, target: str, kind: str) -> Disturbance:
+        disturbance = Disturbance(target=target, kind=kind, start=time.monotonic())
         self.disturbances.append(disturbance)
-        self._busy.add(who)
-        self.n_by_kind[kind if who == STORE else kind.split()[0]] += 1
-        self.lines.append(f"{disturbance.start - self._started_at:8.2f} {who}: {kind}")
+        self._disturbed.add(target)
+        self.n_by_kind[kind if target == STORE else kind.split()[0]] += 1
+        self.lines.append(
+            f"{disturbance.start - self._started_at:8.2f} {target}: {kind}"
+        )
         return disturbance
 
     def _record_end(self, disturbance: Disturbance) -> None:
         disturbance.end = time.monotonic()
-        self._busy.discard(disturbance.who)
+        self._disturbed.discard(disturbance.target)
 
     def _end_after(
         self, seconds: float, action: Callable[[], object], disturbance: Disturbance
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -26,7 +26,7 @@
 EVENT_MS = 80.0
 
 #: Seconds after the last fault within which all kinds of requests must be served again.
-RECOVERY = 12.0
+RECOVERED_WITHIN = 12.0
 
 
 @dataclass(slots=True, kw_only=True)
@@ -59,7 +59,11 @@
 
 
 def run_soak(*, directory: Path, seed: int, seconds: float, n_hosts: int) -> SoakReport:
-    """Run one soak test; faults affect only processes that it starts and kills."""
+    """Run one soak test and return its report.
+
+    Faults affect only the processes that this function starts; all are killed at the
+    end.
+    """
     with running_relay_zone(directory) as zone:
         zone.start_platform(n_engines=N_ENGINES, n_plain=N_PLAIN)
         names = [f"e{index}" for index in range(1, n_hosts + 1)]
@@ -100,9 +104,9 @@
 
 
 def _unserved_kinds(callers: Callers, *, since: float) -> list[str]:
-    """Return the kinds of requests, with models, that are not served within RECOVERY.
+    """Return the kinds of requests, with models, that are not served in time.
 
-    Only requests that were sent after ``since`` count.
+    The time limit is RECOVERED_WITHIN; only requests sent after ``since`` count.
     """
     required = {("once", ""), ("look", ""), ("stream", "large"), ("stream", "small")}
 
@@ -114,7 +118,11 @@
         }
 
     try:
-        wait_until(lambda: not missing(), what="all kinds are served", timeout=RECOVERY)
+        wait_until(
+            lambda: not missing(),
+            what="all kinds are served",
+            timeout=RECOVERED_WITHIN,
+        )
     except AssertionError:
         return [" ".join(kind) for kind in sorted(missing())]
     return []
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -56,7 +56,7 @@
 
 def _stop_cuts_off_a_stream() -> Evidence:
     call = replace(STREAM, status=0, seal="", body="", is_complete=False)
-    disturbance = Disturbance(who="e1", kind="terminate", start=10.5, end=14.0)
+    disturbance = Disturbance(target="e1", kind="terminate", start=10.5, end=14.0)
     return _evidence(call, disturbances=[disturbance])
 
 
@@ -109,9 +109,11 @@
     A time limit does not apply at a host if the host or the store was disturbed within
     the 3 s before.
     """
-    for who in ("e1", "store"):
+    for target in ("e1", "store"):
         evidence = _revoked_key_is_accepted()
-        evidence.disturbances = [Disturbance(who=who, kind="pause", start=6.0, end=7.2)]
+        evidence.disturbances = [
+            Disturbance(target=target, kind="pause", start=6.0, end=7.2)
+        ]
         assert check(evidence).violations == []
-    evidence.disturbances = [Disturbance(who="e2", kind="pause", start=6.0, end=7.2)]
+    evidence.disturbances = [Disturbance(target="e2", kind="pause", start=6.0, end=7.2)]
     assert check(evidence).violations != []
