--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -18,13 +18,13 @@
 
 from .runner import run
 
-#: A request that contains this crashes the engine that runs it.
+#: Text that crashes the engine when a request contains it.
 POISON = "crash-the-engine"
 
 #: Maximum number of prefixes in the cache.
 MAX_CACHED = 64
 
-#: Number of words by which cached prefixes grow.
+#: Number of words of a block; prefixes of complete blocks are cached.
 WORDS_PER_BLOCK = 4
 
 
@@ -373,7 +373,7 @@
                 self._drop(job)
         return web.json_response({})
 
-    # The cache
+    # Prefix cache
 
     async def read_cache_events(self, request: web.Request) -> web.Response:
         """Return cache events, without every tenth one and without the newest two.
--- a/tests/standins/group_server.py
+++ b/tests/standins/group_server.py
@@ -98,7 +98,7 @@
     highest_epoch: int = -1
     switches: ServerSwitches = field(default_factory=ServerSwitches)
     n_runs_by_request: Counter[str] = field(default_factory=Counter)
-    heads: list[dict[str, str]] = field(default_factory=list)
+    request_headers: list[dict[str, str]] = field(default_factory=list)
     orders: list[dict[str, Any]] = field(default_factory=list)
     is_listed: bool = True
     observer: Callable[[str, GroupServer], None] = lambda action, server: None
@@ -214,7 +214,7 @@
     async def run(self, request: web.Request) -> web.StreamResponse:
         """Run a request, or refuse or fail it as the switches demand."""
         request_id = request.headers.get("Request-Id", "")
-        self.heads.append(
+        self.request_headers.append(
             {name.lower(): text for name, text in request.headers.items()}
         )
         if request.headers.get("Target-Instance", self.id) != self.id:
@@ -291,13 +291,13 @@
             self.write()
 
     def describe(self) -> dict[str, Any]:
-        """Return the server's state and history, with the latest 20 request heads."""
+        """Return the state and history, with the headers of the latest 20 requests."""
         return {
             "listed": self.is_listed,
             "group": self.group,
             "members": self.members,
             "n_runs": dict(self.n_runs_by_request),
-            "heads": self.heads[-20:],
+            "heads": self.request_headers[-20:],
             "orders": self.orders,
             "arrivals": self.arrivals,
             "states": self.states,
--- a/tests/standins/hosts_list.py
+++ b/tests/standins/hosts_list.py
@@ -12,7 +12,7 @@
 
 
 class HostsListService:
-    """Serve the list of hosts as set ``lag`` seconds ago."""
+    """Serve the list of hosts as it was ``lag`` seconds ago."""
 
     def __init__(self, *, lag: float) -> None:
         self.lag = lag
--- a/tests/standins/platform_store.py
+++ b/tests/standins/platform_store.py
@@ -30,7 +30,7 @@
     refuse : bool
         Answer every call with 503.
     silent : bool
-        Keep every call without an answer.
+        Leave every call unanswered.
     lose_answers : bool
         Apply appends and abort the connection instead of answering.
     """
