--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -80,6 +80,8 @@
 class PolicyResult:
     """Waits, refusals and costs of one run under one policy; times in seconds.
 
+    The lender is account large-2, whose slots other accounts use until it returns.
+
     Attributes
     ----------
     idle : float
--- a/benchmarks/admission_lending.py
+++ b/benchmarks/admission_lending.py
@@ -32,8 +32,8 @@
 TICK = 0.05
 
 #: Seconds between two demand rows of a host, and seconds until a row arrives.
-ROWS_EVERY = 1.0
-ROWS_LAG = 1.0
+ROW_INTERVAL = 1.0
+ROW_LAG = 1.0
 
 #: Requests that one group runs at a time.
 BATCH = 16
@@ -129,7 +129,7 @@
         self._poll_due_at = [
             self._random.uniform(0, report_interval) for _ in self._hosts
         ]
-        self._row_due_at = [self._random.uniform(0, ROWS_EVERY) for _ in self._hosts]
+        self._row_due_at = [self._random.uniform(0, ROW_INTERVAL) for _ in self._hosts]
         for index in range(n_hosts):
             self._report(index)
 
@@ -253,7 +253,7 @@
                 self._hosts[receiver].limits.observed(
                     row,
                     peer=f"host-{sender}",
-                    observed_at=self.now - ROWS_LAG,
+                    observed_at=self.now - ROW_LAG,
                     now=self.now,
                 )
         for index, host in enumerate(self._hosts):
@@ -261,12 +261,12 @@
                 self._poll_due_at[index] += self._report_interval
                 self._report(index)
             if self.now >= self._row_due_at[index]:
-                self._row_due_at[index] += ROWS_EVERY
+                self._row_due_at[index] += ROW_INTERVAL
                 rows = host.limits.observations(now=self.now)
                 for receiver in range(len(self._hosts)):
                     if receiver != index:
                         row = (
-                            self.now + ROWS_LAG,
+                            self.now + ROW_LAG,
                             next(self._ids),
                             index,
                             receiver,
--- a/benchmarks/compare_days.py
+++ b/benchmarks/compare_days.py
@@ -8,8 +8,8 @@
 playing a saved day again::
 
     python -m benchmarks.compare_days --results FILE --player "PLAYER run {deployment}
-        {day} --seed {seed} --small --report {report}" --variant stands=DIR
-        --variant tried=DIR --deployment FILE --day quiet-1 --seed 11 --jobs 6
+        {day} --seed {seed} --small --report {report}" --variant baseline=DIR
+        --variant changed=DIR --deployment FILE --day quiet-1 --seed 11 --jobs 6
 """
 
 from __future__ import annotations
--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -23,9 +23,10 @@
 ZONES = ("brisbane", "ipswich", "toowoomba")
 N_ENTRIES = 8
 
-#: Entry host that cannot reach the log, and the address it has for the log.
+#: Entry host that cannot reach the log, and the address that this host has for the log,
+#: on which no process listens.
 CUT_OFF = "e7"
-NOWHERE = "127.0.0.1:9"
+UNUSED_ADDRESS = "127.0.0.1:9"
 
 
 def _start(fleet: Fleet) -> None:
@@ -33,7 +34,7 @@
     addresses = free_udp_addresses(N_ENTRIES)
     for index, address in enumerate(addresses):
         name = f"e{index}"
-        log = NOWHERE if name == CUT_OFF else fleet.addresses_by_name["log"]
+        log = UNUSED_ADDRESS if name == CUT_OFF else fleet.addresses_by_name["log"]
         fleet.start_entry(
             name,
             zone=ZONES[index % len(ZONES)],
--- a/benchmarks/day_of_faults_baseline.py
+++ b/benchmarks/day_of_faults_baseline.py
@@ -30,7 +30,7 @@
 
 
 class Baseline:
-    """Replace ``Planner`` with the simplest decisions that are still safe."""
+    """Planner with the simplest decisions that are still safe."""
 
     def __init__(
         self, *, holder: str, stream: str, new_id: Callable[[], str], **_: object
--- a/benchmarks/host_cost.py
+++ b/benchmarks/host_cost.py
@@ -53,7 +53,7 @@
     n_servers: int
 
     @property
-    def n_near(self) -> int:
+    def n_hosts_per_zone(self) -> int:
         """Return the number of entry hosts in one zone."""
         return -(-self.n_hosts // self.n_zones)
 
@@ -169,11 +169,11 @@
 
     async def _send_heartbeats(self) -> None:
         size = self._size
-        n_ticks = -(-size.n_near // MAX_HOSTS_AT_FULL_RATE)
+        n_ticks = -(-size.n_hosts_per_zone // MAX_HOSTS_AT_FULL_RATE)
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL)
             self._sequence += 1
-            for index in range(1, size.n_near):
+            for index in range(1, size.n_hosts_per_zone):
                 if index <= READERS_PER_ZONE or (self._sequence + index) % n_ticks == 0:
                     self._send(self._heartbeat(f"h{index:03d}", "z0", n_ticks=n_ticks))
             if self._sequence % TICKS_PER_ZONE_HEARTBEAT == 0:
@@ -206,7 +206,7 @@
             address="127.0.0.1:9",
             interval=n_ticks * HEARTBEAT_INTERVAL,
             for_zone=zone != "z0",
-            n_hosts=self._size.n_near if zone != "z0" else 1,
+            n_hosts=self._size.n_hosts_per_zone if zone != "z0" else 1,
         )
         return encode_heartbeat(heartbeat)
 
--- a/benchmarks/relay_load.py
+++ b/benchmarks/relay_load.py
@@ -59,7 +59,7 @@
         self._ids = itertools.count(1)
         self.n_served = 0
 
-    async def call_on(self, session: aiohttp.ClientSession) -> None:
+    async def request_streams(self, session: aiohttp.ClientSession) -> None:
         """Request one stream after the other until cancelled."""
         model = MODELS[0]["name"]
         while True:
@@ -111,7 +111,7 @@
             callers = Callers(address=f"127.0.0.1:{started['callers_port']}")
             async with aiohttp.ClientSession() as session:
                 tasks = [
-                    asyncio.create_task(callers.call_on(session))
+                    asyncio.create_task(callers.request_streams(session))
                     for _ in range(N_CALLERS)
                 ]
                 while not callers.n_served:
--- a/benchmarks/request_table.py
+++ b/benchmarks/request_table.py
@@ -108,7 +108,7 @@
         self._n_arrived = itertools.count()
 
     def arrive(self, work: ChatWork | ServiceWork, *, key: str = "") -> str:
-        """Pass a request to its first attempt and return the attempt's id."""
+        """Process a request up to its first attempt and return the attempt's id."""
         arrival = Arrival(
             request_id=f"{next(self._n_arrived):032x}",
             client_account="pawroute",
--- a/benchmarks/routing_driver.py
+++ b/benchmarks/routing_driver.py
@@ -19,7 +19,8 @@
 MAX_RUNNING = 16
 MAX_CACHED_BLOCKS = 400
 
-#: Seconds to prefill one block that isn't cached, and between two tokens if idle.
+#: Seconds to prefill one block that isn't cached, and seconds between two tokens.  The
+#: running requests multiply the latter by up to 2.
 PREFILL_OF_BLOCK = 0.010
 TOKEN_GAP = 0.012
 
@@ -150,7 +151,10 @@
         self._weights = [1.0 / (rank + 1) for rank in range(40)]
 
     def draw(self) -> tuple[tuple[int, ...], int, bool]:
-        """Return prompt blocks, tokens to generate, and whether the prompt repeats."""
+        """Return prompt blocks, tokens to generate, and whether the prompt repeats.
+
+        A prompt repeats if its blocks are those of the previous prompt.
+        """
         draw = self._random.random()
         n_tokens = self._random.randint(20, 90)
         if draw < self._share_identical:
--- a/benchmarks/speed.py
+++ b/benchmarks/speed.py
@@ -353,10 +353,10 @@
         memory_by_slow[is_slow] = resident(load.entry.process.pid)
         streams, *_ = await asyncio.gather(*tasks)
         gaps[is_slow] += [gap for stream in streams for gap in stream.gaps()]
-    alone, beside = (percentile(gaps[is_slow], 0.95) for is_slow in (False, True))
+    alone, with_slow = (percentile(gaps[is_slow], 0.95) for is_slow in (False, True))
     print(
         f"gap p95 of 100 fast readers: alone {alone * 1e3:.1f} ms, with a slow reader "
-        f"{beside * 1e3:.1f} ms, ratio {beside / alone:.2f}",
+        f"{with_slow * 1e3:.1f} ms, ratio {with_slow / alone:.2f}",
         flush=True,
     )
     grown = memory_by_slow[True] - memory_by_slow[False]
@@ -369,7 +369,7 @@
 
 
 async def run(load: Load, *, seconds: float, only: str) -> None:
-    """Run all measurements but "one", or only the named one."""
+    """Run the measurement named ``only``; if empty, run all except ``"one"``."""
     parts = {
         "first": lambda: first_token(load, n_requests=150),
         "full": lambda: full_host(load, seconds=seconds, per_event=[1, 2, 4, 8]),
@@ -390,7 +390,8 @@
     seconds : float
         Length of each measurement under load, in seconds.
     only : str
-        Run one measurement: first, full, one, memory or slow.
+        Name of the only measurement to run: "first", "full", "one", "memory" or
+        "slow"; empty for all but "one", which "full" contains.
     """
     with (
         tempfile.TemporaryDirectory() as directory,
--- a/benchmarks/stale_balance.py
+++ b/benchmarks/stale_balance.py
@@ -110,7 +110,7 @@
         return ZONES[host % 3]
 
     def tick(self, step: int) -> None:
-        """Let the hosts that are due at this step report and receive loads."""
+        """Report and receive loads at the hosts that are due at this step."""
         every = round(TICK / STEP)
         for host, balancer in enumerate(self.balancers):
             if (step + self.phases[host]) % every:
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Answer:
-    """Hold the answer that a caller received.
+    """Answer that a caller received.
 
     Attributes
     ----------
@@ -122,7 +122,7 @@
         started: set[int] = set()
         half_started = asyncio.Event()
 
-        def note_start(index: int) -> None:
+        def record_start(index: int) -> None:
             started.add(index)
             if len(started) >= n_streams // 2:
                 half_started.set()
@@ -133,15 +133,15 @@
                     entries[index % len(entries)],
                     f"prompt {index}",
                     n_tokens=n_tokens,
-                    on_token=lambda index=index: note_start(index),
+                    on_token=lambda index=index: record_start(index),
                 )
             )
             for index in range(n_streams)
         ]
         await asyncio.wait_for(half_started.wait(), ANSWER_TIMEOUT)
-        disturbance = inject_fault()
-        if disturbance is not None:
-            await disturbance
+        injection = inject_fault()
+        if injection is not None:
+            await injection
         return list(await asyncio.gather(*streams))
 
     async def is_ready(self, entry: EntryHost) -> bool:
@@ -167,11 +167,11 @@
     def book_until_accepted(self, entry: EntryHost, key: str) -> httpx.Response:
         """Repeat a booking request until it succeeds, and return the answer."""
 
-        def taken() -> httpx.Response | None:
+        def accepted() -> httpx.Response | None:
             answer = self.book(entry, key)
             return answer if answer.status_code == 201 else None
 
-        return wait_until(taken, what=f"{entry.address} answers the booking")
+        return wait_until(accepted, what=f"{entry.address} answers the booking")
 
     @contextlib.contextmanager
     def open_booking(self, entry: EntryHost, key: str) -> Iterator[None]:
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -36,13 +36,13 @@
 MESSAGES = PlatformMessages()
 
 #: One-way latency in seconds from a host to a backend server or to another host.
-ONE_WAY = 0.002
+LATENCY = 0.002
 
 #: Requests a second that a cold server can handle.
 COLD_RATE = 17.0
 
 #: Seconds within which all hosts have read a server's record.
-ENTRY_READ = 0.4
+RECORD_READ_WITHIN = 0.4
 
 #: Seconds between two passes of a host over its waiting requests.
 TICK = 0.05
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class LimitedServer:
-    """Represent one backend server and the requests that reached it.
+    """Backend server, and the requests that reached it.
 
     Attributes
     ----------
@@ -224,7 +224,7 @@
         heapq.heappush(self._due, (when, next(self._order), action))
 
     def return_cold(self, name: str, *, seconds: float) -> None:
-        """Return a lost server as cold; hosts read its record at different times.
+        """Bring a lost server back as cold; hosts read its record at different times.
 
         Parameters
         ----------
@@ -234,7 +234,7 @@
         cold = replace(self.servers[name].server, cold_for=seconds, started_at=1)
         warm = replace(cold, cold_for=0.0)
         for host in self.hosts.values():
-            delay = self._random.uniform(0.0, ENTRY_READ)
+            delay = self._random.uniform(0.0, RECORD_READ_WITHIN)
             self.at(self.now + delay, lambda host=host: self._read(host, cold))
             delay += seconds
             self.at(self.now + delay, lambda host=host: self._read(host, warm))
@@ -254,11 +254,11 @@
             return
         message = Datagram(address=sender.name, data=datagram.data)
         receive = receiver.exchange._on_received
-        self.at(self.now + ONE_WAY, lambda: receive([message]))
+        self.at(self.now + LATENCY, lambda: receive([message]))
 
     def sent(self, host: _Host, attempt: RelayAttempt) -> None:
         """Deliver a request to its backend server, which will answer the host."""
-        self.at(self.now + ONE_WAY, lambda: self._arrive(host, attempt))
+        self.at(self.now + LATENCY, lambda: self._arrive(host, attempt))
 
     def _add_server(self, name: str, *, zone: str) -> None:
         server = BackendServer(
@@ -313,7 +313,7 @@
         if server.limit is not None:
             headers.append((b"server-limit", server.limit.encode()))
         self.at(
-            self.now + ONE_WAY, lambda: self._deliver_answer(host, attempt, headers)
+            self.now + LATENCY, lambda: self._deliver_answer(host, attempt, headers)
         )
 
     def _deliver_answer(
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -75,7 +75,7 @@
 day, seed, report = sys.argv[1:]
 with open("played", "a") as file:
     file.write(day + seed + "\\n")
-better = pathlib.Path.cwd().name == "tried"
+better = pathlib.Path.cwd().name == "changed"
 worth = 0.5 + 0.01 * int(seed) + 0.02 * better
 parts = [["whole day", 1.0, worth + 0.1]]
 pathlib.Path(report).write_text(json.dumps({"G": worth, "parts": parts, "breaks": {}}))
@@ -90,15 +90,15 @@
     argv = ["compare_days", "--results", str(tmp_path / "results")]
     argv += ["--player", f"{sys.executable} {player} {{day}} {{seed}} {{report}}"]
     argv += ["--deployment", str(tmp_path / "fleet.toml"), "--day", "calm"]
-    for variant in ("stands", "tried"):
+    for variant in ("baseline", "changed"):
         (tmp_path / variant).mkdir()
         argv += ["--variant", f"{variant}={tmp_path / variant}"]
     monkeypatch.setattr(sys, "argv", [*argv, "--seed", "1", "--seed", "2"])
     compare_days.main()
-    assert "| fleet | tried | 2 | 0.5350 | 0.6350 | +0.0200 ± 0.0000 | 0 |" in (
+    assert "| fleet | changed | 2 | 0.5350 | 0.6350 | +0.0200 ± 0.0000 | 0 |" in (
         capsys.readouterr().out
     )
     monkeypatch.setattr(sys, "argv", [*argv, "--seed", "2", "--seed", "3"])
     compare_days.main()
-    played = (tmp_path / "tried" / "played").read_text().split()
+    played = (tmp_path / "changed" / "played").read_text().split()
     assert sorted(played) == ["calm1", "calm2", "calm3"]
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -39,7 +39,7 @@
     assert all(f"\n## {number}. " in text for number in range(1, 9))
 
 
-def test_every_test_that_holds_a_finding_exists() -> None:
+def test_every_test_that_the_findings_name_exists() -> None:
     """Look up each test that docs/FINDINGS.md names."""
     references = TEST_REFERENCE.findall((ROOT / "docs" / "FINDINGS.md").read_text())
     assert [fault for name in references if (fault := _missing_test(*name))] == []
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -48,7 +48,7 @@
         ([], "test_red", 1, "FAILED test_suite.py::test_red*the fault*"),
         ([GOOD, RED, OTHER, COMMA], "", 4, "*more than 3 lines*"),
         (["test_suite.py::test_gone, it fails, 7"], "", 4, "*there is no test*_gone*"),
-        (["test_suite.py::test_red, no issue"], "", 4, "*a cause or an issue lacks*"),
+        (["test_suite.py::test_red, no issue"], "", 4, "*no cause or no issue*"),
     ],
 )
 def test_only_listed_failures_are_expected(
@@ -60,10 +60,10 @@
 ) -> None:
     """Expect and print listed failures; fail for other failures and for stale lines.
 
-    Symptom: a run passes although a test fails that is not listed, or a repaired test
-    stays on the list.  Sequence: a line is added for one test; later that test is
-    repaired or renamed, or another one fails.  Cause: a line applies to tests that it
-    does not name, or remains valid after the repair.
+    Guards against a run that passes although a test fails that is not listed, and
+    against a repaired test that stays on the list.  A line is added for one test; later
+    that test is repaired or renamed, or another one fails.  The line must neither apply
+    to tests that it does not name nor remain valid after the repair.
     """
     pytester.makeconftest(CONFTEST)
     pytester.makepyfile(test_suite=SUITE)
--- a/tests/zone.py
+++ b/tests/zone.py
@@ -123,7 +123,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class PlannerProcess:
-    """Represent one entry host's planner with the records and reports it has read.
+    """Planner of one entry host, with the records and reports that it has read.
 
     Attributes
     ----------
