--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -189,11 +189,11 @@
     ]
     pids = [entry.process.pid for entry in entries]
     bytes_before = [_bytes(entry) for entry in entries]
-    before = [_cpu_seconds(pid) for pid in pids]
+    before = [_processor_seconds(pid) for pid in pids]
     started = time.monotonic()
     time.sleep(window)
     elapsed = time.monotonic() - started
-    used = sum(map(_cpu_seconds, pids)) - sum(before)
+    used = sum(map(_processor_seconds, pids)) - sum(before)
     resident = sum(_resident_mb(pid) for pid in pids) / len(pids)
     moved = sum(map(_bytes, entries), Counter()) - sum(bytes_before, Counter())
     n_entry_seconds = len(entries) * elapsed
@@ -213,7 +213,7 @@
     )
 
 
-def _cpu_seconds(pid: int) -> float:
+def _processor_seconds(pid: int) -> float:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
--- a/benchmarks/interfaces.py
+++ b/benchmarks/interfaces.py
@@ -23,7 +23,7 @@
 from tests.processes import running_fleet
 from tests.relay_zone import HEADERS, RelayZone, running_relay_zone
 
-from .speed import Load, cpu_seconds, set_engines, start
+from .speed import Load, processor_seconds, set_engines, start
 
 #: Concurrent callers, each of which sends one request after the other.
 N_CALLERS = 12
@@ -85,9 +85,9 @@
             await send_request(n_events)
             n_done += 1
 
-    before = cpu_seconds(pid)
+    before = processor_seconds(pid)
     await asyncio.gather(*(caller() for _ in range(N_CALLERS)))
-    return (cpu_seconds(pid) - before) / n_done
+    return (processor_seconds(pid) - before) / n_done
 
 
 def _report(name: str, costs_by_events: dict[int, list[float]]) -> None:
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -33,6 +33,7 @@
 from .slopes_fit import (
     CLAIM_APPENDS,
     CLAIMS,
+    ENTRY_HOSTS_PER_ZONE,
     N_ACCOUNTS,
     N_CLAIM_HOSTS,
     N_GROUPS,
@@ -40,9 +41,8 @@
     N_STREAMS,
     N_ZONES,
     REQUESTS,
+    SERVERS_PER_ZONE,
     TOKENS,
-    ZONE_NODES,
-    ZONE_WORKERS,
     Points,
     Slope,
     kb,
@@ -158,14 +158,14 @@
         role="admission: limits",
         what=f"ms for the shares of {N_ACCOUNTS} accounts, by reporting hosts",
         unit="ms, at most 4 times a second",
-        design_size=ZONE_NODES + N_ZONES - 2,
+        design_size=ENTRY_HOSTS_PER_ZONE + N_ZONES - 2,
         points=[(n, parts(n)) for n in sizes],
     )
     yield Slope(
         role="admission: limits",
         what=f"KB for {N_ACCOUNTS} accounts, by reporting hosts",
         unit="KB",
-        design_size=ZONE_NODES + N_ZONES - 2,
+        design_size=ENTRY_HOSTS_PER_ZONE + N_ZONES - 2,
         points=[(n, kb(lambda n=n: limits(n))) for n in sizes],
     )
 
@@ -176,7 +176,7 @@
         role="planner",
         what="ms a tick (median), by hosts in the zone",
         unit="ms, 5 times a second",
-        design_size=ZONE_WORKERS,
+        design_size=SERVERS_PER_ZONE,
         points=[(n, statistics.median(day_of_faults.tick_times(n, 60))) for n in sizes],
     )
 
@@ -241,7 +241,9 @@
 def zone_peers(sizes: Sequence[int], seed: int) -> Iterator[Slope]:
     """Measure the exchange of soft state in one zone; x: entry hosts in the zone."""
     hosts = [(n, 1, 10, n) for n in sizes]
-    yield from _measure_exchange(hosts, "hosts a zone", ZONE_NODES, seed, spreads=True)
+    yield from _measure_exchange(
+        hosts, "hosts a zone", ENTRY_HOSTS_PER_ZONE, seed, spreads=True
+    )
 
 
 def foreign_peers(sizes: Sequence[int], seed: int) -> Iterator[Slope]:
--- a/benchmarks/slopes_fit.py
+++ b/benchmarks/slopes_fit.py
@@ -12,9 +12,9 @@
 #: The design size: entry hosts, backend servers, zones and groups; entry hosts and
 #: backend servers of one zone; requests and tokens a second and concurrent streams of
 #: one entry host; client accounts.
-N_NODES, N_WORKERS, N_ZONES = 390, 780, 11
-N_GROUPS = N_WORKERS // 4
-ZONE_NODES, ZONE_WORKERS = 35, 71
+N_ENTRY_HOSTS, N_SERVERS, N_ZONES = 390, 780, 11
+N_GROUPS = N_SERVERS // 4
+ENTRY_HOSTS_PER_ZONE, SERVERS_PER_ZONE = 35, 71
 REQUESTS, TOKENS = 16.0, 3600.0
 N_STREAMS = 125
 N_ACCOUNTS = 100
--- a/benchmarks/slopes_operators.py
+++ b/benchmarks/slopes_operators.py
@@ -16,7 +16,7 @@
 from ryelever.state.configuration import Configuration
 
 from .routing_fleet import FakeFleet
-from .slopes_fit import N_GROUPS, N_WORKERS, N_ZONES, Points, Slope, kb, ms
+from .slopes_fit import N_GROUPS, N_SERVERS, N_ZONES, Points, Slope, kb, ms
 
 #: Maximum age of a report in seconds: the reports of the fleet never expire.
 FRESH = 1e6
@@ -101,7 +101,7 @@
         role="hosts list",
         what="ms to decode, by hosts listed",
         unit="ms",
-        design_size=N_WORKERS,
+        design_size=N_SERVERS,
         points=[
             (n, ms(lambda body=body: read_hosts_list(body, peer="list"), n_times=5))
             for n, body in bodies.items()
@@ -111,7 +111,7 @@
         role="hosts list",
         what="KB an answer, by hosts listed",
         unit="KB",
-        design_size=N_WORKERS,
+        design_size=N_SERVERS,
         points=[(n, len(body) / 1e3) for n, body in bodies.items()],
     )
 
--- a/benchmarks/slopes_processes.py
+++ b/benchmarks/slopes_processes.py
@@ -15,11 +15,11 @@
 
 from . import control_cost, speed
 from .slopes_fit import (
+    N_SERVERS,
     N_STREAMS,
-    N_WORKERS,
     N_ZONES,
+    SERVERS_PER_ZONE,
     TOKENS,
-    ZONE_WORKERS,
     Slope,
 )
 
@@ -61,9 +61,9 @@
     )
     await asyncio.sleep(1.5)
     tokens = await asyncio.to_thread(speed.n_generated_tokens, load), time.monotonic()
-    spent = speed.cpu_seconds(pid), time.monotonic()
+    spent = speed.processor_seconds(pid), time.monotonic()
     await asyncio.sleep(seconds)
-    cpu_rate = speed._rate(spent, speed.cpu_seconds(pid))
+    cpu_rate = speed._rate(spent, speed.processor_seconds(pid))
     token_rate = speed._rate(
         tokens, await asyncio.to_thread(speed.n_generated_tokens, load)
     )
@@ -78,7 +78,7 @@
         control_cost._start(fleet, n_hosts=n_hosts, n_entries=3, stats=None)
 
     yield from _measure_idle_host(
-        "control in all", "backend servers", ZONE_WORKERS, sizes, start, seconds
+        "control in all", "backend servers", SERVERS_PER_ZONE, sizes, start, seconds
     )
 
 
@@ -117,7 +117,7 @@
         fleet.start_entry("e", zone="z", claims_partitions=1)
 
     yield from _measure_idle_host(
-        "hosts list", "hosts listed", N_WORKERS, sizes, start, seconds
+        "hosts list", "hosts listed", N_SERVERS, sizes, start, seconds
     )
 
 
@@ -138,9 +138,9 @@
             start(fleet, size)
             pid = next(iter(fleet.entries_by_name.values())).process.pid
             time.sleep(1.0)
-            spent = speed.cpu_seconds(pid), time.monotonic()
+            spent = speed.processor_seconds(pid), time.monotonic()
             time.sleep(seconds)
-            cpu.append((size, 100 * speed._rate(spent, speed.cpu_seconds(pid))))
+            cpu.append((size, 100 * speed._rate(spent, speed.processor_seconds(pid))))
             memory.append((size, speed.resident(pid) / 1e6))
     for what, unit, points in (
         ("% of a core", "%", cpu),
--- a/benchmarks/soft_state.py
+++ b/benchmarks/soft_state.py
@@ -76,8 +76,8 @@
             )
             for poller in pollers:
                 offset = self.offsets[worker, poller.name]
-                asked_at = (now - offset) // 0.5 * 0.5 + offset
-                poller.rows.append((ReportRow(report=report), asked_at))
+                polled_at = (now - offset) // 0.5 * 0.5 + offset
+                poller.rows.append((ReportRow(report=report), polled_at))
 
     def _demand(self, account: int) -> DemandRow:
         # The demand of all accounts changes at each refresh.
@@ -236,7 +236,8 @@
     return elapsed
 
 
-#: Numbers of nodes, zones, workers and client accounts of each fleet.
+#: Numbers of nodes (entry hosts), zones, workers (backend servers) and client accounts
+#: of each fleet.
 SIZES = ((8, 3, 50, 10), (35, 1, 71, 10), (140, 4, 284, 10), (390, 11, 780, 10))
 
 
--- a/benchmarks/speed.py
+++ b/benchmarks/speed.py
@@ -156,7 +156,7 @@
                 return
 
 
-def cpu_seconds(pid: int) -> float:
+def processor_seconds(pid: int) -> float:
     """Return the user and system processor time of a process in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -285,9 +285,9 @@
         )
         await asyncio.sleep(3)
         tokens = await asyncio.to_thread(n_generated_tokens, load), time.monotonic()
-        cpu = cpu_seconds(load.entry.process.pid), time.monotonic()
+        cpu = processor_seconds(load.entry.process.pid), time.monotonic()
         await asyncio.sleep(seconds)
-        cpu_rate = _rate(cpu, cpu_seconds(load.entry.process.pid))
+        cpu_rate = _rate(cpu, processor_seconds(load.entry.process.pid))
         token_rate = _rate(tokens, await asyncio.to_thread(n_generated_tokens, load))
         streams = await task
         gaps = [gap for stream in streams for gap in stream.gaps()]
--- a/tests/test_system/test_relay.py
+++ b/tests/test_system/test_relay.py
@@ -174,7 +174,7 @@
 @pytest.mark.parametrize(
     "switches",
     [
-        pytest.param({"still_after": 5}, id="group-stands-still"),
+        pytest.param({"still_after": 5}, id="stream-stalls"),
         pytest.param({"cut_after": 6}, id="cut-in-mid-event"),
     ],
 )
