--- a/ryelever/addresses.py
+++ b/ryelever/addresses.py
@@ -6,7 +6,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return the IP number and the port of an address.
+    """Return the IP address and the port of an address.
 
     Parameters
     ----------
--- a/ryelever/application.py
+++ b/ryelever/application.py
@@ -58,7 +58,8 @@
 #: Channels of the components that check their deadlines on the same tick.
 CONTROL_CHANNELS = ("streams", "fleet", "planning", "peering", "shutdown")
 
-#: Seconds between two checks of the connections.
+#: Seconds between two checks of the connections, and between two checks of the
+#: console's publications that were not yet read back from the log.
 SWEEP_INTERVAL = 0.25
 
 
--- a/ryelever/arrivals.py
+++ b/ryelever/arrivals.py
@@ -66,9 +66,10 @@
     def read(self, request: CallerRequest) -> Result[Arrival | None, RyeleverError]:
         """Return the arrival, or None if the caller requests the list of models.
 
-        A resend with an idempotency key that is refused here may have run before:
+        A resend with a valid idempotency key that is refused here may have run before:
         the configuration may have changed since the first attempt, or another entry
-        host may have read a newer version.  The error then reports an unknown outcome.
+        host may have read a newer version.  The error then reports an unknown outcome,
+        unless the key was issued in the future.
         """
         arrival = self._read(request)
         key = request.headers.get(KEY_HEADER, "")
--- a/ryelever/attempts.py
+++ b/ryelever/attempts.py
@@ -40,8 +40,9 @@
 #: Channel without a handler, for answers that are not needed.
 UNUSED_CHANNEL = "nobody"
 
-#: Code of errors after which the backend server counts as alive.  An error of a stream
-#: with any other code counts as the server's death.
+#: Code of errors after which the backend server counts as alive.  A stream that breaks
+#: with an error without a code of its own counts as the server's death; silence
+#: does not.
 BACKEND_ERROR = "backend_error"
 
 
@@ -90,7 +91,7 @@
         self._fire(outbound_send(request), "http_client")
 
     def cancel(self, attempt_id: str) -> None:
-        """Cancel an attempt here and at the engine."""
+        """Cancel an attempt, also at the engine if its answer is streamed."""
         attempt = self._attempts_by_id.pop(attempt_id, None)
         if attempt is not None:
             self._abort(attempt_id, attempt)
@@ -316,7 +317,7 @@
 
 
 class _Attempt:
-    """Hold the state of reading one attempt's answer."""
+    """State of reading one attempt's answer."""
 
     __slots__ = ("address", "error_text", "splitter", "status", "streamed")
 
--- a/ryelever/cli.py
+++ b/ryelever/cli.py
@@ -37,7 +37,7 @@
         the file named in the environment by the platform.
     metrics_port
         On the platform, an additional port on the host's address that serves the
-        metrics; 0 serves metrics only on the port of the readiness check.
+        metrics; 0 serves metrics only on the port of the readiness probe.
     """
     # Only this command imports the whole program, so that the others start faster.
     from .wiring import run
--- a/ryelever/coordination/topic.py
+++ b/ryelever/coordination/topic.py
@@ -165,10 +165,10 @@
         )
 
     def read_announced(self, *, now: float) -> None:
-        """Read immediately, since another host announced newer records.
+        """Read again immediately, also while a read is in flight.
 
-        A waiting read may hang on a silent connection and would time out only seconds
-        later.  It is therefore replaced unless it has just started.
+        The read in flight may hang on a silent connection and would time out only
+        seconds later.  It is therefore replaced unless it has just started.
         """
         if now - self.asked_at < MIN_READ_AGE:
             return
--- a/ryelever/entry_host.py
+++ b/ryelever/entry_host.py
@@ -34,7 +34,7 @@
     boot : str
         Id of this run of the process; a restarted host has another one.
     ready : bool
-        Whether the entry host can serve requests.
+        Whether the entry host has enough information on the fleet to serve.
     """
 
     settings: Settings
@@ -58,4 +58,4 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether the entry host can serve requests."""
+        """Return whether the host has enough information on the fleet to serve."""
--- a/ryelever/events.py
+++ b/ryelever/events.py
@@ -53,7 +53,7 @@
 
 
 class CallerRequest(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold one complete and well-formed HTTP request of a caller."""
+    """Represent one complete and well-formed HTTP request of a caller."""
 
     request_id: str
     method: str
@@ -65,7 +65,7 @@
 
 
 class OutboundRequest(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold one HTTP request to an external system.
+    """Represent one HTTP request to an external system.
 
     Attributes
     ----------
@@ -113,7 +113,7 @@
 
 
 class AnswerHead(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold the status and headers of a streamed answer.
+    """Represent the status and headers of a streamed answer.
 
     Attributes
     ----------
@@ -130,14 +130,14 @@
 
 
 class AttemptData(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold a chunk of a streamed answer's body."""
+    """Represent a chunk of a streamed answer's body."""
 
     id: str
     data: bytes
 
 
 class OutboundAnswer(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold a complete answer of an external system.
+    """Represent a complete answer of an external system.
 
     Attributes
     ----------
@@ -154,7 +154,7 @@
 
 
 class OutboundFailure(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold the failure of a request to an external system.
+    """Represent the failure of a request to an external system.
 
     Attributes
     ----------
@@ -169,7 +169,7 @@
 
 
 class CallerAnswer(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold a complete answer for a caller."""
+    """Represent a complete answer for a caller."""
 
     request_id: str
     status: int
@@ -179,7 +179,7 @@
 
 
 class ClaimReadBack(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold a claim of this entry host that was read back from the log.
+    """Represent a claim of this entry host that was read back from the log.
 
     Attributes
     ----------
@@ -193,21 +193,24 @@
 
 
 class HostReported(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold a host's report and the monotonic time just before it was requested."""
+    """Represent a host's report and the monotonic time just before it was requested."""
 
     report: HostReport
     requested_at: float
 
 
 class Datagram(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold one datagram received from, or to be sent to, a peer's address."""
+    """Represent one datagram received from, or to be sent to, a peer's address."""
 
     address: str
     data: bytes
 
 
 class RelayedRequest(msgspec.Struct, kw_only=True, frozen=True):
-    """Hold one complete HTTP request that is relayed unchanged.
+    """Represent one complete HTTP request that a ``RelayCallers`` listener received.
+
+    Requests of callers are relayed unchanged; readiness probes, metrics requests and
+    requests of other entry hosts are answered by this host.
 
     Attributes
     ----------
@@ -225,7 +228,7 @@
 
 
 class server_updates(Event):
-    """Announce a ``ServerUpdates`` read from the store or sent by another host."""
+    """Announce ``ServerUpdates`` from the store, a server's report or another host."""
 
 
 class server_reported(Event):
@@ -241,11 +244,11 @@
 
 
 class relayed_caller_disconnected(Event):
-    """Announce the number of a relayed request whose caller has disconnected."""
+    """Announce the number of a ``RelayedRequest`` whose sender has disconnected."""
 
 
 class directory_changed(Event):
-    """Announce that backend servers or their groups have changed."""
+    """Announce that the configuration, backend servers or their groups have changed."""
 
 
 class caller_request(Event):
--- a/ryelever/fleet_directory.py
+++ b/ryelever/fleet_directory.py
@@ -36,12 +36,12 @@
 
 __all__ = ["FleetDirectory"]
 
-#: Least seconds between two reads of the backend servers' records.  Fifty servers
+#: Minimum seconds between two reads of the backend servers' records.  Fifty servers
 #: write forty records a second, and one read for each record would cost ten times as
 #: much.  A server's departure must be known within two seconds.
 MIN_SERVERS_READ_INTERVAL = 0.3
 
-#: Least number of record renewals that a server has missed when its record expires.
+#: Minimum number of record renewals that a server has missed when its record expires.
 #: The store waits for three; half an interval is allowed for the store's clock and
 #: for the time in which the last renewal was on its way.
 LAPSED_RENEWALS = 2.5
@@ -56,7 +56,7 @@
 #: reach the store have renewed their records.
 RENEWAL_TIME_AFTER_RETURN = 3.0
 
-#: Least seconds between two reads of the entry hosts' records.  When all hosts start
+#: Minimum seconds between two reads of the entry hosts' records.  When all hosts start
 #: together they write their records within half a second, and one read for each
 #: record would make the number of reads grow with the square of the hosts.
 MIN_HOSTS_READ_INTERVAL = 0.3
@@ -194,7 +194,10 @@
 
     @handler("store_returned")
     def _on_store_returned(self) -> None:
-        """List the followed topics again after the store returned from an older copy.
+        """Restart the listings after the store returned from an older copy.
+
+        The topics of the configuration and of the hosts are listed again only if their
+        reading is not suspended.
 
         The copy may show a member of a serving group as free, and a planner would
         assign that member to another group.  Listed records of servers that this host
@@ -312,9 +315,12 @@
         """Fetch the configuration if another entry host has a newer version in force.
 
         A newer version binds all hosts, but the store may refuse this host's reads, or
-        a read may hang on a silent connection.  The host reads the store again at
-        once, and requests the configuration from the other host if that doesn't help
-        soon.  A host whose reading is suspended asks a host of its zone first.
+        a read may hang on a silent connection.  The host therefore reads the store
+        again at once.  A host whose reading is suspended, however, first requests a
+        configuration of up to ``MAX_FETCHED_CONFIGURATION`` bytes from the other host
+        if that host is of its zone, and waits otherwise.  If the host has lacked the
+        newer version for more than ``FALLBACK_DELAY`` (in host_fetch), it reads the
+        store and also requests the configuration from the other host, of any zone.
         """
         if heartbeat.configuration_version <= self.version:
             return
--- a/ryelever/fleet_history.py
+++ b/ryelever/fleet_history.py
@@ -1,4 +1,4 @@
-"""Update the measures of the fleet and the history of its repairs regularly."""
+"""Regularly update the measures of the fleet and the history of its repairs."""
 
 from __future__ import annotations
 
@@ -24,10 +24,11 @@
 
 
 class FleetHistory(BaseComponent):
-    """Keep both measures of the fleet and the history of its repairs.
+    """Keep the measures of the fleet and the history of its repairs.
 
-    Both are kept only in memory and start empty with the process; state that must
-    outlast the process is in the log.
+    The measures are groups down and stranded accelerators.  Measures and history are
+    kept only in memory and start empty with the process; state that must outlast the
+    process is in the log.
     """
 
     channel = "fleet_history"
@@ -49,7 +50,7 @@
         self._confirmations = confirmations
 
     def register_gauges(self, metrics: Metrics) -> None:
-        """Register gauges for both measures: groups down and stranded accelerators."""
+        """Register gauges for groups down and for stranded accelerators."""
         measures = self.measures
         metrics.gauge("groups_down", lambda: float(measures.n_groups_down))
         metrics.gauge("group_downtime_seconds", lambda: measures.downtime_seconds)
--- a/ryelever/fleet_watch.py
+++ b/ryelever/fleet_watch.py
@@ -37,7 +37,7 @@
 #: Maximum age, in seconds, of a report polled by this host that is sent to peers.
 MAX_ANNOUNCED_AGE = 5.0
 
-#: State reported to peers for a host that refuses connections.
+#: State reported to peers for a host to which this host cannot connect.
 UNREACHABLE = "unreachable"
 
 
@@ -198,7 +198,7 @@
             )
 
     def failed(self, pending: PendingRequest, failure: OutboundFailure) -> None:
-        """Keep the last list, or mark a host that refuses connections unreachable."""
+        """Keep the last list, or record that a host cannot be connected to."""
         if pending.kind == "list":
             log_warning("hosts_list_failed", message=failure.error.message)
             return
@@ -207,7 +207,7 @@
             self.refused(pending.subject, at=time.monotonic())
 
     def refused(self, host: str, *, at: float) -> None:
-        """Record that a host refuses connections, to be reported to peers too."""
+        """Record that a host cannot be connected to, to be reported to peers too."""
         self.confirmations.record_unreachable(host)
         self._local_reports_by_host[host] = LatestReport(
             report=HostReport(host=host, boot="", state=UNREACHABLE), requested_at=at
--- a/ryelever/group_planning.py
+++ b/ryelever/group_planning.py
@@ -41,7 +41,7 @@
 __all__ = ["GroupPlanning"]
 
 #: Seconds to wait for a backend server's answer to an order, which takes milliseconds,
-#: and for its connection.
+#: and to wait for the connection to the server.
 ORDER_TIMEOUT = 0.8
 ORDER_CONNECT_TIMEOUT = 0.4
 
--- a/ryelever/host_exchange.py
+++ b/ryelever/host_exchange.py
@@ -135,7 +135,8 @@
 
     def _update_limit_shares(self, *, now: float) -> None:
         if self._balancer.limits.is_empty or now - self._started_at < DISCOVERY_TIME:
-            # A host that has not yet received any heartbeats would claim a whole limit.
+            # A host that has not received any heartbeats yet would claim all of
+            # a limit.
             return
         self._balancer.limits.update_shares(
             host=self._settings.host,
@@ -261,11 +262,10 @@
         return address.availability_zone == self._settings.availability_zone
 
     def _broadcast_in_zone(self, data: bytes) -> None:
-        """Send a datagram to the other hosts of this zone, to some through others.
+        """Send a datagram to the zone's other hosts; in large zones some forward it.
 
-        Used for datagrams that are frequent or large and come from one host or a few:
-        sent directly, each would cross the sender's link once for every host of the
-        zone.
+        Used for frequent or large datagrams that one host or a few hosts send: sent
+        directly, each would cross the sender's link once for every host of the zone.
         """
         living = {
             heartbeat.host
--- a/ryelever/host_fetch.py
+++ b/ryelever/host_fetch.py
@@ -39,16 +39,16 @@
 #: milliseconds, another host within some tens of milliseconds.
 FALLBACK_DELAY = 0.3
 
-#: Least seconds between two requests for the configuration, and the connect and
+#: Minimum seconds between two requests for the configuration, and the connect and
 #: progress timeouts of all requests to other entry hosts.
 FETCH_RETRY = 0.5
 
-#: Least seconds between two requests for changes, whose answers are short.
+#: Minimum seconds between two requests for changes, whose answers are short.
 CHANGES_RETRY = 0.2
 
 
 class HostFetch(BaseComponent):
-    """Send requests to other entry hosts and hand on their answers.
+    """Send requests to other entry hosts and pass their answers to callbacks.
 
     Parameters
     ----------
@@ -106,7 +106,7 @@
         return now - self._behind_since > FALLBACK_DELAY
 
     def request_configuration(self, host: str, *, now: float) -> None:
-        """Request the configuration from a host, unless one was asked recently."""
+        """Request the configuration from a host, unless it was requested recently."""
         address = self._heartbeats.addresses_by_host.get(host)
         requested_recently = now - self._configuration_requested_at < FETCH_RETRY
         if address is not None and not requested_recently:
@@ -212,7 +212,8 @@
         if answer.status == BUSY_STATUS:
             return
         if answer.status == 404 and _is_changes_request(answer.id):
-            # The provider misses the same changes; the next request asks another host.
+            # The provider doesn't have these changes either.  A later request asks
+            # another host, or this one again if no other host is known.
             return
         if answer.status != 200:
             log_event(
--- a/ryelever/log_table.py
+++ b/ryelever/log_table.py
@@ -98,9 +98,9 @@
     "peers_address": "address at which other entry hosts reach this one",
     "phase": "phase of a request or a group",
     "ready_port": "port for readiness and metrics",
-    "proved": "whether, or which, suspects had passed the place of their first crash",
+    "proved": "whether, or which, suspects had run past their first crash's position",
     "rate": "requests a second that a backend server takes from all hosts; -1: any",
-    "reason": "reason as one of a fixed set of words, to be counted",
+    "reason": "reason, one of a fixed set of values that can be counted",
     "record": "id of a record",
     "refused": "whether the backend server guaranteed that the request was not run",
     "repeated": "whether, or which, requests were suspects before a crash",
@@ -328,8 +328,8 @@
         "the operator wants no new requests sent to a zone's backend servers", "zone"
     ),
     "zone_used_again": _info("an evacuated zone is used again", "zone"),
-    "zone_lost": _info("no heartbeat arrives for another availability zone", "zone"),
-    "zone_regained": _info("heartbeats arrive for a lost zone again", "zone"),
+    "zone_lost": _info("no heartbeat arrives from another availability zone", "zone"),
+    "zone_regained": _info("heartbeats arrive from a lost zone again", "zone"),
     "publishing": _info("an operator publishes", "operator", "record"),
     "read_failed": _warning("a read of the log failed", "stream", "message"),
     "record_ignored": _info(
--- a/ryelever/metrics.py
+++ b/ryelever/metrics.py
@@ -84,7 +84,7 @@
         self._labelled_by_name[name] = read
 
     def counter(self, name: str, read: Callable[[], dict[str, int]]) -> None:
-        """Register a callable that returns a counter's counts by label."""
+        """Register a callable that returns a counter's counts by kind."""
         self._counters_by_name[name] = read
 
     def render(self) -> bytes:
--- a/ryelever/peer_requests.py
+++ b/ryelever/peer_requests.py
@@ -40,8 +40,8 @@
     servers : callable
         Return the records of all backend servers, or None before they are known.
     changes : callable
-        Return the backend servers' changes from an offset of an era on, or None if
-        this host has no complete record of them.
+        Return the backend servers' changes since an offset, given the offset and its
+        era, or None if this host has no complete record of the changes.
     link_rate : float
         Capacity of this host's network link in bytes a second.
     """
--- a/ryelever/peering.py
+++ b/ryelever/peering.py
@@ -94,7 +94,13 @@
         )
 
     def zone_reported_since(self, moment: float) -> bool:
-        """Return whether the zone's live hosts have reported all up to a moment."""
+        """Return whether the zone's live hosts have reported all their observations.
+
+        Parameters
+        ----------
+        moment : float
+            Monotonic time up to which observations must have been reported.
+        """
         return self.exchange.zone_reported_since(moment, now=time.monotonic())
 
     @handler("control_tick")
--- a/ryelever/planning.py
+++ b/ryelever/planning.py
@@ -144,7 +144,7 @@
         )
 
     def answered(self, pending: PendingRequest, answer: OutboundAnswer) -> None:
-        """Publish the report with which a host answers an order."""
+        """Announce the report with which a host answers an order."""
         report = self._engine.host_report(
             answer.body, host=pending.subject, peer=answer.address
         )
--- a/ryelever/quarantine_log.py
+++ b/ryelever/quarantine_log.py
@@ -19,7 +19,7 @@
     __slots__ = ()
 
     def crash_noted(self, crash: Crash) -> None:
-        """Log a crash with the requests that this host had running in it."""
+        """Log a crash and the requests of this host that ran on the crashed server."""
         log_event(
             "crash_noted",
             crash=crash.key,
--- a/ryelever/relay_application.py
+++ b/ryelever/relay_application.py
@@ -66,8 +66,8 @@
 #: detected after 0.45 s at the earliest.
 SERVING_INTERVAL = 0.1
 
-#: Seconds between two such checks while requests wait for a slot, as a waiting request
-#: is late after some tenths of a second.
+#: Seconds between two checks of request deadlines while requests wait for a slot: a
+#: waiting request is late after some tenths of a second.
 WAITING_INTERVAL = 0.05
 
 #: Seconds between two reads of the datagrams that other hosts have sent.  Each host
@@ -348,7 +348,7 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether this host can serve requests."""
+        """Return whether this host can serve requests and is not shutting down."""
         return (
             not self.shutdown.stopping
             and self.fleet.table is not None
@@ -411,7 +411,7 @@
     def _on_started(self, *args: object) -> None:
         timers = self.timers
         # Registered first, so that the other handlers of a round use the datagrams
-        # received before it.
+        # that were received before the round.
         timers.every(PEERS_POLL_INTERVAL, peers_poll, "peers")
         timers.every(CONTROL_INTERVAL, control_tick, *CONTROL_CHANNELS)
         timers.every(self._serving_tick, serving_tick, "relay")
--- a/ryelever/request_path.py
+++ b/ryelever/request_path.py
@@ -45,8 +45,9 @@
 #: down, in addition to the progress timeout of one connection to the log.
 CLAIMS_LAG = 2.0
 
-#: Seconds added to the maximum age of a report before a new attempt at the same
-#: backend server.  Only a server that has reported again since is used for it.
+#: Seconds by which the pause before a new attempt at the same backend server exceeds
+#: the maximum age of a report.  After the pause, only a server that has reported again
+#: is used for the new attempt.
 REPORT_SLACK = 0.5
 
 
--- a/ryelever/request_sender.py
+++ b/ryelever/request_sender.py
@@ -1,4 +1,4 @@
-"""Send requests to other systems and match their complete answers."""
+"""Send requests to other systems and match each complete answer to its request."""
 
 from __future__ import annotations
 
--- a/ryelever/settings.py
+++ b/ryelever/settings.py
@@ -299,7 +299,7 @@
 
 
 class Settings:
-    """Hold the values of checked settings, each as an attribute of its name."""
+    """Values of checked settings, each as an attribute of its name."""
 
     __slots__ = tuple(setting.name for setting in SETTINGS)
 
--- a/ryelever/shutdown.py
+++ b/ryelever/shutdown.py
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class InFlight:
-    """Count the unfinished work of an entry host.
+    """Counts of the unfinished work of an entry host.
 
     Attributes
     ----------
--- a/ryelever/store_client.py
+++ b/ryelever/store_client.py
@@ -78,9 +78,11 @@
     forwarded_at : float
         Monotonic time at which another host last forwarded records that it had read.
     answered_at : float
-        Monotonic time of the last good answer, or of the start.
+        Monotonic time of the last answer with a status other than 429 and 503, or of
+        the start.
     era : int
-        Highest era of the store in any answer or heartbeat; 0 before the first.
+        Highest era of the store in any answer, heartbeat or forwarded update; 0 before
+        the first.
     returned_at : float
         Monotonic time at which the era last rose, other than at the first answer.
     n_calls_by_step : Counter of str
--- a/ryelever/streams.py
+++ b/ryelever/streams.py
@@ -41,10 +41,11 @@
 
 __all__ = ["Stream", "Streams"]
 
-#: Seconds for which the append of a decision is retried.
+#: Seconds for which an append is retried, unless its action sets another time.
 APPEND_DEADLINE = 10.0
 
-#: Share of a batch that one part of a snapshot takes, which may be a megabyte long.
+#: Cost of one part of a snapshot, which may be a megabyte long, in the maximum total
+#: cost of an append.  Any other record costs 1.
 SNAPSHOT_COST = 200
 
 #: Records since the last snapshot after which even a small state is written again.
@@ -56,7 +57,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Stream:
-    """Hold the fold, reader, writer and snapshot schedule of one stream."""
+    """Represent one stream: its fold, reader, writer and snapshot schedule."""
 
     name: str
     fold: BaseFold
--- a/ryelever/wiring.py
+++ b/ryelever/wiring.py
@@ -127,8 +127,8 @@
 def _reload(path: Path, running: RelaySettings) -> None:
     """Read the platform's settings again and log whether they have changed.
 
-    Addresses and bounds are fixed for a process's lifetime, so changes take effect at
-    the next start.
+    The settings of a process are fixed for its lifetime, so changes take effect at the
+    next start.
     """
     from .platform.settings import read_node_settings
 
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Answer:
-    """Hold the answer that a caller received.
+    """Represent the answer that a caller received.
 
     Attributes
     ----------
@@ -175,7 +175,10 @@
 
     @contextlib.contextmanager
     def open_booking(self, entry: EntryHost, key: str) -> Iterator[None]:
-        """Send a booking request and close the connection without reading an answer."""
+        """Send a booking request whose answer is not read.
+
+        The connection is closed at the end of the ``with`` block.
+        """
         body = b'{"dog":"Rex"}'
         headers = self.headers | {
             "Host": entry.address,
--- a/tests/relay_zone.py
+++ b/tests/relay_zone.py
@@ -232,7 +232,7 @@
 
 
 def own_address() -> str:
-    """Return an IP number of the loopback network that no other process uses."""
+    """Return an IP address of the loopback network that no other process uses."""
     high, low = divmod(os.getpid(), 250)
     return f"127.{1 + high // 250}.{high % 250}.{1 + low}"
 
--- a/tests/test_fleet_directory.py
+++ b/tests/test_fleet_directory.py
@@ -492,7 +492,7 @@
 
 
 def test_records_superseded_by_a_long_listing_are_not_applied(clock: Clock) -> None:
-    """Guard against servers that join a group while the head of their group is open.
+    """Guard against servers that join another group while the head of theirs is open.
 
     While 925 servers are listed page by page, groups form, and a page shows a server
     as open.  Records appended since the first page are then read in several reads; the
@@ -616,7 +616,7 @@
 def test_reports_take_precedence_over_records_from_before_an_outage(
     clock: Clock,
 ) -> None:
-    """Guard against two servers that join a group while the head of theirs is open.
+    """Guard against two servers that join another group while their head is open.
 
     A group is planned, the store becomes unavailable, the group's members are probed
     and its head opens.  The first records read after the store's return were written
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -18,7 +18,7 @@
 from ryelever.settings import Settings
 from ryelever.state.configuration_fold import ConfigurationFold
 
-#: Seconds between two control ticks, and seconds from one host to another.
+#: Seconds between two control ticks, and one-way latency in seconds between two hosts.
 TICK = 0.1
 ONE_WAY = 0.001
 
--- a/tests/zone.py
+++ b/tests/zone.py
@@ -26,7 +26,7 @@
 #: Seconds between two report requests to one host.
 REPORT_INTERVAL = 0.5
 
-#: Only downtime has a weight, so that spare hosts stay idle and rows stay small.
+#: Only downtime has a weight, so that spare hosts stay idle and test cases short.
 DOWNTIME_ONLY = Weights(group_downtime=1.0, stranded_accelerators=0.0)
 
 
