--- a/benchmarks/day_of_faults.py
+++ b/benchmarks/day_of_faults.py
@@ -123,7 +123,7 @@
             step=0.2,
             planner_class=planner,
         )
-        self.zone.append_fate = lambda _: (LOG_LATENCY,)
+        self.zone.append_delays = lambda _: (LOG_LATENCY,)
         self.totals = ZoneTotals()
         self.time_of_day = 0.0
         self.last_change_at = 0.0
@@ -300,7 +300,7 @@
         step=0.02,
         planner_class=planner,
     )
-    zone.append_fate = lambda _: (LOG_LATENCY,)
+    zone.append_delays = lambda _: (LOG_LATENCY,)
     zone.run_until(zone.groups, at_most=100)
     zone.run(20 + phase)
     engine = zone.engines_by_host[zone.groups()[0][3]]
--- a/ryelever/application.py
+++ b/ryelever/application.py
@@ -152,7 +152,7 @@
             in_flight=self._in_flight,
             stop=self._stop,
         )
-        self._register_parts()
+        self._register_components()
         register_gauges(self)
 
     def _wire_peers(self) -> None:
@@ -168,7 +168,7 @@
             sources=observers,
             aged_sources=[self.fleet],
             sinks=[self.fleet, *observers],
-            set_members=self.fleet.shares.set_members,
+            set_members=self.fleet.assignment.set_members,
             urgent=self.request_path.quarantine,
         )
 
@@ -232,7 +232,7 @@
         self.exit_code = exit_code
         self.stop()
 
-    def _register_parts(self) -> None:
+    def _register_components(self) -> None:
         Poller().register(self)
         for part in (
             self.timers,
--- a/ryelever/coordination/groups/zone_planner.py
+++ b/ryelever/coordination/groups/zone_planner.py
@@ -101,7 +101,7 @@
         Return whether the list of backend servers has had no update for a while.
     observe : callable
         Called with the name of a phase and the seconds that a group spent in it.
-    reshaping : callable
+    other_reshaped_zones : callable
         Return the other zones that are disbanding groups or have announced it.
     stall_time : float
         Seconds for which a group stalls after losing a member until it is broken.
@@ -120,7 +120,7 @@
         directory: Directory,
         table: Callable[[], RouteTable | None],
         demand: Callable[[], Mapping[str, float]],
-        reshaping: Callable[[], set[str]],
+        other_reshaped_zones: Callable[[], set[str]],
         observe: Callable[[str, float], None],
         list_is_stale: Callable[[], bool],
         stall_time: float,
@@ -133,7 +133,7 @@
         self._n_zones = n_zones
         self._directory = directory
         self._table = table
-        self._reshaping = reshaping
+        self._other_reshaped_zones = other_reshaped_zones
         self._list_is_stale = list_is_stale
         self._token = ReshapingToken(zone=zone)
         self._log = log
@@ -395,7 +395,7 @@
             # Until the group that is being formed serves, other zones see fewer groups
             # of its model than there will be, so the announcement must stay in effect.
             return
-        other_zones = self._reshaping()
+        other_zones = self._other_reshaped_zones()
         groups = _groups_to_disband(views, n_pending=self._token.n_ahead(other_zones))
         if not groups:
             self._token.end()
--- a/ryelever/coordination/polling.py
+++ b/ryelever/coordination/polling.py
@@ -113,12 +113,12 @@
     def __init__(
         self,
         *,
-        shares: PollingAssignment,
+        assignment: PollingAssignment,
         availability_zone: str,
         interval: float,
         max_age: float,
     ) -> None:
-        self._shares = shares
+        self._assignment = assignment
         self._zone = availability_zone
         self._interval = interval
         self._standby_age = STANDBY_AGE_SHARE * max_age
@@ -138,13 +138,13 @@
             Monotonic time at which the newest known report was requested.
         """
         interval = self._interval if zone == self._zone else 2 * self._interval
-        rank = self._shares.rank(server)
+        rank = self._assignment.rank(server)
         if rank > 0 and reported_at is not None:
-            is_poller = self._shares.polls(server)
+            is_poller = self._assignment.polls(server)
             own_poll_age = self._standby_age if is_poller else self._others_age
             if now - reported_at < own_poll_age:
                 return False
-        elif not self._shares.polls(server):
+        elif not self._assignment.polls(server):
             interval = max(interval, UNKNOWN_SERVER_INTERVAL)
         if now - self._polled_at_by_server.get(server, float("-inf")) < interval:
             return False
@@ -153,6 +153,6 @@
 
     def forget(self, servers: Collection[str]) -> None:
         """Drop the state of all servers except the given ones."""
-        self._shares.forget(servers)
+        self._assignment.forget(servers)
         for server in self._polled_at_by_server.keys() - set(servers):
             del self._polled_at_by_server[server]
--- a/ryelever/coordination/relaying/actions.py
+++ b/ryelever/coordination/relaying/actions.py
@@ -95,7 +95,7 @@
     All times are in seconds.
     """
 
-    def sent(self, *, is_repeat: bool, limited: bool, waited: float) -> None:
+    def sent(self, *, is_retry: bool, limited: bool, waited: float) -> None:
         """Record an attempt and the time since its request arrived.
 
         Parameters
--- a/ryelever/coordination/relaying/reports.py
+++ b/ryelever/coordination/relaying/reports.py
@@ -41,7 +41,7 @@
         if request.n_sent == 1:
             request.first_sent_at = now
         self._measures.sent(
-            is_repeat=request.n_sent > 1,
+            is_retry=request.n_sent > 1,
             limited=limited,
             waited=now - request.arrival.arrived_at,
         )
--- a/ryelever/coordination/topic.py
+++ b/ryelever/coordination/topic.py
@@ -90,7 +90,7 @@
         Seconds during which a read waits for a record.
     suspended : bool
         True while other hosts send new records; the follower then reads only after a
-        call of ``read_announced`` or ``read_now``.
+        call of ``reread`` or ``read_now``.
     listed_at, answered_at, failed_at, asked_at : float
         Monotonic times of the last complete listing, valid answer, failure and call.
     defers_listing : bool
@@ -120,7 +120,7 @@
     _call_after: str = ""
     _due_at: float = 0.0
     _n_failures: int = 0
-    _is_poked: bool = False
+    _is_read_requested: bool = False
     _after_key: str = ""
     _listed: list[KeyedRecord] = msgspec.field(default_factory=list)
 
@@ -138,7 +138,11 @@
         """Return the call that is due, or None."""
         if self.is_in_flight or now < self._due_at:
             return None
-        if self.suspended and self._phase is _Phase.READING and not self._is_poked:
+        if (
+            self.suspended
+            and self._phase is _Phase.READING
+            and not self._is_read_requested
+        ):
             return None
         if (
             self.defers_listing
@@ -146,7 +150,7 @@
             and not self._after_key
         ):
             return None
-        self._is_poked = False
+        self._is_read_requested = False
         self.is_in_flight = True
         self.n_calls += 1
         self.asked_at = now
@@ -164,7 +168,7 @@
             wait_ms=round(self.wait * 1000),
         )
 
-    def read_announced(self, *, now: float) -> None:
+    def reread(self, *, now: float) -> None:
         """Read again immediately, also while a read is in flight.
 
         The read in flight may hang on a silent connection and would time out only
@@ -173,12 +177,12 @@
         if now - self.asked_at < MIN_READ_AGE:
             return
         self.is_in_flight = False
-        self._is_poked = True
+        self._is_read_requested = True
         self._due_at = 0.0
 
     def read_now(self) -> None:
         """Read immediately unless a read is in flight."""
-        self._is_poked = True
+        self._is_read_requested = True
         if not self.is_in_flight:
             self._due_at = 0.0
 
--- a/ryelever/dump.py
+++ b/ryelever/dump.py
@@ -218,15 +218,15 @@
         application = self._application
         described = {}
         for name, listed in application.fleet.hosts_by_name.items():
-            fresh = application.confirmations.reports_by_host.get(name)
+            latest = application.confirmations.reports_by_host.get(name)
             described[name] = {
                 "address": listed.address,
                 "listed": listed.state,
-                "reported": fresh.report.state if fresh else None,
-                "group": fresh.report.group if fresh else None,
-                "leaving": _is_leaving(listed, fresh)
+                "reported": latest.report.state if latest else None,
+                "group": latest.report.group if latest else None,
+                "leaving": _is_leaving(listed, latest)
                 or application.request_path.departures.is_leaving(name, now=now),
-                "report_age": _age(fresh.requested_at, now=now) if fresh else None,
+                "report_age": _age(latest.requested_at, now=now) if latest else None,
             }
         return described
 
@@ -246,8 +246,8 @@
         ]
 
 
-def _is_leaving(listed: ListedHost, fresh: LatestReport | None) -> bool:
-    reported = fresh.report.state if fresh is not None else ""
+def _is_leaving(listed: ListedHost, latest: LatestReport | None) -> bool:
+    reported = latest.report.state if latest is not None else ""
     return "leaving" in (listed.state, reported)
 
 
--- a/ryelever/emulator/fleet.py
+++ b/ryelever/emulator/fleet.py
@@ -218,7 +218,7 @@
             directory=self.directory,
             table=lambda: table,
             demand=lambda: self.deployment.demand if self.now >= 0 else {},
-            reshaping=lambda: self._other_reshaping_zones(zone),
+            other_reshaped_zones=lambda: self._other_reshaped_zones(zone),
             observe=lambda phase, seconds: None,
             list_is_stale=lambda: False,
             stall_time=self.deployment.stall_time,
@@ -226,7 +226,7 @@
             log=lambda event, **fields: None,
         )
 
-    def _other_reshaping_zones(self, own_zone: str) -> set[str]:
+    def _other_reshaped_zones(self, own_zone: str) -> set[str]:
         return {
             zone
             for zone, planner in self.planners_by_zone.items()
--- a/ryelever/fleet_directory.py
+++ b/ryelever/fleet_directory.py
@@ -89,7 +89,7 @@
 
     Attributes
     ----------
-    table : RouteTable or None
+    route_table : RouteTable or None
         The newest configuration that this process has seen.
     """
 
@@ -117,7 +117,7 @@
         self._evacuations = evacuations
         self._own_address = own_address
         self._removals = Removals(renewal_interval=settings.heartbeat_interval)
-        self.table: RouteTable | None = None
+        self.route_table: RouteTable | None = None
         self.configuration = TopicFollower(log=log, topic=documents.operator_topic)
         self.servers = TopicFollower(
             log=log,
@@ -180,7 +180,7 @@
         self._update_listing_schedule(now=now)
         if not self.servers.is_current:
             if self.servers.defers_listing:
-                self.fetch.request_servers_from_knowing_host(now=now)
+                self.fetch.request_servers_from_provider(now=now)
             if self.list_is_stale():
                 self.fetch.request_servers_from_any_host(now=now)
         unannounced = self._acknowledged_at is None
@@ -224,7 +224,7 @@
         """
         is_reachable = self._store.is_reachable
         reads = self._heartbeats.reads_for_zone(reads_store=is_reachable, now=now)
-        self.configuration.suspended = not reads and self.table is not None
+        self.configuration.suspended = not reads and self.route_table is not None
         acknowledged_at = self._acknowledged_at
         knows_all = (
             acknowledged_at is not None and self.hosts.asked_at > acknowledged_at
@@ -287,9 +287,9 @@
             )
             return
         table = read.ok
-        if self.table is not None and table.version <= self.table.version:
+        if self.route_table is not None and table.version <= self.route_table.version:
             return
-        self.table = table
+        self.route_table = table
         self._document = data
         self._in_force_since = time.monotonic()
         self.fetch.caught_up()
@@ -299,7 +299,7 @@
     @property
     def version(self) -> int:
         """Return the configuration version in force, or -1 before there is one."""
-        return -1 if self.table is None else self.table.version
+        return -1 if self.route_table is None else self.route_table.version
 
     def configuration_age(self) -> float:
         """Return the seconds since the configuration in force was applied, or -1."""
@@ -328,7 +328,7 @@
         in_same_zone = heartbeat.availability_zone == self._settings.availability_zone
         is_small = heartbeat.configuration_size <= MAX_FETCHED_CONFIGURATION
         if overdue or not (self.configuration.suspended and is_small):
-            self.configuration.read_announced(now=now)
+            self.configuration.reread(now=now)
         if overdue or (self.configuration.suspended and is_small and in_same_zone):
             self.fetch.request_configuration(heartbeat.host, now=now)
 
--- a/ryelever/fleet_watch.py
+++ b/ryelever/fleet_watch.py
@@ -70,9 +70,9 @@
         self._polled_by_name: dict[str, ListedHost] = {}
         self._list_due_at = 0.0
         self._list_tag = ""
-        self.shares = PollingAssignment(host=settings.host)
+        self.assignment = PollingAssignment(host=settings.host)
         self._report_polling = ReportPolling(
-            shares=self.shares,
+            assignment=self.assignment,
             availability_zone=settings.availability_zone,
             interval=settings.report_interval,
             max_age=settings.report_max_age,
@@ -226,9 +226,9 @@
     def aged_observations(self, *, now: float) -> list[tuple[Observation, float]]:
         """Return the recent reports that this entry host has polled itself."""
         return [
-            (ReportRow(report=fresh.report), fresh.requested_at)
-            for fresh in self._local_reports_by_host.values()
-            if now - fresh.requested_at <= MAX_ANNOUNCED_AGE
+            (ReportRow(report=latest.report), latest.requested_at)
+            for latest in self._local_reports_by_host.values()
+            if now - latest.requested_at <= MAX_ANNOUNCED_AGE
         ]
 
     def observed(
--- a/ryelever/host_exchange.py
+++ b/ryelever/host_exchange.py
@@ -83,8 +83,8 @@
         self._boot = int.from_bytes(os.urandom(7), "big")
         self._sequence = 0
         self._n_broadcasts = 0
-        self._last_near_state: tuple[object, ...] = ()
-        self._last_far_state: tuple[object, ...] = ()
+        self._last_sent_state: tuple[object, ...] = ()
+        self._last_sent_zone_state: tuple[object, ...] = ()
         self._reachable_peers: set[str] = set()
         self._unreachable_zones: set[str] = set()
         self._started_at = time.monotonic()
@@ -113,9 +113,9 @@
         )
         if (
             self._sequence % n_ticks == 0
-            or urgent_state(heartbeat) != self._last_near_state
+            or urgent_state(heartbeat) != self._last_sent_state
         ):
-            self._last_near_state = urgent_state(heartbeat)
+            self._last_sent_state = urgent_state(heartbeat)
             data = encode_heartbeat(heartbeat)
             if relied_on:
                 self._broadcast_in_zone(data)
@@ -170,9 +170,12 @@
             interval=TICKS_PER_ZONE_HEARTBEAT * HEARTBEAT_INTERVAL,
         )
         state = urgent_state(summary)
-        if self._sequence % TICKS_PER_ZONE_HEARTBEAT and state == self._last_far_state:
+        if (
+            self._sequence % TICKS_PER_ZONE_HEARTBEAT
+            and state == self._last_sent_zone_state
+        ):
             return
-        self._last_far_state = state
+        self._last_sent_zone_state = state
         data = encode_heartbeat(summary)
         for zone in self._other_zones():
             # The last known representative may be lost, so one more host of the zone,
--- a/ryelever/host_fetch.py
+++ b/ryelever/host_fetch.py
@@ -113,15 +113,15 @@
             self._configuration_requested_at = now
             self._send_request(CONFIGURATION_PATH, address.address)
 
-    def request_servers_from_knowing_host(self, *, now: float) -> None:
+    def request_servers_from_provider(self, *, now: float) -> None:
         """Request all server records from a host that knows them, of this zone first.
 
         A host that is busy serving the records to others refuses at once, and the
         next call asks another host.
         """
-        providers = self._addresses_knowing_servers(
+        providers = self._provider_addresses(
             self._heartbeats.of_own_zone(now=now)
-        ) or self._addresses_knowing_servers(self._heartbeats.live_heartbeats(now=now))
+        ) or self._provider_addresses(self._heartbeats.live_heartbeats(now=now))
         if providers and not self._is_fetching_servers:
             self._is_fetching_servers = True
             self._send_request(SERVERS_PATH, self._pick_provider(providers))
@@ -161,7 +161,7 @@
         pause = now - self._changes_requested_at
         if self._is_fetching_changes or pause < CHANGES_RETRY:
             return
-        others = self._addresses_knowing_servers(self._heartbeats.of_own_zone(now=now))
+        others = self._provider_addresses(self._heartbeats.of_own_zone(now=now))
         self._n_changes_requests += 1
         if others and (not provider or self._n_changes_requests % 2 == 0):
             provider = self._pick_provider(others)
@@ -170,9 +170,7 @@
             self._is_fetching_changes = True
             self._send_request(changes_path(offset, era=era), provider)
 
-    def _addresses_knowing_servers(
-        self, heartbeats: Iterable[HostHeartbeat]
-    ) -> list[str]:
+    def _provider_addresses(self, heartbeats: Iterable[HostHeartbeat]) -> list[str]:
         """Return the addresses of the hosts that know all backend servers."""
         by_host = self._heartbeats.addresses_by_host
         return [
--- a/ryelever/watch_page.py
+++ b/ryelever/probe_page.py
@@ -13,12 +13,12 @@
     from .metrics import Metrics
     from .transport.relay_callers import RelayCallers
 
-__all__ = ["METRICS_PATH", "WatchPage"]
+__all__ = ["METRICS_PATH", "ProbePage"]
 
 METRICS_PATH = b"/metrics"
 
 
-class WatchPage(BaseComponent):
+class ProbePage(BaseComponent):
     """Answer readiness probes and metrics requests on one address.
 
     Parameters
--- a/ryelever/relay.py
+++ b/ryelever/relay.py
@@ -75,7 +75,7 @@
         *,
         messages: RelayInterface,
         callers: RelayCallers,
-        table: Callable[[], RouteTable | None],
+        route_table: Callable[[], RouteTable | None],
         balancer: Balancer,
         budget: RelayRetryBudget,
         stall_watch: StallWatch,
@@ -86,15 +86,15 @@
         super().__init__()
         self._messages = messages
         self._callers = callers
-        self._table = table
+        self._route_table = route_table
         self._metrics = metrics
         self._received_by_number: dict[int, RelayedRequest] = {}
-        self._cutters_by_attempt: dict[str, RawEventSplitter] = {}
+        self._splitters_by_attempt: dict[str, RawEventSplitter] = {}
         self.stall_watch = stall_watch
         self.balancer = balancer
         self.demand = DemandMeter()
         self.requests = RelayRequests(
-            table=table,
+            table=route_table,
             balancer=balancer,
             budget=budget,
             stall_watch=stall_watch,
@@ -134,7 +134,7 @@
         self._received_by_number.pop(number, None)
 
     def _record_demand(self, model: str, n_prompt: int, *, now: float) -> None:
-        table = self._table()
+        table = self._route_table()
         for _, engine in table.engines() if table else ():
             if model in engine.models_by_name:
                 n_answer = self.demand.answer_length(model, engine)
@@ -157,9 +157,9 @@
         if not self.requests.is_streaming(message.id):
             self.requests.answer_body(message.id, message.data, now=now)
             return
-        cutter = self._cutters_by_attempt.setdefault(message.id, RawEventSplitter())
+        splitter = self._splitters_by_attempt.setdefault(message.id, RawEventSplitter())
         try:
-            events = cutter.feed(message.data)
+            events = splitter.feed(message.data)
         except SseTooLongError:
             self.requests.answer_broken(message.id, "event_too_long", now=now)
             return
@@ -168,13 +168,13 @@
 
     @handler("outbound_end")
     def _on_end(self, attempt_id: str) -> None:
-        cutter = self._cutters_by_attempt.pop(attempt_id, None)
-        cut = cutter is not None and not cutter.is_empty
+        splitter = self._splitters_by_attempt.pop(attempt_id, None)
+        cut = splitter is not None and not splitter.is_empty
         self.requests.answer_end(attempt_id, cut=cut, now=time.monotonic())
 
     @handler("outbound_failed")
     def _on_failed(self, failure: OutboundFailure) -> None:
-        self._cutters_by_attempt.pop(failure.id, None)
+        self._splitters_by_attempt.pop(failure.id, None)
         timed_out = failure.error.category is Category.TIMEOUT
         self.requests.attempt_failed(
             failure.id,
@@ -218,7 +218,7 @@
 
     def cancel(self, attempt_id: str) -> None:
         """Close the connection of an attempt whose answer is no longer needed."""
-        self._cutters_by_attempt.pop(attempt_id, None)
+        self._splitters_by_attempt.pop(attempt_id, None)
         self.fire(outbound_cancel(attempt_id), "http_client")
 
     def answer(
--- a/ryelever/relay_application.py
+++ b/ryelever/relay_application.py
@@ -33,6 +33,7 @@
 from .logs import log_event
 from .metrics import Metrics
 from .peer_requests import PeerRequests
+from .probe_page import ProbePage
 from .quarantine_log import QuarantineLog
 from .relay import Relay
 from .relay_metrics import RelayMetrics, register_gauges
@@ -45,7 +46,6 @@
 from .transport.peers import Peers
 from .transport.poller import Poller
 from .transport.relay_callers import RelayCallers
-from .watch_page import WatchPage
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -158,7 +158,7 @@
             reply_channel="relay",
             limits=self._connection_limits,
         )
-        self.watchers = RelayCallers(
+        self.probe_callers = RelayCallers(
             bind=split_address(settings.ready_address),
             channel="watchers",
             reply_channel="watch_page",
@@ -176,7 +176,7 @@
         self.relay = Relay(
             messages=messages,
             callers=self.callers,
-            table=self._table,
+            route_table=self._route_table,
             balancer=self.balancer,
             budget=RelayRetryBudget(
                 ratio=settings.repeat_ratio,
@@ -236,11 +236,11 @@
 
     # Callbacks that connect the components
 
-    def _table(self) -> object:
-        return self.fleet.table
+    def _route_table(self) -> object:
+        return self.fleet.route_table
 
     def _cold_rate(self, service: str) -> float | None:
-        table = self.fleet.table
+        table = self.fleet.route_table
         found = table.services_by_name.get(service) if table is not None else None
         return None if found is None else found.cold_rate
 
@@ -248,7 +248,7 @@
         return zone in self.evacuations.zones
 
     def _connection_limits(self) -> ConnectionLimits:
-        table = self.fleet.table
+        table = self.fleet.route_table
         return table.limits if table is not None else ConnectionLimits()
 
     def _plans_for(self, zone: str, planning: bool) -> bool:
@@ -290,9 +290,9 @@
             n_zones=len(self.settings.zones),
             is_local=zone == self.settings.availability_zone,
             directory=self.directory,
-            table=self._table,
+            table=self._route_table,
             demand=self._demand,
-            reshaping=lambda: self._reshaping(zone),
+            other_reshaped_zones=lambda: self._other_reshaped_zones(zone),
             list_is_stale=self.fleet.list_is_stale,
             is_evacuated=self._is_evacuated,
             observe=lambda phase, seconds: self.metrics.observe(
@@ -303,7 +303,7 @@
             log=log_event,
         )
 
-    def _reshaping(self, zone: str) -> set[str]:
+    def _other_reshaped_zones(self, zone: str) -> set[str]:
         """Return the zones other than the given one in which groups are disbanded."""
         local = set(self.planning.reshaped_zones())
         return (local | self.heartbeats.reshaped_zones(now=time.monotonic())) - {zone}
@@ -351,13 +351,13 @@
         """Return whether this host can serve requests and is not shutting down."""
         return (
             not self.shutdown.stopping
-            and self.fleet.table is not None
+            and self.fleet.route_table is not None
             and self.fleet.servers.is_current
         )
 
     # The process
 
-    def _serving_tick(self) -> float:
+    def _serving_interval(self) -> float:
         waits = self.relay.requests.has_waiting
         return WAITING_INTERVAL if waits else SERVING_INTERVAL
 
@@ -371,9 +371,9 @@
             self.timers,
             self.http_client,
             self.callers,
-            self.watchers,
+            self.probe_callers,
             *self._metrics_components(),
-            self._watch_page("watch_page", self.watchers),
+            self._probe_page("watch_page", self.probe_callers),
             self.store,
             self.fleet,
             self.relay,
@@ -387,8 +387,8 @@
         ):
             part.register(self)
 
-    def _watch_page(self, channel: str, callers: RelayCallers) -> WatchPage:
-        return WatchPage(
+    def _probe_page(self, channel: str, callers: RelayCallers) -> ProbePage:
+        return ProbePage(
             channel=channel,
             callers=callers,
             ready=lambda: self.ready,
@@ -405,7 +405,7 @@
             reply_channel="metrics_page",
             limits=ConnectionLimits,
         )
-        return [callers, self._watch_page("metrics_page", callers)]
+        return [callers, self._probe_page("metrics_page", callers)]
 
     @handler("started", channel="*")
     def _on_started(self, *args: object) -> None:
@@ -414,7 +414,7 @@
         # that were received before the round.
         timers.every(PEERS_POLL_INTERVAL, peers_poll, "peers")
         timers.every(CONTROL_INTERVAL, control_tick, *CONTROL_CHANNELS)
-        timers.every(self._serving_tick, serving_tick, "relay")
+        timers.every(self._serving_interval, serving_tick, "relay")
         timers.every(HEARTBEAT_INTERVAL, heartbeat_tick, "exchange")
         timers.every(SWEEP_INTERVAL, sweep, *SWEPT_CHANNELS, self.channel)
         log_event(
@@ -422,6 +422,6 @@
             host=self.settings.host,
             zone=self.settings.availability_zone,
             callers_port=self.callers.port,
-            ready_port=self.watchers.port,
+            ready_port=self.probe_callers.port,
             peers_address=self.peers.address,
         )
--- a/ryelever/relay_metrics.py
+++ b/ryelever/relay_metrics.py
@@ -23,21 +23,21 @@
     def __init__(self, *, metrics: Metrics) -> None:
         self._metrics = metrics
 
-    def sent(self, *, is_repeat: bool, limited: bool, waited: float) -> None:
+    def sent(self, *, is_retry: bool, limited: bool, waited: float) -> None:
         """Count an attempt, and record the seconds since its request arrived.
 
         Parameters
         ----------
-        is_repeat : bool
+        is_retry : bool
             Whether the request was sent before; its waiting time isn't recorded then.
         limited : bool
             Whether the backend server has announced a rate limit.
         """
-        kind = "repeat" if is_repeat else "first"
+        kind = "repeat" if is_retry else "first"
         self._metrics.count("relay_sendings", kind)
         if limited:
             self._metrics.count("relay_limited_sendings", kind)
-        if not is_repeat:
+        if not is_retry:
             self._metrics.observe("relay_waiting", waited)
 
     def first_event(self, seconds: float) -> None:
--- a/ryelever/settings.py
+++ b/ryelever/settings.py
@@ -22,8 +22,8 @@
     is_name,
     is_names,
     is_positive,
+    is_positive_integer,
     is_secret,
-    is_size,
 )
 
 __all__ = [
@@ -127,7 +127,7 @@
     Setting(
         name="claims_partitions",
         default=4,
-        check=lambda value: is_size(value) and value <= 1024,
+        check=lambda value: is_positive_integer(value) and value <= 1024,
         expected="a whole number from 1 to 1024, the same on every entry host",
         meaning="Number of streams over which claims are distributed; change it only "
         "while all entry hosts are stopped.",
@@ -246,7 +246,7 @@
     Setting(
         name="group_batch",
         default=256,
-        check=is_size,
+        check=is_positive_integer,
         expected=COUNT,
         meaning="Number of requests that one replica group runs at a time; further "
         "requests wait at the entry host.",
@@ -291,7 +291,7 @@
     Setting(
         name="max_body",
         default=4 << 20,
-        check=is_size,
+        check=is_positive_integer,
         expected=SIZE,
         meaning="Longest body of a caller's request.",
     ),
--- a/ryelever/settings_checks.py
+++ b/ryelever/settings_checks.py
@@ -19,7 +19,7 @@
     "is_names",
     "is_positive",
     "is_secret",
-    "is_size",
+    "is_positive_integer",
 ]
 
 ADDRESS = "an IPv4 address and a port, such as 127.0.0.1:8080"
@@ -73,7 +73,7 @@
     return number and 0 < value < math.inf
 
 
-def is_size(value: Any) -> bool:
+def is_positive_integer(value: Any) -> bool:
     """Return whether a value is a whole number above 0."""
     return isinstance(value, int) and not isinstance(value, bool) and value > 0
 
--- a/ryelever/store_client.py
+++ b/ryelever/store_client.py
@@ -259,14 +259,14 @@
             return
         followed.follower.failed(now=now)
         if failure.error.category is Category.TIMEOUT:
-            self._poke_other_topics(followed, now=now)
+            self._reread_other_topics(followed, now=now)
 
     def _record_failure(self, why: str, *, now: float) -> None:
         self._last_failure = why
         if self._failing_since is None:
             self._failing_since = now
 
-    def _poke_other_topics(self, silent: _FollowedTopic, *, now: float) -> None:
+    def _reread_other_topics(self, silent: _FollowedTopic, *, now: float) -> None:
         """Read all other topics again when one topic's connection has gone silent.
 
         The same fault may have silenced the other connections, and their long reads
@@ -274,7 +274,7 @@
         """
         for followed in self._followed:
             if followed is not silent:
-                followed.follower.read_announced(now=now)
+                followed.follower.reread(now=now)
 
     def _log_reachability(self) -> None:
         reachable = self.is_reachable
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -139,9 +139,9 @@
             for index in range(n_streams)
         ]
         await asyncio.wait_for(half_started.wait(), ANSWER_TIMEOUT)
-        disturbance = inject_fault()
-        if disturbance is not None:
-            await disturbance
+        injection = inject_fault()
+        if injection is not None:
+            await injection
         return list(await asyncio.gather(*streams))
 
     async def is_ready(self, entry: EntryHost) -> bool:
@@ -167,11 +167,11 @@
     def book_until_accepted(self, entry: EntryHost, key: str) -> httpx.Response:
         """Repeat a booking request until it succeeds, and return the answer."""
 
-        def taken() -> httpx.Response | None:
+        def accepted() -> httpx.Response | None:
             answer = self.book(entry, key)
             return answer if answer.status_code == 201 else None
 
-        return wait_until(taken, what=f"{entry.address} answers the booking")
+        return wait_until(accepted, what=f"{entry.address} answers the booking")
 
     @contextlib.contextmanager
     def open_booking(self, entry: EntryHost, key: str) -> Iterator[None]:
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -42,7 +42,7 @@
 COLD_RATE = 17.0
 
 #: Seconds within which all hosts have read a server's record.
-ENTRY_READ = 0.4
+RECORD_READ_TIME = 0.4
 
 #: Seconds between two passes of a host over its waiting requests.
 TICK = 0.05
@@ -234,7 +234,7 @@
         cold = replace(self.servers[name].server, cold_for=seconds, started_at=1)
         warm = replace(cold, cold_for=0.0)
         for host in self.hosts.values():
-            delay = self._random.uniform(0.0, ENTRY_READ)
+            delay = self._random.uniform(0.0, RECORD_READ_TIME)
             self.at(self.now + delay, lambda host=host: self._read(host, cold))
             delay += seconds
             self.at(self.now + delay, lambda host=host: self._read(host, warm))
--- a/tests/test_coordination/test_groups/test_zone_planner.py
+++ b/tests/test_coordination/test_groups/test_zone_planner.py
@@ -37,7 +37,7 @@
         self.directory = Directory()
         for index in range(n_servers):
             self.directory.put(server(f"i{index}", domain=f"d{index // 8}"), now=0.0)
-        self.reshaping_zones: set[str] = set()
+        self.other_reshaped_zones: set[str] = set()
         self.demand: dict[str, float] = {}
         self.list_is_stale = False
         services = [
@@ -58,7 +58,7 @@
             directory=self.directory,
             table=lambda: self.table,
             demand=lambda: self.demand,
-            reshaping=lambda: self.reshaping_zones,
+            other_reshaped_zones=lambda: self.other_reshaped_zones,
             observe=lambda phase, seconds: None,
             list_is_stale=lambda: self.list_is_stale,
             stall_time=STALL_TIME,
--- a/tests/test_coordination/test_lease.py
+++ b/tests/test_coordination/test_lease.py
@@ -197,7 +197,7 @@
     n_sent = len(paused.sent)
     actions = paused.planner.tick(zone.view(paused), now=zone.now)
     assert not paused.planner.holds_lease(zone.view(paused), now=zone.now)
-    zone.do(paused, actions)
+    zone.execute(paused, actions)
     paused.paused = False
     zone.run(20)
     assert zone.groups() == repaired and "a-0" not in repaired[0]
@@ -222,7 +222,7 @@
         lingering.append(action)
         return (30.0,)
 
-    zone.append_fate = fate
+    zone.append_delays = fate
     zone.engines_by_host["a-0"].answers = False
     zone.run_until(lambda: lingering, at_most=10)
     paused.paused = True
--- a/tests/test_coordination/test_planner/test_fencing.py
+++ b/tests/test_coordination/test_planner/test_fencing.py
@@ -89,7 +89,7 @@
     def __init__(self, zone: Zone) -> None:
         self.zone = zone
         self.violations: list[str] = []
-        zone.on_obey = self.obeyed
+        zone.on_execute = self.obeyed
 
     def obeyed(self, engine: Engine, order: SendOrder, before: str) -> None:
         claimed_by = self.zone.group_of(engine.host)
@@ -110,7 +110,7 @@
     """
     zone = _make_zone(checks_fencing)
     obey_watch = _ObeyWatch(zone)
-    zone.order_fate = lambda order: (0.0, delay)
+    zone.order_delays = lambda order: (0.0, delay)
     zone.run_until(zone.groups, at_most=8)
     for host in zone.groups()[0]:
         zone.engines_by_host[host].state = "broken"
@@ -136,10 +136,10 @@
     zone = _make_zone(checks_fencing, n_planners=2)
     obey_watch = _ObeyWatch(zone)
     first, _ = zone.planners
-    zone.order_fate = lambda order: (0.0, delay) if order in first.sent else (0.0,)
+    zone.order_delays = lambda order: (0.0, delay) if order in first.sent else (0.0,)
     zone.run_until(lambda: first.sent, at_most=5)
     zone.run(0.2)
-    zone.do(first, first.planner.release_lease(zone.view(first), now=zone.now))
+    zone.execute(first, first.planner.release_lease(zone.view(first), now=zone.now))
     zone.run_until(zone.groups, at_most=2)
     zone.engines_by_host["a-0"].refuses = True
     first.paused = True
--- a/tests/test_coordination/test_planner/test_planner_change.py
+++ b/tests/test_coordination/test_planner/test_planner_change.py
@@ -173,7 +173,7 @@
     each tick until a slow log returns it.
     """
     zone = _make_zone(a=4, b=4)
-    zone.append_fate = lambda _: (0.9,)
+    zone.append_delays = lambda _: (0.9,)
     n_entries_before = len(zone.entries)
     _change_models(zone, _new_version)
     zone.run(30)
--- a/tests/test_coordination/test_planner/test_planner_machine.py
+++ b/tests/test_coordination/test_planner/test_planner_machine.py
@@ -171,7 +171,7 @@
             step=STEP,
         )
         self.watch = Invariants(zone=self.zone)
-        self.zone.on_obey = self.watch.obeyed
+        self.zone.on_execute = self.watch.obeyed
         self.zone.on_entry = self.watch.folded
         self._run(6.0)
 
@@ -225,12 +225,12 @@
 
     @rule(delays=DELAYS)
     def delay_orders(self, delays: tuple[float, ...]) -> None:
-        self.zone.order_fate = lambda _: delays
+        self.zone.order_delays = lambda _: delays
         self._run(STEP)
 
     @rule(delays=DELAYS)
     def delay_appends(self, delays: tuple[float, ...]) -> None:
-        self.zone.append_fate = lambda _: delays
+        self.zone.append_delays = lambda _: delays
         self._run(STEP)
 
     @rule(version=st.sampled_from(["v1", "v2"]))
@@ -244,7 +244,7 @@
     def teardown(self) -> None:
         """Heal everything; the declared group must serve again."""
         zone = self.zone
-        zone.order_fate = zone.append_fate = lambda _: (0.0,)
+        zone.order_delays = zone.append_delays = lambda _: (0.0,)
         zone.log_is_up = True
         for process in zone.planners:
             process.paused = process.cut_from_log = False
--- a/tests/test_coordination/test_planner/test_planner_repair.py
+++ b/tests/test_coordination/test_planner/test_planner_repair.py
@@ -287,7 +287,7 @@
         seen.add(action.record_id)
         return () if first else (1.5, 2.5)
 
-    zone.append_fate = fate
+    zone.append_delays = fate
     zone.run(30)
     assert zone.kinds().count("formed") == 1 and len(zone.groups()) == 1
 
@@ -317,7 +317,7 @@
 
 
 def _lose_orders_to_leave(zone: Zone) -> None:
-    zone.order_fate = lambda order: () if order.kind == "leave" else (0.0,)
+    zone.order_delays = lambda order: () if order.kind == "leave" else (0.0,)
 
 
 def test_host_that_has_not_left_stays_claimed() -> None:
@@ -332,7 +332,7 @@
     zone.configuration = Configuration()
     zone.run(30)
     assert sorted(zone.truth.group_by_host) == list(ORIGINAL_MEMBERS)
-    zone.order_fate = lambda _: (0.0,)
+    zone.order_delays = lambda _: (0.0,)
     zone.run(3)
     assert zone.truth.group_by_host == {}
 
@@ -352,7 +352,7 @@
     _answer_again(zone, "a-3")
     zone.run(20)
     assert zone.group_of("a-3") == "" and zone.groups() == []
-    zone.order_fate = lambda _: (0.0,)
+    zone.order_delays = lambda _: (0.0,)
     zone.run_until(lambda: zone.groups() == [("a-0", "a-1", "a-2", "a-3")], at_most=9)
 
 
--- a/tests/test_coordination/test_polling.py
+++ b/tests/test_coordination/test_polling.py
@@ -23,16 +23,16 @@
 SERVERS = [f"w{index}" for index in range(60)]
 
 
-def shares(host: str, *members: str) -> PollingAssignment:
+def new_assignment(host: str, *members: str) -> PollingAssignment:
     result = PollingAssignment(host=host)
     result.set_members(members)
     return result
 
 
 def pollers(hosts: list[str]) -> dict[str, set[str]]:
-    shares_by_host = {host: shares(host, *hosts) for host in hosts}
+    assignments_by_host = {host: new_assignment(host, *hosts) for host in hosts}
     return {
-        server: {host for host in hosts if shares_by_host[host].polls(server)}
+        server: {host for host in hosts if assignments_by_host[host].polls(server)}
         for server in SERVERS
     }
 
@@ -69,7 +69,7 @@
     """
     hosts = HOSTS[:n_hosts]
     for server in SERVERS:
-        ranks = [shares(host, *hosts).rank(server) for host in hosts]
+        ranks = [new_assignment(host, *hosts).rank(server) for host in hosts]
         assert sorted(ranks) == expected
 
 
@@ -90,17 +90,18 @@
     )
 
 
-# (shares, age of the newest report or None, seconds since this host's last poll, due)
-ALONE = shares("e0")
-LARGE_ZONE = shares("x", "a", "b", "c", "d", "e", "f")
+# (assignment, server, age of the newest report or None, seconds since this host's
+# last poll, due)
+ALONE = new_assignment("e0")
+LARGE_ZONE = new_assignment("x", "a", "b", "c", "d", "e", "f")
 UNASSIGNED_SERVER = next(server for server in SERVERS if not LARGE_ZONE.polls(server))
 FIRST_SERVER = next(server for server in SERVERS if LARGE_ZONE.rank(server) == 0)
-SMALL_ZONE = shares("x", "a", "b", "c")
+SMALL_ZONE = new_assignment("x", "a", "b", "c")
 SECOND_SERVER = next(server for server in SERVERS if SMALL_ZONE.rank(server) == 1)
 
 
 @pytest.mark.parametrize(
-    ("poll_shares", "server", "age", "since", "due"),
+    ("assignment", "server", "age", "since", "due"),
     [
         pytest.param(ALONE, "w1", 0.1, 0.5, True, id="alone_polls"),
         pytest.param(ALONE, "w1", 0.1, 0.4, False, id="alone_at_interval"),
@@ -127,7 +128,7 @@
     ],
 )
 def test_when_a_server_is_polled(
-    poll_shares: PollingAssignment,
+    assignment: PollingAssignment,
     server: str,
     age: float | None,
     since: float,
@@ -139,7 +140,7 @@
     must poll themselves instead of waiting for reports that no host sends.
     """
     following = ReportPolling(
-        shares=poll_shares, availability_zone="a", interval=0.5, max_age=2.0
+        assignment=assignment, availability_zone="a", interval=0.5, max_age=2.0
     )
     assert following.is_due(server, zone="a", reported_at=None, now=100.0)
     now = 100.0 + since
--- a/tests/test_coordination/test_topic.py
+++ b/tests/test_coordination/test_topic.py
@@ -161,7 +161,7 @@
     hanging = follower.next_call(now=1.0)
     assert hanging is not None
     first = follower.n_calls
-    follower.read_announced(now=1.5)
+    follower.reread(now=1.5)
     assert follower.next_call(now=1.5) is not None
     assert follower.n_calls == first + 1
 
@@ -169,7 +169,7 @@
 def test_an_announcement_does_not_replace_a_read_that_just_started() -> None:
     follower = _listed()
     assert follower.next_call(now=1.0) is not None
-    follower.read_announced(now=1.1)
+    follower.reread(now=1.1)
     assert follower.next_call(now=1.1) is None
 
 
@@ -209,11 +209,11 @@
     )
 
 
-def test_a_suspended_follower_reads_only_when_it_is_poked() -> None:
+def test_a_suspended_follower_reads_only_on_request() -> None:
     follower = _listed()
     follower.suspended = True
     assert follower.next_call(now=1.0) is None
-    follower.read_announced(now=1.0)
+    follower.reread(now=1.0)
     assert "from=7" in follower.next_call(now=1.0).path
     follower.answered(200, _page(7, 0), now=1.1)
     assert follower.next_call(now=9.0) is None
--- a/tests/test_fleet_directory.py
+++ b/tests/test_fleet_directory.py
@@ -139,18 +139,18 @@
 
 
 def _server_record(server_id: str, offset: int, **changes: object) -> KeyedRecord:
-    entry = {
+    record = {
         "service": "s",
         "address": "10.0.0.1:80",
         "zone": "z",
         "slots": 13,
         "state": "ready",
     }
-    entry |= changes
-    return KeyedRecord(key=server_id, value=json.dumps(entry).encode(), offset=offset)
+    record |= changes
+    return KeyedRecord(key=server_id, value=json.dumps(record).encode(), offset=offset)
 
 
-def _removed(server_id: str, offset: int) -> KeyedRecord:
+def _removal_record(server_id: str, offset: int) -> KeyedRecord:
     return KeyedRecord(key=server_id, value=b"", offset=offset)
 
 
@@ -181,7 +181,9 @@
         host.fleet._on_tick()
         host.fleet.servers.failed_at = clock.now + 1.0
     clock.now += MIN_OUTAGE + 4.0
-    other.fleet._on_forwarded_updates(reader.apply_read(_removed("i1", 1), end=2))
+    other.fleet._on_forwarded_updates(
+        reader.apply_read(_removal_record("i1", 1), end=2)
+    )
     clock.now += 0.5
     other.fleet._on_forwarded_updates(reader.apply_read(_server_record("i1", 2), end=3))
     clock.now += RECORDS_RETURN_TIME + 1.0
@@ -378,9 +380,9 @@
     host.apply_listing(_server_record("i1", 0), end=1)
     host.fleet._store._failing_since = None if is_reachable else 0.0
     host.fleet._store.forwarded_at = clock.now
-    began = clock.now
+    started_at = clock.now
     call = None
-    while call is None and clock.now < began + 2 * MAX_UPDATE_SILENCE:
+    while call is None and clock.now < started_at + 2 * MAX_UPDATE_SILENCE:
         clock.now += 0.1
         sequence = round(10 * clock.now)
         _receive(
@@ -388,7 +390,7 @@
         )
         host.fleet._suspend_or_read(now=clock.now)
         call = host.fleet.servers.next_call(now=clock.now)
-    waited = clock.now - began
+    waited = clock.now - started_at
     assert (call is not None) is is_reachable
     assert not is_reachable or waited == pytest.approx(MAX_UPDATE_SILENCE, abs=0.21)
 
@@ -585,9 +587,9 @@
         assert (found.group.state, found.slots) == (GroupState.OPEN, 7)
         assert found.models == {"m"}
         assert found.staged == {"n"}
-    n_passed_on = len(planner.forwarded_updates)
+    n_forwarded = len(planner.forwarded_updates)
     planner.fleet._on_reported("i1", REPORT)
-    assert len(planner.forwarded_updates) == n_passed_on
+    assert len(planner.forwarded_updates) == n_forwarded
 
 
 def test_forwarded_reports_are_ignored_while_the_list_is_current(clock: Clock) -> None:
@@ -716,7 +718,7 @@
     clock.now += LIST_STALE_AFTER + 0.1
     host.fleet._on_reported("i1", REPORT)
     clock.now += MIN_OUTAGE + RECORDS_RETURN_TIME
-    host.apply_read(_server_record("i1", 1), _removed("i1", 2), end=3)
+    host.apply_read(_server_record("i1", 1), _removal_record("i1", 2), end=3)
     clock.now += RECORDS_RETURN_TIME + REPORTED_PRECEDENCE + 0.1
     host.fleet._on_tick()
     clock.now += 0.1
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -10,7 +10,7 @@
 
 #: Seconds after a server's first announcement of a limit from which the limit must be
 #: kept, and length in seconds of the windows in which requests are counted.
-IN_FORCE = 3.0
+SETTLING_TIME = 3.0
 WINDOW = 4.0
 
 #: A server may get this multiple of its limit, plus this number of requests, within a
@@ -19,7 +19,7 @@
 SLACK = 5
 
 #: Seconds at which the servers first announce their limits.
-NAMED_AT = 2.0
+ANNOUNCED_AT = 2.0
 
 
 def _allowed(limit: float) -> float:
@@ -44,10 +44,10 @@
 ) -> None:
     """Keep the sum of all hosts' requests to a server within its limit."""
     limited = fleet.servers["y-server-0"]
-    fleet.run(NAMED_AT)
+    fleet.run(ANNOUNCED_AT)
     limited.limit = "1"
-    fleet.run(NAMED_AT + IN_FORCE + 12.0)
-    arrivals = limited.arrivals_from_informed_hosts(after=NAMED_AT + IN_FORCE)
+    fleet.run(ANNOUNCED_AT + SETTLING_TIME + 12.0)
+    arrivals = limited.arrivals_from_informed_hosts(after=ANNOUNCED_AT + SETTLING_TIME)
     assert max_within(arrivals, window=WINDOW) <= _allowed(1.0)
 
 
@@ -73,13 +73,15 @@
     No server without a limit is left then to which hosts could send instead.
     """
     draws = random.Random(1)
-    fleet.lost = lambda sender, taker: draws.random() < lost_share
+    fleet.lost = lambda sender, receiver: draws.random() < lost_share
     fleet.rate_by_host = dict.fromkeys(fleet.hosts, rate / len(fleet.hosts))
-    fleet.run(NAMED_AT)
+    fleet.run(ANNOUNCED_AT)
     _limit_all(fleet, limit)
-    fleet.run(NAMED_AT + IN_FORCE + 6.0)
+    fleet.run(ANNOUNCED_AT + SETTLING_TIME + 6.0)
     for server in fleet.servers.values():
-        arrivals = server.arrivals_from_informed_hosts(after=NAMED_AT + IN_FORCE)
+        arrivals = server.arrivals_from_informed_hosts(
+            after=ANNOUNCED_AT + SETTLING_TIME
+        )
         assert max_within(arrivals, window=WINDOW) <= _allowed(float(limit))
 
 
@@ -91,22 +93,22 @@
     They must not use the shares of the hosts of that zone, which still send requests.
     """
     limited = fleet.servers["y-server-0"]
-    fleet.run(NAMED_AT)
+    fleet.run(ANNOUNCED_AT)
     limited.limit = "2"
-    fleet.run(NAMED_AT + IN_FORCE)
-    fleet.lost = lambda sender, taker: "z" in {sender.zone, taker.zone}
-    fleet.run(NAMED_AT + IN_FORCE + 8.0)
-    arrivals = limited.arrivals_from_informed_hosts(after=NAMED_AT + IN_FORCE)
+    fleet.run(ANNOUNCED_AT + SETTLING_TIME)
+    fleet.lost = lambda sender, receiver: "z" in {sender.zone, receiver.zone}
+    fleet.run(ANNOUNCED_AT + SETTLING_TIME + 8.0)
+    arrivals = limited.arrivals_from_informed_hosts(after=ANNOUNCED_AT + SETTLING_TIME)
     assert max_within(arrivals, window=WINDOW) <= _allowed(2.0)
 
 
 def test_limited_servers_are_used(fleet: LimitedFleet) -> None:
     """Use at least 0.8 of each limit rather than refuse callers."""
     fleet.rate_by_host = dict.fromkeys(fleet.hosts, 36.0 / len(fleet.hosts))
-    fleet.run(NAMED_AT)
+    fleet.run(ANNOUNCED_AT)
     _limit_all(fleet, "3")
-    fleet.run(NAMED_AT + IN_FORCE + 8.0)
-    start = NAMED_AT + IN_FORCE
+    fleet.run(ANNOUNCED_AT + SETTLING_TIME + 8.0)
+    start = ANNOUNCED_AT + SETTLING_TIME
     n_served = [item.n_between(start, start + 8.0) for item in fleet.servers.values()]
     assert min(n_served) >= 0.8 * 3 * 8.0
 
@@ -121,10 +123,10 @@
     for host in fleet.hosts:
         busy = host == "z-host-1"
         fleet.rate_by_host[host] = 20.0 if busy else 0.0
-    fleet.run(NAMED_AT)
+    fleet.run(ANNOUNCED_AT)
     _limit_all(fleet, "2")
-    fleet.run(NAMED_AT + IN_FORCE + 8.0)
-    start = NAMED_AT + IN_FORCE
+    fleet.run(ANNOUNCED_AT + SETTLING_TIME + 8.0)
+    start = ANNOUNCED_AT + SETTLING_TIME
     n_served = [item.n_between(start, start + 8.0) for item in fleet.servers.values()]
     assert min(n_served) >= 0.8 * 2 * 8.0
 
@@ -178,7 +180,7 @@
         rate=100.0 * n_servers,
     )
     draws = random.Random(1)
-    fleet.lost = lambda sender, taker: draws.random() < lost_share
+    fleet.lost = lambda sender, receiver: draws.random() < lost_share
     cold = [name for name in fleet.servers if name.startswith("y")]
     for item in fleet.servers.values():
         item.seconds = 0.1
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -30,7 +30,7 @@
         (placement_stream("b"), LONG_READ_WAIT),
     ],
 )
-def test_only_urgent_streams_are_asked_often(stream: str, wait: float) -> None:
+def test_only_urgent_streams_are_read_often(stream: str, wait: float) -> None:
     """Wait longer at the end of streams whose records are not urgent.
 
     If every stream were read with the shortest wait that any of them needs, once a
--- a/tests/zone.py
+++ b/tests/zone.py
@@ -160,7 +160,7 @@
 
     Attributes
     ----------
-    order_fate, append_fate : callable
+    order_delays, append_delays : callable
         Return the delays in seconds after which an order or append arrives: an empty
         sequence if it is lost, several delays if it is duplicated.
     """
@@ -186,9 +186,9 @@
         self.truth = PlacementFold()
         self.log_is_up = True
         self.n_appends = 0
-        self.order_fate: Callable[[SendOrder], Sequence[float]] = lambda _: (0.0,)
-        self.append_fate: Callable[[AppendRecord], Sequence[float]] = lambda _: (0.0,)
-        self.on_obey: Callable[[Engine, SendOrder, str], None] = lambda *_: None
+        self.order_delays: Callable[[SendOrder], Sequence[float]] = lambda _: (0.0,)
+        self.append_delays: Callable[[AppendRecord], Sequence[float]] = lambda _: (0.0,)
+        self.on_execute: Callable[[Engine, SendOrder, str], None] = lambda *_: None
         self.on_entry: Callable[[Entry, str | None], None] = lambda *_: None
         self.engines_by_host: dict[str, Engine] = {}
         self.listed_by_host: dict[str, ListedHost] = {}
@@ -302,7 +302,7 @@
             self._request_reports(process)
         if self.log_is_up and not process.cut_from_log:
             process.fold_entries(self.entries)
-        self.do(process, process.planner.tick(self.view(process), now=self.now))
+        self.execute(process, process.planner.tick(self.view(process), now=self.now))
         self._append(process)
 
     def _request_reports(self, process: PlannerProcess) -> None:
@@ -317,12 +317,12 @@
                 report = engine.report(now=self.now)
                 process.confirmations.reported(report, requested_at=self.now)
 
-    def do(self, process: PlannerProcess, actions: list[Action]) -> None:
-        """Carry out a planner's actions."""
+    def execute(self, process: PlannerProcess, actions: list[Action]) -> None:
+        """Execute a planner's actions."""
         for action in actions:
             if isinstance(action, SendOrder):
                 process.sent.append(action)
-                for delay in self.order_fate(action):
+                for delay in self.order_delays(action):
                     self.later(delay, lambda order=action: self._deliver(order))
             else:
                 process.writer.add(
@@ -341,7 +341,7 @@
             and not engine.refuses
             and engine.execute(order, now=self.now)
         ):
-            self.on_obey(engine, order, before)
+            self.on_execute(engine, order, before)
 
     def _append(self, process: PlannerProcess) -> None:
         for pending in process.writer.due(now=self.now):
@@ -352,7 +352,7 @@
             )
             if process.cut_from_log or not self.log_is_up:
                 continue
-            for delay in self.append_fate(action):
+            for delay in self.append_delays(action):
                 self.later(delay, lambda append=action: self._append_entry(append))
         process.writer.answered()
 
