--- a/tests/test_fleet_directory.py
+++ b/tests/test_fleet_directory.py
@@ -139,15 +139,15 @@
 
 
 def _server_record(server_id: str, offset: int, **changes: object) -> KeyedRecord:
-    record = {
+    entry = {
         "service": "s",
         "address": "10.0.0.1:80",
         "zone": "z",
         "slots": 13,
         "state": "ready",
     }
-    record |= changes
-    return KeyedRecord(key=server_id, value=json.dumps(record).encode(), offset=offset)
+    entry |= changes
+    return KeyedRecord(key=server_id, value=json.dumps(entry).encode(), offset=offset)
 
 
 def _removal_record(server_id: str, offset: int) -> KeyedRecord:
