--- a/ryelever/fleet_directory.py
+++ b/ryelever/fleet_directory.py
@@ -36,12 +36,12 @@
 
 __all__ = ["FleetDirectory"]
 
-#: Least seconds between two reads of the backend servers' records.  Fifty servers
+#: Minimum seconds between two reads of the backend servers' records.  Fifty servers
 #: write forty records a second, and one read for each record would cost ten times as
 #: much.  A server's departure must be known within two seconds.
 MIN_SERVERS_READ_INTERVAL = 0.3
 
-#: Least number of record renewals that a server has missed when its record expires.
+#: Minimum number of record renewals that a server has missed when its record expires.
 #: The store waits for three; half an interval is allowed for the store's clock and
 #: for the time in which the last renewal was on its way.
 LAPSED_RENEWALS = 2.5
@@ -56,7 +56,7 @@
 #: reach the store have renewed their records.
 RENEWAL_TIME_AFTER_RETURN = 3.0
 
-#: Least seconds between two reads of the entry hosts' records.  When all hosts start
+#: Minimum seconds between two reads of the entry hosts' records.  When all hosts start
 #: together they write their records within half a second, and one read for each
 #: record would make the number of reads grow with the square of the hosts.
 MIN_HOSTS_READ_INTERVAL = 0.3
@@ -89,7 +89,7 @@
 
     Attributes
     ----------
-    table : RouteTable or None
+    route_table : RouteTable or None
         The newest configuration that this process has seen.
     """
 
@@ -117,7 +117,7 @@
         self._evacuations = evacuations
         self._own_address = own_address
         self._removals = Removals(renewal_interval=settings.heartbeat_interval)
-        self.table: RouteTable | None = None
+        self.route_table: RouteTable | None = None
         self.configuration = TopicFollower(log=log, topic=documents.operator_topic)
         self.servers = TopicFollower(
             log=log,
@@ -180,7 +180,7 @@
         self._update_listing_schedule(now=now)
         if not self.servers.is_current:
             if self.servers.defers_listing:
-                self.fetch.request_servers_from_knowing_host(now=now)
+                self.fetch.request_servers_from_provider(now=now)
             if self.list_is_stale():
                 self.fetch.request_servers_from_any_host(now=now)
         unannounced = self._acknowledged_at is None
@@ -194,7 +194,10 @@
 
     @handler("store_returned")
     def _on_store_returned(self) -> None:
-        """List the followed topics again after the store returned from an older copy.
+        """Restart the listings after the store returned from an older copy.
+
+        The topics of the configuration and of the hosts are listed again only if their
+        reading is not suspended.
 
         The copy may show a member of a serving group as free, and a planner would
         assign that member to another group.  Listed records of servers that this host
@@ -221,7 +224,7 @@
         """
         is_reachable = self._store.is_reachable
         reads = self._heartbeats.reads_for_zone(reads_store=is_reachable, now=now)
-        self.configuration.suspended = not reads and self.table is not None
+        self.configuration.suspended = not reads and self.route_table is not None
         acknowledged_at = self._acknowledged_at
         knows_all = (
             acknowledged_at is not None and self.hosts.asked_at > acknowledged_at
@@ -284,9 +287,9 @@
             )
             return
         table = read.ok
-        if self.table is not None and table.version <= self.table.version:
+        if self.route_table is not None and table.version <= self.route_table.version:
             return
-        self.table = table
+        self.route_table = table
         self._document = data
         self._in_force_since = time.monotonic()
         self.fetch.caught_up()
@@ -296,7 +299,7 @@
     @property
     def version(self) -> int:
         """Return the configuration version in force, or -1 before there is one."""
-        return -1 if self.table is None else self.table.version
+        return -1 if self.route_table is None else self.route_table.version
 
     def configuration_age(self) -> float:
         """Return the seconds since the configuration in force was applied, or -1."""
@@ -312,9 +315,12 @@
         """Fetch the configuration if another entry host has a newer version in force.
 
         A newer version binds all hosts, but the store may refuse this host's reads, or
-        a read may hang on a silent connection.  The host reads the store again at
-        once, and requests the configuration from the other host if that doesn't help
-        soon.  A host whose reading is suspended asks a host of its zone first.
+        a read may hang on a silent connection.  The host therefore reads the store
+        again at once.  A host whose reading is suspended, however, first requests a
+        configuration of up to ``MAX_FETCHED_CONFIGURATION`` bytes from the other host
+        if that host is of its zone, and waits otherwise.  If the host has lacked the
+        newer version for more than ``FALLBACK_DELAY`` (in host_fetch), it reads the
+        store and also requests the configuration from the other host, of any zone.
         """
         if heartbeat.configuration_version <= self.version:
             return
@@ -322,7 +328,7 @@
         in_same_zone = heartbeat.availability_zone == self._settings.availability_zone
         is_small = heartbeat.configuration_size <= MAX_FETCHED_CONFIGURATION
         if overdue or not (self.configuration.suspended and is_small):
-            self.configuration.read_announced(now=now)
+            self.configuration.reread(now=now)
         if overdue or (self.configuration.suspended and is_small and in_same_zone):
             self.fetch.request_configuration(heartbeat.host, now=now)
 
--- a/ryelever/fleet_watch.py
+++ b/ryelever/fleet_watch.py
@@ -37,7 +37,7 @@
 #: Maximum age, in seconds, of a report polled by this host that is sent to peers.
 MAX_ANNOUNCED_AGE = 5.0
 
-#: State reported to peers for a host that refuses connections.
+#: State reported to peers for a host to which this host cannot connect.
 UNREACHABLE = "unreachable"
 
 
@@ -70,9 +70,9 @@
         self._polled_by_name: dict[str, ListedHost] = {}
         self._list_due_at = 0.0
         self._list_tag = ""
-        self.shares = PollingAssignment(host=settings.host)
+        self.assignment = PollingAssignment(host=settings.host)
         self._report_polling = ReportPolling(
-            shares=self.shares,
+            assignment=self.assignment,
             availability_zone=settings.availability_zone,
             interval=settings.report_interval,
             max_age=settings.report_max_age,
@@ -198,7 +198,7 @@
             )
 
     def failed(self, pending: PendingRequest, failure: OutboundFailure) -> None:
-        """Keep the last list, or mark a host that refuses connections unreachable."""
+        """Keep the last list, or record that a host cannot be connected to."""
         if pending.kind == "list":
             log_warning("hosts_list_failed", message=failure.error.message)
             return
@@ -207,7 +207,7 @@
             self.refused(pending.subject, at=time.monotonic())
 
     def refused(self, host: str, *, at: float) -> None:
-        """Record that a host refuses connections, to be reported to peers too."""
+        """Record that a host cannot be connected to, to be reported to peers too."""
         self.confirmations.record_unreachable(host)
         self._local_reports_by_host[host] = LatestReport(
             report=HostReport(host=host, boot="", state=UNREACHABLE), requested_at=at
@@ -226,9 +226,9 @@
     def aged_observations(self, *, now: float) -> list[tuple[Observation, float]]:
         """Return the recent reports that this entry host has polled itself."""
         return [
-            (ReportRow(report=fresh.report), fresh.requested_at)
-            for fresh in self._local_reports_by_host.values()
-            if now - fresh.requested_at <= MAX_ANNOUNCED_AGE
+            (ReportRow(report=latest.report), latest.requested_at)
+            for latest in self._local_reports_by_host.values()
+            if now - latest.requested_at <= MAX_ANNOUNCED_AGE
         ]
 
     def observed(
--- a/ryelever/host_exchange.py
+++ b/ryelever/host_exchange.py
@@ -83,8 +83,8 @@
         self._boot = int.from_bytes(os.urandom(7), "big")
         self._sequence = 0
         self._n_broadcasts = 0
-        self._last_near_state: tuple[object, ...] = ()
-        self._last_far_state: tuple[object, ...] = ()
+        self._last_sent_state: tuple[object, ...] = ()
+        self._last_sent_zone_state: tuple[object, ...] = ()
         self._reachable_peers: set[str] = set()
         self._unreachable_zones: set[str] = set()
         self._started_at = time.monotonic()
@@ -113,9 +113,9 @@
         )
         if (
             self._sequence % n_ticks == 0
-            or urgent_state(heartbeat) != self._last_near_state
+            or urgent_state(heartbeat) != self._last_sent_state
         ):
-            self._last_near_state = urgent_state(heartbeat)
+            self._last_sent_state = urgent_state(heartbeat)
             data = encode_heartbeat(heartbeat)
             if relied_on:
                 self._broadcast_in_zone(data)
@@ -135,7 +135,8 @@
 
     def _update_limit_shares(self, *, now: float) -> None:
         if self._balancer.limits.is_empty or now - self._started_at < DISCOVERY_TIME:
-            # A host that has not yet received any heartbeats would claim a whole limit.
+            # A host that has not received any heartbeats yet would claim all of
+            # a limit.
             return
         self._balancer.limits.update_shares(
             host=self._settings.host,
@@ -169,9 +170,12 @@
             interval=TICKS_PER_ZONE_HEARTBEAT * HEARTBEAT_INTERVAL,
         )
         state = urgent_state(summary)
-        if self._sequence % TICKS_PER_ZONE_HEARTBEAT and state == self._last_far_state:
+        if (
+            self._sequence % TICKS_PER_ZONE_HEARTBEAT
+            and state == self._last_sent_zone_state
+        ):
             return
-        self._last_far_state = state
+        self._last_sent_zone_state = state
         data = encode_heartbeat(summary)
         for zone in self._other_zones():
             # The last known representative may be lost, so one more host of the zone,
@@ -263,11 +267,10 @@
         return address.availability_zone == self._settings.availability_zone
 
     def _broadcast_in_zone(self, data: bytes) -> None:
-        """Send a datagram to the other hosts of this zone, to some through others.
+        """Send a datagram to the zone's other hosts; in large zones some forward it.
 
-        Used for datagrams that are frequent or large and come from one host or a few:
-        sent directly, each would cross the sender's link once for every host of the
-        zone.
+        Used for frequent or large datagrams that one host or a few hosts send: sent
+        directly, each would cross the sender's link once for every host of the zone.
         """
         living = {
             heartbeat.host
--- a/ryelever/host_fetch.py
+++ b/ryelever/host_fetch.py
@@ -39,16 +39,16 @@
 #: milliseconds, another host within some tens of milliseconds.
 FALLBACK_DELAY = 0.3
 
-#: Least seconds between two requests for the configuration, and the connect and
+#: Minimum seconds between two requests for the configuration, and the connect and
 #: progress timeouts of all requests to other entry hosts.
 FETCH_RETRY = 0.5
 
-#: Least seconds between two requests for changes, whose answers are short.
+#: Minimum seconds between two requests for changes, whose answers are short.
 CHANGES_RETRY = 0.2
 
 
 class HostFetch(BaseComponent):
-    """Send requests to other entry hosts and hand on their answers.
+    """Send requests to other entry hosts and pass their answers to callbacks.
 
     Parameters
     ----------
@@ -106,22 +106,22 @@
         return now - self._behind_since > FALLBACK_DELAY
 
     def request_configuration(self, host: str, *, now: float) -> None:
-        """Request the configuration from a host, unless one was asked recently."""
+        """Request the configuration from a host, unless it was requested recently."""
         address = self._heartbeats.addresses_by_host.get(host)
         requested_recently = now - self._configuration_requested_at < FETCH_RETRY
         if address is not None and not requested_recently:
             self._configuration_requested_at = now
             self._send_request(CONFIGURATION_PATH, address.address)
 
-    def request_servers_from_knowing_host(self, *, now: float) -> None:
+    def request_servers_from_provider(self, *, now: float) -> None:
         """Request all server records from a host that knows them, of this zone first.
 
         A host that is busy serving the records to others refuses at once, and the
         next call asks another host.
         """
-        providers = self._addresses_knowing_servers(
+        providers = self._provider_addresses(
             self._heartbeats.of_own_zone(now=now)
-        ) or self._addresses_knowing_servers(self._heartbeats.live_heartbeats(now=now))
+        ) or self._provider_addresses(self._heartbeats.live_heartbeats(now=now))
         if providers and not self._is_fetching_servers:
             self._is_fetching_servers = True
             self._send_request(SERVERS_PATH, self._pick_provider(providers))
@@ -161,7 +161,7 @@
         pause = now - self._changes_requested_at
         if self._is_fetching_changes or pause < CHANGES_RETRY:
             return
-        others = self._addresses_knowing_servers(self._heartbeats.of_own_zone(now=now))
+        others = self._provider_addresses(self._heartbeats.of_own_zone(now=now))
         self._n_changes_requests += 1
         if others and (not provider or self._n_changes_requests % 2 == 0):
             provider = self._pick_provider(others)
@@ -170,9 +170,7 @@
             self._is_fetching_changes = True
             self._send_request(changes_path(offset, era=era), provider)
 
-    def _addresses_knowing_servers(
-        self, heartbeats: Iterable[HostHeartbeat]
-    ) -> list[str]:
+    def _provider_addresses(self, heartbeats: Iterable[HostHeartbeat]) -> list[str]:
         """Return the addresses of the hosts that know all backend servers."""
         by_host = self._heartbeats.addresses_by_host
         return [
@@ -212,7 +210,8 @@
         if answer.status == BUSY_STATUS:
             return
         if answer.status == 404 and _is_changes_request(answer.id):
-            # The provider misses the same changes; the next request asks another host.
+            # The provider doesn't have these changes either.  A later request asks
+            # another host, or this one again if no other host is known.
             return
         if answer.status != 200:
             log_event(
