--- a/ryelever/coordination/actions.py
+++ b/ryelever/coordination/actions.py
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ChatWork:
-    """Represent a chat completion request to a model."""
+    """A chat completion request to a model."""
 
     model: str
     messages: list[dict]
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ServiceWork:
-    """Represent a call to a plain service, which is forwarded unchanged."""
+    """A call to a plain service, which is forwarded unchanged."""
 
     service: str
     method: str
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Arrival:
-    """Represent an accepted request of a caller.
+    """An accepted request of a caller.
 
     Attributes
     ----------
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Usage:
-    """Represent the token counts of an answer."""
+    """The token counts of an answer."""
 
     n_prompt_tokens: int = 0
     n_completion_tokens: int = 0
--- a/ryelever/coordination/confirmation.py
+++ b/ryelever/coordination/confirmation.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class LatestReport:
-    """Represent a host's report and the time at which it was requested.
+    """A host's report and the time at which it was requested.
 
     Attributes
     ----------
--- a/ryelever/coordination/evacuations.py
+++ b/ryelever/coordination/evacuations.py
@@ -13,7 +13,7 @@
 
 
 class OperatorPosition(msgspec.Struct, frozen=True, order=True):
-    """Represent a read position in the operator's topic; positions are ordered.
+    """A read position in the operator's topic; positions are ordered.
 
     Attributes
     ----------
--- a/ryelever/coordination/fan_out.py
+++ b/ryelever/coordination/fan_out.py
@@ -14,7 +14,7 @@
 
 
 class DirectReceiver(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent a direct receiver and the hosts to which it forwards the datagram.
+    """A direct receiver and the hosts to which it forwards the datagram.
 
     Attributes
     ----------
--- a/ryelever/coordination/host_heartbeats.py
+++ b/ryelever/coordination/host_heartbeats.py
@@ -53,7 +53,7 @@
 
 
 class HostAddress(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent the address that an entry host has written into the store."""
+    """The address that an entry host has written into the store."""
 
     host: str
     address: str
@@ -61,7 +61,7 @@
 
 
 class HostHeartbeat(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent a heartbeat: the state that an entry host reports to other hosts.
+    """A heartbeat: the state that an entry host reports to other hosts.
 
     Attributes
     ----------
@@ -167,7 +167,7 @@
 
 
 class _Received(msgspec.Struct, kw_only=True):
-    """Represent the newest heartbeat of a host and its time of receipt."""
+    """The newest heartbeat of a host and its time of receipt."""
 
     heartbeat: HostHeartbeat
     received_at: float
--- a/ryelever/coordination/log_reader.py
+++ b/ryelever/coordination/log_reader.py
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Read:
-    """Represent a read of records from an offset.
+    """A read of records from an offset.
 
     Attributes
     ----------
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ReadPage:
-    """Represent an answer to a read.
+    """An answer to a read.
 
     Attributes
     ----------
@@ -99,7 +99,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class AppliedEntry:
-    """Represent the result of applying an entry to the fold.
+    """The result of applying an entry to the fold.
 
     Attributes
     ----------
@@ -124,7 +124,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Search:
-    """Represent a backward search for a snapshot.
+    """A backward search for a snapshot.
 
     The offsets [low, high) are being read; ``cursor`` is the next offset to read.
     """
--- a/ryelever/coordination/log_writer.py
+++ b/ryelever/coordination/log_writer.py
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Pending:
-    """Represent a record that is neither read back nor past its deadline.
+    """A record that is neither read back nor past its deadline.
 
     Attributes
     ----------
--- a/ryelever/coordination/measures.py
+++ b/ryelever/coordination/measures.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Sample:
-    """Represent the maxima of both measures within a sample interval.
+    """The maxima of both measures within a sample interval.
 
     An outage of two seconds would fall between two momentary samples, and the plot
     would not show it.
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Downtime:
-    """Represent the downtime of a model in an availability zone.
+    """The downtime of a model in an availability zone.
 
     Attributes
     ----------
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class MeasuresView:
-    """Represent the state of the fleet from which both measures are computed."""
+    """The state of the fleet from which both measures are computed."""
 
     configuration: Configuration
     placements_by_zone: dict[str, PlacementFold]
--- a/ryelever/coordination/readiness.py
+++ b/ryelever/coordination/readiness.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ReadinessInputs:
-    """Represent the knowledge of an entry host about the fleet at a given time.
+    """The knowledge of an entry host about the fleet at a given time.
 
     Attributes
     ----------
--- a/ryelever/coordination/relaying/unrouted.py
+++ b/ryelever/coordination/relaying/unrouted.py
@@ -15,7 +15,7 @@
 
 
 class UnroutedArrivals:
-    """Hold requests for a short time until the first configuration arrives.
+    """Keep requests for a short time until the first configuration arrives.
 
     A host gets requests as soon as it has restarted. Refusing them until the store's
     first response would fail all callers of that tenth of a second.
--- a/ryelever/coordination/repairs.py
+++ b/ryelever/coordination/repairs.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Repair:
-    """Represent a change of the placement.
+    """A change of the placement.
 
     Attributes
     ----------
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class GroupWatch:
-    """Represent a group's state and the time since which this entry host sees it.
+    """A group's state and the time since which this entry host sees it.
 
     Attributes
     ----------
--- a/ryelever/coordination/requests/requests.py
+++ b/ryelever/coordination/requests/requests.py
@@ -50,7 +50,7 @@
 
 
 class RequestTable:
-    """Hold all open requests of one entry host and decide their next actions.
+    """Keep all open requests of one entry host and decide their next actions.
 
     Parameters
     ----------
--- a/ryelever/coordination/requests/steps.py
+++ b/ryelever/coordination/requests/steps.py
@@ -30,7 +30,7 @@
 
 
 class RequestSteps:
-    """Hold the open requests and move each to its next step.
+    """Keep the open requests and move each to its next step.
 
     A request leaves the table through ``end``, or through ``forget`` if its claim was
     not read back as the first claim of its key.  A request therefore leaves no entry in
--- a/ryelever/coordination/server_reading.py
+++ b/ryelever/coordination/server_reading.py
@@ -44,7 +44,7 @@
 
 
 class _Missed(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent missed updates: since when, and the host that announced them."""
+    """Missed updates: since when, and the host that announced them."""
 
     since: float
     provider: str
--- a/ryelever/coordination/topic.py
+++ b/ryelever/coordination/topic.py
@@ -58,7 +58,7 @@
 
 
 class TopicUpdates(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent the records of an answer.
+    """The records of an answer.
 
     Attributes
     ----------
--- a/ryelever/events.py
+++ b/ryelever/events.py
@@ -53,7 +53,7 @@
 
 
 class CallerRequest(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent one complete and well-formed HTTP request of a caller."""
+    """One complete and well-formed HTTP request of a caller."""
 
     request_id: str
     method: str
@@ -65,7 +65,7 @@
 
 
 class OutboundRequest(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent one HTTP request to an external system.
+    """One HTTP request to an external system.
 
     Attributes
     ----------
@@ -113,7 +113,7 @@
 
 
 class AnswerHead(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent the status and headers of a streamed answer.
+    """The status and headers of a streamed answer.
 
     Attributes
     ----------
@@ -130,14 +130,14 @@
 
 
 class AttemptData(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent a chunk of a streamed answer's body."""
+    """A chunk of a streamed answer's body."""
 
     id: str
     data: bytes
 
 
 class OutboundAnswer(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent a complete answer of an external system.
+    """A complete answer of an external system.
 
     Attributes
     ----------
@@ -154,7 +154,7 @@
 
 
 class OutboundFailure(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent the failure of a request to an external system.
+    """The failure of a request to an external system.
 
     Attributes
     ----------
@@ -169,7 +169,7 @@
 
 
 class CallerAnswer(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent a complete answer for a caller."""
+    """A complete answer for a caller."""
 
     request_id: str
     status: int
@@ -179,7 +179,7 @@
 
 
 class ClaimReadBack(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent a claim of this entry host that was read back from the log.
+    """A claim of this entry host that was read back from the log.
 
     Attributes
     ----------
@@ -193,21 +193,21 @@
 
 
 class HostReported(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent a host's report and the monotonic time just before it was requested."""
+    """A host's report and the monotonic time just before it was requested."""
 
     report: HostReport
     requested_at: float
 
 
 class Datagram(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent one datagram received from, or to be sent to, a peer's address."""
+    """One datagram received from, or to be sent to, a peer's address."""
 
     address: str
     data: bytes
 
 
 class RelayedRequest(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent one complete HTTP request that a ``RelayCallers`` listener received.
+    """One complete HTTP request that a ``RelayCallers`` listener received.
 
     Requests of callers are relayed unchanged; readiness probes, metrics requests and
     requests of other entry hosts are answered by this host.
--- a/ryelever/explain.py
+++ b/ryelever/explain.py
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class _Line:
-    """Represent one log line with the name of its file."""
+    """One log line with the name of its file."""
 
     time: float
     source: str
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Explanation:
-    """Represent the lines that explain a request.
+    """The lines that explain a request.
 
     Attributes
     ----------
--- a/ryelever/store_client.py
+++ b/ryelever/store_client.py
@@ -42,7 +42,7 @@
 
 
 class StoreAnswer(msgspec.Struct, kw_only=True, frozen=True):
-    """Represent the answer to one call.
+    """The answer to one call.
 
     Attributes
     ----------
@@ -58,7 +58,7 @@
 
 
 class _FollowedTopic(msgspec.Struct, kw_only=True):
-    """Represent one followed topic and the callback for its updates."""
+    """One followed topic and the callback for its updates."""
 
     follower: TopicFollower
     on_updates: Callable[[TopicUpdates], None]
--- a/ryelever/streams.py
+++ b/ryelever/streams.py
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Stream:
-    """Represent one stream: its fold, reader, writer and snapshot schedule."""
+    """One stream: its fold, reader, writer and snapshot schedule."""
 
     name: str
     fold: BaseFold
--- a/ryelever/timers.py
+++ b/ryelever/timers.py
@@ -31,7 +31,7 @@
 
 
 class Timer(msgspec.Struct, kw_only=True):
-    """Represent one event that is due at a monotonic time.
+    """One event that is due at a monotonic time.
 
     Attributes
     ----------
--- a/tests/test_console/browser.py
+++ b/tests/test_console/browser.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Form:
-    """Represent a form of a page, with the field values that a browser would submit."""
+    """A form of a page, with the field values that a browser would submit."""
 
     action: str
     fields: dict[str, str] = field(default_factory=dict)
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Page:
-    """Represent an HTTP answer; for HTML, with its forms and tags."""
+    """An HTTP answer; for HTML, with its forms and tags."""
 
     status: int
     headers: dict[str, str]
--- a/tests/test_coordination/test_lease.py
+++ b/tests/test_coordination/test_lease.py
@@ -19,7 +19,7 @@
 
 
 class _Candidate:
-    """Represent a host that competes for the lease, with delays set by the test."""
+    """A host that competes for the lease, with delays set by the test."""
 
     def __init__(self, name: str, log: list[Entry]) -> None:
         ids = itertools.count()
--- a/tests/test_coordination/test_measures.py
+++ b/tests/test_coordination/test_measures.py
@@ -22,7 +22,7 @@
 
 
 class Fleet:
-    """Represent a zone with three hosts, of which two form a group."""
+    """A zone with three hosts, of which two form a group."""
 
     def __init__(self) -> None:
         self.placement = PlacementFold()
--- a/tests/test_coordination/test_requests/request_fakes.py
+++ b/tests/test_coordination/test_requests/request_fakes.py
@@ -82,7 +82,7 @@
 
 @dataclass(kw_only=True)
 class FakeLog:
-    """Hold appended records until a test reads them back into the fold."""
+    """Keep appended records until a test reads them back into the fold."""
 
     owner: str = "e1/boot"
     stream: str = "claims"
--- a/tests/test_fleet_directory.py
+++ b/tests/test_fleet_directory.py
@@ -91,7 +91,7 @@
 
 
 class Host:
-    """Represent one host's directory, its forwarded updates and its requests."""
+    """One host's directory, its forwarded updates and its requests."""
 
     def __init__(self, name: str) -> None:
         settings = settings_of(name)
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -14,7 +14,7 @@
 
 
 class Pipe:
-    """Represent a writer and the read end of its pipe."""
+    """A writer and the read end of its pipe."""
 
     def __init__(self) -> None:
         self.read_fd, self.write_fd = os.pipe()
--- a/tests/test_state/test_folds_machine.py
+++ b/tests/test_state/test_folds_machine.py
@@ -56,7 +56,7 @@
 
 @dataclass(kw_only=True)
 class Host:
-    """Represent one entry host by its log readers and writers."""
+    """One entry host, simulated by its log readers and writers."""
 
     owner: str
     readers: dict[str, LogReader] = field(
