--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -58,9 +58,9 @@
         relaying.arrive(RouteKind.STREAM, number=number)
         attempt = relaying.sent[-1]
         relaying.requests.answer_head(attempt.id, head(f"r{number}"), now=0.1)
-        cutter = RawEventSplitter()
+        splitter = RawEventSplitter()
         for index in range(n_events):
-            for _, data in cutter.feed(event):
+            for _, data in splitter.feed(event):
                 events = [(str(index + 1), data)]
                 relaying.requests.answer_events(attempt.id, events, now=0.1)
         relaying.requests.answer_end(attempt.id, cut=False, now=0.2)
--- a/benchmarks/request_table.py
+++ b/benchmarks/request_table.py
@@ -53,7 +53,7 @@
     def choose(self, arrival, *, tried, now):
         return next(target for target in self._targets if target.name not in tried)
 
-    def must_wait_for_suspects(self, arrival, *, now):
+    def must_wait(self, arrival, *, now):
         return False
 
     def is_lost(self, target, arrival, *, now):
--- a/benchmarks/retry.py
+++ b/benchmarks/retry.py
@@ -174,7 +174,7 @@
                 totals.n_refused += not is_poison
                 continue
             target = router.choose(arrival, tried=tried, now=now)
-            if target is None and router.must_wait_for_suspects(arrival, now=now):
+            if target is None and router.must_wait(arrival, now=now):
                 retries.append((now + 0.1, number, arrival, tried))
                 continue
             if target is None:
--- a/benchmarks/routing_trials.py
+++ b/benchmarks/routing_trials.py
@@ -32,7 +32,7 @@
         self._number += 1
         return left[self._number % len(left)]
 
-    def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
+    def must_wait(self, arrival: Arrival, *, now: float) -> bool:
         """Return False: this router treats suspects like any other request."""
         return False
 
@@ -82,7 +82,7 @@
                 return by_name[name]
         return None
 
-    def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
+    def must_wait(self, arrival: Arrival, *, now: float) -> bool:
         """Return False: this router treats suspects like any other request."""
         return False
 
@@ -156,9 +156,9 @@
         if len(self._target_by_key) > 4096:
             self._target_by_key.popitem(last=False)
 
-    def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
+    def must_wait(self, arrival: Arrival, *, now: float) -> bool:
         """Return the answer of the affinity router."""
-        return self._router.must_wait_for_suspects(arrival, now=now)
+        return self._router.must_wait(arrival, now=now)
 
     def is_lost(self, target: Target, arrival: Arrival, *, now: float) -> bool:
         """Return False: an attempt is lost only when it fails."""
--- a/ryelever/coordination/requests/attempts.py
+++ b/ryelever/coordination/requests/attempts.py
@@ -84,9 +84,9 @@
             delivered=tuple(request.delivered),
         )
 
-    def must_wait_for_suspects(self, request: Request, *, now: float) -> bool:
+    def must_wait(self, request: Request, *, now: float) -> bool:
         """Return whether a request waits for suspects of a crash or for a verdict."""
-        return self._router.must_wait_for_suspects(request.arrival, now=now)
+        return self._router.must_wait(request.arrival, now=now)
 
     def is_lost(self, request: Request, *, now: float) -> bool:
         """Return whether an attempt's group is lost.
--- a/ryelever/coordination/requests/steps.py
+++ b/ryelever/coordination/requests/steps.py
@@ -86,7 +86,7 @@
     def _no_target(self, request: Request, *, now: float) -> list[Action]:
         if request.error is None:
             error = answers.no_target(retry_after=self._retry_after())
-            if not self._attempts.must_wait_for_suspects(request, now=now):
+            if not self._attempts.must_wait(request, now=now):
                 return self.fail(request, error=error, now=now)
             request.error = error
         if request.state is not RequestState.RECOVERING:
@@ -101,7 +101,7 @@
         """
         waited = now - request.since
         timed_out = waited >= self._timeouts.recovery
-        if timed_out and not self._attempts.must_wait_for_suspects(request, now=now):
+        if timed_out and not self._attempts.must_wait(request, now=now):
             return self.fail(request, error=request.error, now=now)
         server_may_be_healthy = not isinstance(request.arrival.work, ChatWork) or (
             request.error.category in (Category.TIMEOUT, Category.UNAVAILABLE)
--- a/ryelever/coordination/routing/least_in_flight.py
+++ b/ryelever/coordination/routing/least_in_flight.py
@@ -51,7 +51,7 @@
             untried, key=lambda target: self._n_in_flight_by_name.get(target.name, 0)
         )
 
-    def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
+    def must_wait(self, arrival: Arrival, *, now: float) -> bool:
         """Return False: suspects of a crash are not kept apart."""
         return False
 
--- a/ryelever/coordination/routing/routing.py
+++ b/ryelever/coordination/routing/routing.py
@@ -41,7 +41,7 @@
     ) -> Target | None:
         """Return the target of the next attempt, or None if there is none."""
 
-    def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
+    def must_wait(self, arrival: Arrival, *, now: float) -> bool:
         """Return whether a request waits for suspects of a crash or for a verdict."""
 
     def is_lost(self, target: Target, arrival: Arrival, *, now: float) -> bool:
@@ -143,7 +143,7 @@
             return None
         return choice.target
 
-    def must_wait_for_suspects(self, arrival: Arrival, *, now: float) -> bool:
+    def must_wait(self, arrival: Arrival, *, now: float) -> bool:
         """Return whether a request waits for suspects of a crash or for a verdict.
 
         A request that was in too many crashes must not run, also before the
--- a/tests/memory_log.py
+++ b/tests/memory_log.py
@@ -8,7 +8,7 @@
 from ryelever.state.records import Entry, Record
 
 #: Append time of the first records, in seconds since the epoch.
-EPOCH = 1_800_000_000.0
+FIRST_APPEND_TIME = 1_800_000_000.0
 
 
 class MemoryLog:
@@ -16,7 +16,7 @@
 
     def __init__(self) -> None:
         self.first = 0
-        self.time = EPOCH
+        self.time = FIRST_APPEND_TIME
         self._raw: list[RawEntry] = []
 
     @property
--- a/tests/test_coordination/test_log_reader.py
+++ b/tests/test_coordination/test_log_reader.py
@@ -26,7 +26,7 @@
 )
 
 from ..builders import formed, new_claim, new_publication
-from ..memory_log import EPOCH, MemoryLog, new_reader, read_to_end, state_of
+from ..memory_log import FIRST_APPEND_TIME, MemoryLog, new_reader, read_to_end, state_of
 
 
 def _claim(key: str, owner: str = "e1/a") -> Claim:
@@ -34,7 +34,7 @@
 
 
 def _key(name: str) -> str:
-    return f"acme/{int(EPOCH * 1000)}-{name}"
+    return f"acme/{int(FIRST_APPEND_TIME * 1000)}-{name}"
 
 
 def _formed(group: str, *members: str) -> GroupFormed:
@@ -261,7 +261,7 @@
     """Check that the search stops at keys that are too old to be claimed anyway."""
     log = MemoryLog()
     for index in range(3 * MAX_UNREAD_WITHOUT_SNAPSHOT):
-        log.time = EPOCH + index
+        log.time = FIRST_APPEND_TIME + index
         key = f"acme/{int(log.time * 1000)}-{index}"
         log.append(_claim(key), record_id=f"id{index}")
     reader = new_reader(ClaimsFold(window=600.0, max_ahead=30.0))
--- a/tests/test_coordination/test_log_snapshots.py
+++ b/tests/test_coordination/test_log_snapshots.py
@@ -8,7 +8,7 @@
 from ryelever.state.placement import PlacementFold
 from ryelever.state.records import Entry, LeaseTaken
 
-from ..memory_log import EPOCH
+from ..memory_log import FIRST_APPEND_TIME
 
 RETENTION = 800.0
 
@@ -17,10 +17,16 @@
     fold = PlacementFold()
     for offset in range(n_records):
         record = LeaseTaken(holder="e", term=1.0, previous=offset - 1)
-        fold.apply(Entry(offset=offset, time=EPOCH, id=f"id{offset}", record=record))
+        fold.apply(
+            Entry(
+                offset=offset, time=FIRST_APPEND_TIME, id=f"id{offset}", record=record
+            )
+        )
     if snapshot_at is not None:
         part = fold.to_snapshot(snapshot="s")[0]
-        entry = Entry(offset=n_records, time=EPOCH + snapshot_at, id="s", record=part)
+        entry = Entry(
+            offset=n_records, time=FIRST_APPEND_TIME + snapshot_at, id="s", record=part
+        )
         fold.apply(entry)
     return fold
 
@@ -55,7 +61,7 @@
     snapshot or, if there is none, of the oldest record.
     """
     fold = _fold(n, snapshot_at=snapshot_at)
-    assert _schedule(spread).due(fold, wall=EPOCH + age, now=1000.0) is due
+    assert _schedule(spread).due(fold, wall=FIRST_APPEND_TIME + age, now=1000.0) is due
 
 
 def test_hosts_do_not_all_write_at_once() -> None:
@@ -69,7 +75,7 @@
     fold = _fold()
     n_written = 0
     for second in range(int(RETENTION)):
-        wall = EPOCH + second
+        wall = FIRST_APPEND_TIME + second
         due = [schedule.due(fold, wall=wall, now=second) for schedule in schedules]
         n_written += sum(due)
         if any(due):
@@ -87,7 +93,7 @@
     """
     fold = _fold()
     fold.record_loss(before=10, reason="expired")
-    assert not _schedule().due(fold, wall=EPOCH + RETENTION, now=1000.0)
+    assert not _schedule().due(fold, wall=FIRST_APPEND_TIME + RETENTION, now=1000.0)
 
 
 def test_snapshot_is_not_written_again_before_it_is_read_back() -> None:
@@ -95,6 +101,7 @@
     schedule = _schedule()
     fold = _fold()
     answers = [
-        schedule.due(fold, wall=EPOCH + 300.0, now=now) for now in (0.0, 59.0, 61.0)
+        schedule.due(fold, wall=FIRST_APPEND_TIME + 300.0, now=now)
+        for now in (0.0, 59.0, 61.0)
     ]
     assert answers == [True, False, True]
--- a/tests/test_coordination/test_planner/test_planner_repair.py
+++ b/tests/test_coordination/test_planner/test_planner_repair.py
@@ -282,12 +282,12 @@
     zone = Zone(domains={"a": 4, "b": 4}, configuration=configuration)
     seen: set[str] = set()
 
-    def fate(action: object) -> tuple[float, ...]:
+    def delays_of(action: object) -> tuple[float, ...]:
         first = action.record_id not in seen
         seen.add(action.record_id)
         return () if first else (1.5, 2.5)
 
-    zone.append_delays = fate
+    zone.append_delays = delays_of
     zone.run(30)
     assert zone.kinds().count("formed") == 1 and len(zone.groups()) == 1
 
--- a/tests/test_coordination/test_requests/request_fakes.py
+++ b/tests/test_coordination/test_requests/request_fakes.py
@@ -67,7 +67,7 @@
         free = [name for name in self.names if name not in tried]
         return Target(name=free[0], address=f"{free[0]}:1") if free else None
 
-    def must_wait_for_suspects(self, arrival, *, now):
+    def must_wait(self, arrival, *, now):
         return False
 
     def is_lost(self, target, arrival, *, now):
--- a/tests/test_coordination/test_requests/test_claims.py
+++ b/tests/test_coordination/test_requests/test_claims.py
@@ -12,7 +12,7 @@
 from ryelever.state.claims import CLAIM_WINDOW, ClaimsFold
 from ryelever.state.records import Claim, Entry, Outcome
 
-from ...memory_log import EPOCH
+from ...memory_log import FIRST_APPEND_TIME
 
 STREAMS = claims_streams(4)
 MAX_LAG = 4.0
@@ -58,7 +58,7 @@
 
 
 #: A key, its partition and another partition.
-KEY = f"acme/{int(EPOCH * 1000)}-k"
+KEY = f"acme/{int(FIRST_APPEND_TIME * 1000)}-k"
 KEY_PARTITION = claims_stream(KEY, n_partitions=4)
 OTHER_PARTITION = next(name for name in STREAMS if name != KEY_PARTITION)
 
@@ -91,7 +91,7 @@
     """
     claims = _claims()
     record = Claim(key=KEY[:-1] + "x", fingerprint="f", owner="e2", request_id="r")
-    entry = Entry(offset=0, time=EPOCH + age, id="x", record=record)
+    entry = Entry(offset=0, time=FIRST_APPEND_TIME + age, id="x", record=record)
     claims.folds_by_stream[KEY_PARTITION].apply(entry)
     if caught_up:
         claims.record_caught_up(caught_up, at=6.0)
@@ -137,12 +137,14 @@
     claims = _claims()
     fold = claims.folds_by_stream[KEY_PARTITION]
     claim = Claim(key=KEY, fingerprint="f", owner="e2", request_id="r")
-    fold.apply(Entry(offset=0, time=EPOCH, id="c", record=claim))
+    fold.apply(Entry(offset=0, time=FIRST_APPEND_TIME, id="c", record=claim))
     end = Outcome(key=KEY, owner="e2", run_state=outcome or "run", status=0)
     other = replace(end, key="acme/other")
     record = end if outcome else other
-    fold.apply(Entry(offset=1, time=EPOCH + record_age, id="o", record=record))
-    claims.set_wall_clock(EPOCH + age, now=1000.0)
+    fold.apply(
+        Entry(offset=1, time=FIRST_APPEND_TIME + record_age, id="o", record=record)
+    )
+    claims.set_wall_clock(FIRST_APPEND_TIME + age, now=1000.0)
     claims.record_caught_up(KEY_PARTITION, at=1000.0 if caught_up else 1000.0 - age)
     found = claims.lookup(KEY)
     state = "free" if found is None else "in progress"
@@ -154,11 +156,11 @@
 def test_key_is_looked_up_in_its_partition() -> None:
     """Keys are spread over all partitions, and each is found in its partition."""
     claims = _claims()
-    keys = [f"acme/{int(EPOCH * 1000)}-{index}" for index in range(100)]
+    keys = [f"acme/{int(FIRST_APPEND_TIME * 1000)}-{index}" for index in range(100)]
     for offset, key in enumerate(keys):
         record = Claim(key=key, fingerprint="f", owner="e1/a", request_id="r")
         fold = claims.folds_by_stream[claims.stream_of(key)]
-        fold.apply(Entry(offset=offset, time=EPOCH, id=key, record=record))
+        fold.apply(Entry(offset=offset, time=FIRST_APPEND_TIME, id=key, record=record))
     sizes = [len(fold.claims_by_key) for fold in claims.folds_by_stream.values()]
     assert sum(sizes) == 100 and min(sizes) > 10
     assert all(claims.lookup(key) is not None for key in keys)
--- a/tests/test_coordination/test_requests/test_idempotency.py
+++ b/tests/test_coordination/test_requests/test_idempotency.py
@@ -22,9 +22,9 @@
 from ryelever.state.configuration_fold import ConfigurationFold
 from ryelever.state.records import Outcome
 
-from ...memory_log import EPOCH
+from ...memory_log import FIRST_APPEND_TIME
 
-MILLISECONDS = int(EPOCH * 1000)
+MILLISECONDS = int(FIRST_APPEND_TIME * 1000)
 UUID7 = f"{MILLISECONDS:012x}"
 UUID7 = f"{UUID7[:8]}-{UUID7[8:]}-7abc-8def-0123456789ab"
 
@@ -64,9 +64,9 @@
     again an hour later, when its claim has been forgotten.  On the answer "not run"
     the caller would send it once more under a new key.
     """
-    result = check_key(key, wall_time=EPOCH + age)
+    result = check_key(key, wall_time=FIRST_APPEND_TIME + age)
     if code is None:
-        assert result.ok == pytest.approx(EPOCH, abs=0.001)
+        assert result.ok == pytest.approx(FIRST_APPEND_TIME, abs=0.001)
         return
     assert (result.error.code, result.error.run_state) == (code, run_state)
     invalid = code != "idempotency_key_expired"
@@ -95,7 +95,7 @@
     is lost, and it is sent again to a host whose clock is a minute behind.  By that
     clock alone the key is from the future, although the host has read its claim.
     """
-    monkeypatch.setattr(time, "time", lambda: EPOCH - host_behind)
+    monkeypatch.setattr(time, "time", lambda: FIRST_APPEND_TIME - host_behind)
     fold = ConfigurationFold()
     account = ClientAccount(key_hash=hash_key("acme.secret"))
     document = Configuration(
@@ -106,7 +106,7 @@
     reader = ArrivalReader(
         settings=Settings(request_timeout=30.0, max_request_timeout=60.0),
         configuration=fold,
-        log_time=lambda: EPOCH - log_behind,
+        log_time=lambda: FIRST_APPEND_TIME - log_behind,
     )
     request = CallerRequest(
         request_id="r",
@@ -146,9 +146,9 @@
         owner="e1/a",
         request_id="r",
         offset=0,
-        time=EPOCH,
+        time=FIRST_APPEND_TIME,
         outcome=outcome,
     )
-    found = apply_owner_timeout(claim, read_until=EPOCH + age)
+    found = apply_owner_timeout(claim, read_until=FIRST_APPEND_TIME + age)
     assert (found.outcome.run_state if found.outcome else None) == expected_state
     assert claim.outcome is outcome
--- a/tests/test_state/test_claims.py
+++ b/tests/test_state/test_claims.py
@@ -8,10 +8,10 @@
 from ryelever.state.records import Claim, Outcome, Record, Unreadable
 
 from ..builders import new_claim, new_entry
-from ..memory_log import EPOCH
+from ..memory_log import FIRST_APPEND_TIME
 
 WINDOW, MAX_AHEAD = 100.0, 10.0
-KEY = f"acme/{int(EPOCH * 1000)}-rex"
+KEY = f"acme/{int(FIRST_APPEND_TIME * 1000)}-rex"
 
 
 def _claim(owner: str, request_id: str = "r1", key: str = KEY) -> Claim:
@@ -105,7 +105,7 @@
     fold = ClaimsFold(window=WINDOW, max_ahead=MAX_AHEAD)
     last = None
     for offset, (seconds, record) in enumerate(records):
-        last = fold.apply(new_entry(offset, record, time=EPOCH + seconds))
+        last = fold.apply(new_entry(offset, record, time=FIRST_APPEND_TIME + seconds))
     assert last == reason
     claim = fold.claims_by_key.get(KEY)
     assert (claim.owner if claim else None) == owner
@@ -139,10 +139,10 @@
     if kind == "expired":
         fold.record_loss(before=1, reason="expired")
     else:
-        fold.apply(new_entry(0, UNKNOWN, time=EPOCH))
+        fold.apply(new_entry(0, UNKNOWN, time=FIRST_APPEND_TIME))
     for offset, second in enumerate(seconds, start=1):
         record = _outcome("nobody", "run")
-        fold.apply(new_entry(offset, record, time=EPOCH + second))
+        fold.apply(new_entry(offset, record, time=FIRST_APPEND_TIME + second))
     assert fold.complete is complete
 
 
@@ -150,7 +150,7 @@
     """Claim a key each second for ten windows and count the claims that are kept."""
     fold = ClaimsFold(window=WINDOW, max_ahead=MAX_AHEAD)
     for second in range(int(10 * WINDOW)):
-        time = EPOCH + second
+        time = FIRST_APPEND_TIME + second
         key = f"acme/{int(time * 1000)}-{second}"
         entry = new_entry(second, _claim("e1", key=key), time=time)
         assert fold.apply(entry) is None
--- a/tests/test_system/test_drain.py
+++ b/tests/test_system/test_drain.py
@@ -10,13 +10,13 @@
 from ..callers import Answer, Caller, new_key
 from ..processes import EntryHost, Fleet, wait_until
 
-#: Seconds; the default of the settings.  The grace must outlast two readiness checks
-#: of the balancer, which take longer than the check interval on a busy machine.
+#: Seconds; the default of the settings.  The grace must outlast two readiness probes
+#: of the balancer, which take longer than the probe interval on a busy machine.
 DRAIN_GRACE = 3.0
 
 
 class Balancer:
-    """Select among the entry hosts that were ready at the last readiness check."""
+    """Select among the entry hosts that were ready at the last readiness probe."""
 
     def __init__(self, fleet: Fleet, caller: Caller) -> None:
         self._fleet = fleet
@@ -25,7 +25,7 @@
         self._request_numbers = itertools.count()
 
     async def check_readiness(self) -> None:
-        """Check the readiness of all entry hosts every 0.05 s until cancelled."""
+        """Probe the readiness of all entry hosts every 0.05 s until cancelled."""
         while True:
             entries = list(self._fleet.entries_by_name.values())
             states = await asyncio.gather(*map(self._caller.is_ready, entries))
--- a/tests/test_transport/test_operators.py
+++ b/tests/test_transport/test_operators.py
@@ -29,7 +29,7 @@
 
 
 def test_alive_but_not_ready_without_a_configuration(fleet: Fleet) -> None:
-    """Answer 503 to the readiness check, and to callers with ``Retry-After``."""
+    """Answer 503 to the readiness probe, and to callers with ``Retry-After``."""
     fleet.start_platform()
     entry = fleet.start_entry("e1", zone="z")
     assert httpx.get(f"{entry.url}/healthz").status_code == 200
