--- a/ryelever/coordination/groups/adoption.py
+++ b/ryelever/coordination/groups/adoption.py
@@ -53,16 +53,16 @@
         self._log = log
         self._unknown_since: dict[tuple[str, int], float] = {}
 
-    def adopt_unrecorded(self, table: RouteTable, *, now: float) -> None:
+    def adopt_unrecorded(self, route_table: RouteTable, *, now: float) -> None:
         """Adopt the groups that have had no record for ``ADOPT_AFTER`` seconds."""
-        reported = self._unknown_groups(table)
+        reported = self._unknown_groups(route_table)
         for key in self._unknown_since.keys() - reported.keys():
             del self._unknown_since[key]
         for key, members in reported.items():
             since = self._unknown_since.setdefault(key, now)
             members.sort(key=lambda server: server.group.rank)
             if now - since > ADOPT_AFTER and members[0].group.rank == 0:
-                self._adopt(members, table, now=now)
+                self._adopt(members, route_table, now=now)
 
     def may_be_in_unrecorded_group(self, server: BackendServer, *, now: float) -> bool:
         """Return whether a server may be in a serving group without a record.
@@ -83,11 +83,11 @@
         return known and not self._manager.heads_ended_group(server)
 
     def _unknown_groups(
-        self, table: RouteTable
+        self, route_table: RouteTable
     ) -> dict[tuple[str, int], list[BackendServer]]:
         """Return the members of unknown groups by the groups' name and epoch."""
         reported: dict[tuple[str, int], list[BackendServer]] = {}
-        for service in table.services_by_name.values():
+        for service in route_table.services_by_name.values():
             for server in self._directory.of_service(service.name):
                 report = server.group
                 if report is None or server.availability_zone != self._zone:
@@ -98,7 +98,7 @@
         return reported
 
     def _adopt(
-        self, members: list[BackendServer], table: RouteTable, *, now: float
+        self, members: list[BackendServer], route_table: RouteTable, *, now: float
     ) -> None:
         head = members[0]
         record = GroupRecord(
@@ -116,7 +116,7 @@
         if self._manager.phase_of(record.name) is GroupPhase.RETIRED:
             self._manager.forget(record.name)
         self._manager.put(record, now=now, recorded=False)
-        engine = table.services_by_name[head.service].engine
+        engine = route_table.services_by_name[head.service].engine
         model = engine.models_by_name.get(record.model) if engine else None
         ranks = [server.group.rank for server in members]
         if model is None or ranks != list(range(model.size)):
--- a/ryelever/coordination/groups/zone_planner.py
+++ b/ryelever/coordination/groups/zone_planner.py
@@ -118,7 +118,7 @@
         n_zones: int,
         is_local: bool,
         directory: Directory,
-        table: Callable[[], RouteTable | None],
+        route_table: Callable[[], RouteTable | None],
         demand: Callable[[], Mapping[str, float]],
         other_reshaped_zones: Callable[[], set[str]],
         observe: Callable[[str, float], None],
@@ -132,7 +132,7 @@
         self._zone = zone
         self._n_zones = n_zones
         self._directory = directory
-        self._table = table
+        self._route_table = route_table
         self._other_reshaped_zones = other_reshaped_zones
         self._list_is_stale = list_is_stale
         self._token = ReshapingToken(zone=zone)
@@ -274,15 +274,15 @@
         self, *, now: float
     ) -> tuple[list[GroupOrder], AppendGroups | None]:
         """Run one planning pass; return the orders and the append that are due."""
-        table = self._table()
-        if table is None or self._log_end < 0 or now - self._since < START_DELAY:
+        route_table = self._route_table()
+        if route_table is None or self._log_end < 0 or now - self._since < START_DELAY:
             return [], None
-        self._end_wrong_sizes(table, now=now)
+        self._end_wrong_sizes(route_table, now=now)
         orders = self.manager.due_orders(now=now)
-        n_stranded = self._views.n_stranded(table)
+        n_stranded = self._views.n_stranded(route_table)
         self.times.update(self.manager.phases(), n_stranded=n_stranded, now=now)
-        self._adoption.adopt_unrecorded(table, now=now)
-        views = self._views.service_views(table, now=now)
+        self._adoption.adopt_unrecorded(route_table, now=now)
+        views = self._views.service_views(route_table, now=now)
         for view in views:
             self._idle_servers.log_changes(view, now=now)
         self._disband(views, now=now)
@@ -292,14 +292,14 @@
                 orders += self._staging_orders(view, now=now)
         return orders, append
 
-    def _end_wrong_sizes(self, table: RouteTable, *, now: float) -> None:
+    def _end_wrong_sizes(self, route_table: RouteTable, *, now: float) -> None:
         """End groups whose records have the wrong number of members for the model.
 
         Otherwise the head of a group with too few members would be ordered to open once
         the members in its record are ready.
         """
         for record in self.manager.records(GroupPhase.FORMING, GroupPhase.SERVING):
-            service = table.services_by_name.get(record.service)
+            service = route_table.services_by_name.get(record.service)
             engine = None if service is None else service.engine
             model = engine.models_by_name.get(record.model) if engine else None
             if model is not None and len(record.members) != model.size:
--- a/ryelever/coordination/groups/zone_view.py
+++ b/ryelever/coordination/groups/zone_view.py
@@ -101,15 +101,17 @@
         self.has_run_before = False
         self._free_count_by_service: dict[str, _FreeCount] = {}
 
-    def service_views(self, table: RouteTable, *, now: float) -> list[ServiceView]:
+    def service_views(
+        self, route_table: RouteTable, *, now: float
+    ) -> list[ServiceView]:
         """Return a view of each service whose servers form groups."""
         demand = self._demand()
         return [
             self._view(service, engine, demand, now=now)
-            for service, engine in table.engines()
+            for service, engine in route_table.engines()
         ]
 
-    def n_stranded(self, table: RouteTable) -> int:
+    def n_stranded(self, route_table: RouteTable) -> int:
         """Count the servers that could serve but are in no serving group."""
         serving = {
             member_id
@@ -118,7 +120,7 @@
         }
         return sum(
             not server.draining and server.id not in serving
-            for service, _ in table.engines()
+            for service, _ in route_table.engines()
             for server in self._zone_servers(service)
         )
 
--- a/ryelever/coordination/relaying/request.py
+++ b/ryelever/coordination/relaying/request.py
@@ -108,7 +108,7 @@
 
 
 def routed_request(
-    number: int, arrival: RelayArrival, table: RouteTable
+    number: int, arrival: RelayArrival, route_table: RouteTable
 ) -> Result[RelayRequest, ArrivalRefusal]:
     """Create a request from its arrival, with its route and client account.
 
@@ -117,17 +117,17 @@
     number : int
         The request's number in this process.
     """
-    route = table.match(host=arrival.host, path=arrival.path)
+    route = route_table.match(host=arrival.host, path=arrival.path)
     if route is None:
         return Error(ArrivalRefusal(status=404, reason="no_route"))
     account: RouteAccount | None = None
-    if table.requires_keys and not route.public:
-        account = table.account_by_key.get(arrival.key or "")
+    if route_table.requires_keys and not route.public:
+        account = route_table.account_by_key.get(arrival.key or "")
         if account is None:
             return Error(ArrivalRefusal(status=401, reason="unknown_key"))
     request = _new_request(
         number,
-        version=table.version,
+        version=route_table.version,
         arrival=arrival,
         route=route,
         account=account,
--- a/ryelever/coordination/relaying/requests.py
+++ b/ryelever/coordination/relaying/requests.py
@@ -48,7 +48,7 @@
 
     Parameters
     ----------
-    table : callable
+    route_table : callable
         Return the active configuration, or None before there is one.
     served : callable
         Record a complete stream, given its model and its number of events.
@@ -68,7 +68,7 @@
     def __init__(
         self,
         *,
-        table: Callable[[], RouteTable | None],
+        route_table: Callable[[], RouteTable | None],
         balancer: Balancer,
         budget: RelayRetryBudget,
         stall_watch: StallWatch,
@@ -79,7 +79,7 @@
         since: float,
         log: Callable[..., None],
     ) -> None:
-        self._table = table
+        self._route_table = route_table
         self._unrouted = UnroutedArrivals(since=since)
         self._balancer = balancer
         self._budget = budget
@@ -113,30 +113,30 @@
         if self.refuses_new:
             self._refuse_on_arrival(number, arrival, 503, "stopping")
             return
-        table = self._table()
-        if table is None:
+        route_table = self._route_table()
+        if route_table is None:
             self._unrouted.add(number, arrival)
             self._route_unrouted(now=now)
             return
-        self._route(number, arrival, table, now=now)
+        self._route(number, arrival, route_table, now=now)
 
     def _route_unrouted(self, *, now: float) -> None:
         """Route or refuse the requests that waited for the first configuration."""
         if not self._unrouted:
             return
-        table = self._table()
-        due = self._unrouted.pop_due(is_configured=table is not None, now=now)
+        route_table = self._route_table()
+        due = self._unrouted.pop_due(is_configured=route_table is not None, now=now)
         for number, arrival in due:
-            if table is None:
+            if route_table is None:
                 self._refuse_on_arrival(number, arrival, 503, "no_configuration")
             else:
-                self._route(number, arrival, table, now=now)
+                self._route(number, arrival, route_table, now=now)
 
     def _route(
-        self, number: int, arrival: RelayArrival, table: RouteTable, *, now: float
+        self, number: int, arrival: RelayArrival, route_table: RouteTable, *, now: float
     ) -> None:
         """Find the route of a request, and send the request if a slot is free."""
-        routed = routed_request(number, arrival, table)
+        routed = routed_request(number, arrival, route_table)
         if routed.is_error():
             refusal = routed.error
             self._refuse_on_arrival(number, arrival, refusal.status, refusal.reason)
@@ -547,13 +547,13 @@
         *,
         retry_after: float = DEFAULT_RETRY_AFTER,
     ) -> None:
-        table = self._table()
+        route_table = self._route_table()
         self._refusals.refuse_on_arrival(
             number,
             arrival,
             status,
             reason,
-            version=-1 if table is None else table.version,
+            version=-1 if route_table is None else route_table.version,
             retry_after=retry_after,
         )
 
--- a/ryelever/emulator/fleet.py
+++ b/ryelever/emulator/fleet.py
@@ -204,7 +204,7 @@
 
     def _new_planner(self, zone: str) -> ZonePlanner:
         service = RoutedService(name=SERVICE, max_connections=400, engine=self._engine)
-        table = RouteTable(
+        route_table = RouteTable(
             version=1,
             routes_by_host={},
             services_by_name={SERVICE: service},
@@ -216,7 +216,7 @@
             n_zones=self.deployment.n_zones,
             is_local=True,
             directory=self.directory,
-            table=lambda: table,
+            route_table=lambda: route_table,
             demand=lambda: self.deployment.demand if self.now >= 0 else {},
             other_reshaped_zones=lambda: self._other_reshaped_zones(zone),
             observe=lambda phase, seconds: None,
--- a/ryelever/fleet_directory.py
+++ b/ryelever/fleet_directory.py
@@ -286,14 +286,17 @@
                 "configuration_unreadable", peer=peer, message=read.error.message
             )
             return
-        table = read.ok
-        if self.route_table is not None and table.version <= self.route_table.version:
+        route_table = read.ok
+        if (
+            self.route_table is not None
+            and route_table.version <= self.route_table.version
+        ):
             return
-        self.route_table = table
+        self.route_table = route_table
         self._document = data
         self._in_force_since = time.monotonic()
         self.fetch.caught_up()
-        log_event("configuration_in_force", version=table.version, peer=peer)
+        log_event("configuration_in_force", version=route_table.version, peer=peer)
         self.fire(directory_changed(), "relay")
 
     @property
--- a/ryelever/relay.py
+++ b/ryelever/relay.py
@@ -94,7 +94,7 @@
         self.balancer = balancer
         self.demand = DemandMeter()
         self.requests = RelayRequests(
-            table=route_table,
+            route_table=route_table,
             balancer=balancer,
             budget=budget,
             stall_watch=stall_watch,
@@ -134,8 +134,8 @@
         self._received_by_number.pop(number, None)
 
     def _record_demand(self, model: str, n_prompt: int, *, now: float) -> None:
-        table = self._route_table()
-        for _, engine in table.engines() if table else ():
+        route_table = self._route_table()
+        for _, engine in route_table.engines() if route_table else ():
             if model in engine.models_by_name:
                 n_answer = self.demand.answer_length(model, engine)
                 seconds = time_in_batch(
--- a/ryelever/relay_application.py
+++ b/ryelever/relay_application.py
@@ -240,16 +240,20 @@
         return self.fleet.route_table
 
     def _cold_rate(self, service: str) -> float | None:
-        table = self.fleet.route_table
-        found = table.services_by_name.get(service) if table is not None else None
+        route_table = self.fleet.route_table
+        found = (
+            route_table.services_by_name.get(service)
+            if route_table is not None
+            else None
+        )
         return None if found is None else found.cold_rate
 
     def _is_evacuated(self, zone: str) -> bool:
         return zone in self.evacuations.zones
 
     def _connection_limits(self) -> ConnectionLimits:
-        table = self.fleet.route_table
-        return table.limits if table is not None else ConnectionLimits()
+        route_table = self.fleet.route_table
+        return route_table.limits if route_table is not None else ConnectionLimits()
 
     def _plans_for(self, zone: str, planning: bool) -> bool:
         return not self.shutdown.stopping and self.heartbeats.plans_for(
@@ -290,7 +294,7 @@
             n_zones=len(self.settings.zones),
             is_local=zone == self.settings.availability_zone,
             directory=self.directory,
-            table=self._route_table,
+            route_table=self._route_table,
             demand=self._demand,
             other_reshaped_zones=lambda: self._other_reshaped_zones(zone),
             list_is_stale=self.fleet.list_is_stale,
--- a/tests/test_coordination/test_groups/test_zone_planner.py
+++ b/tests/test_coordination/test_groups/test_zone_planner.py
@@ -44,7 +44,7 @@
             RoutedService(name=name, max_connections=100, engine=ENGINE)
             for name in services
         ]
-        self.table = RouteTable(
+        self.route_table = RouteTable(
             version=1,
             routes_by_host={},
             services_by_name={item.name: item for item in services},
@@ -56,7 +56,7 @@
             n_zones=1,
             is_local=True,
             directory=self.directory,
-            table=lambda: self.table,
+            route_table=lambda: self.route_table,
             demand=lambda: self.demand,
             other_reshaped_zones=lambda: self.other_reshaped_zones,
             observe=lambda phase, seconds: None,
@@ -68,7 +68,7 @@
 
     def free(self, now: float) -> list[BackendServer]:
         """Return the servers that may join a group."""
-        [view] = self.planner._views.service_views(self.table, now=now)
+        [view] = self.planner._views.service_views(self.route_table, now=now)
         return view.free
 
     def appends(self, now: float) -> AppendGroups | None:
@@ -474,7 +474,7 @@
                 group=report,
             )
             zone.directory.put(far, now=0.0)
-        [view] = zone.planner._views.service_views(zone.table, now=9.0)
+        [view] = zone.planner._views.service_views(zone.route_table, now=9.0)
         counts[index] = view.rules.groups_by_model["large"]
     assert counts[1] - counts[0] == 1
     assert counts[0] == 0
--- a/tests/test_coordination/test_relaying/relay_fakes.py
+++ b/tests/test_coordination/test_relaying/relay_fakes.py
@@ -22,7 +22,7 @@
 )
 from ryelever.state.routes import Route, RouteAccount, RouteKind, RouteTable
 
-__all__ = ["Relaying", "head", "table"]
+__all__ = ["Relaying", "head", "route_table"]
 
 HOST = "calls.example"
 
@@ -44,7 +44,7 @@
     )
 
 
-def table(*, resumable: bool = True) -> RouteTable:
+def route_table(*, resumable: bool = True) -> RouteTable:
     """Return a configuration with a route of each kind."""
     routes = [
         _route(RouteKind.IDEMPOTENT),
@@ -97,7 +97,7 @@
         cold_rate: float | None = None,
         seed: int = 1,
     ) -> None:
-        self.table = table(resumable=resumable) if configured else None
+        self.route_table = route_table(resumable=resumable) if configured else None
         self.directory = Directory()
         self.slots = slots
         for index in range(n_servers):
@@ -117,7 +117,7 @@
         self.measures = RelayMetrics(metrics=Metrics())
         self.lines: list[tuple[str, dict[str, Any]]] = []
         self.requests = RelayRequests(
-            table=lambda: self.table,
+            route_table=lambda: self.route_table,
             balancer=self.balancer,
             budget=RelayRetryBudget(
                 ratio=0.2, slack=slack, window=10.0, n_hosts=lambda: 1
--- a/tests/test_coordination/test_relaying/test_relay_requests.py
+++ b/tests/test_coordination/test_relaying/test_relay_requests.py
@@ -12,7 +12,7 @@
 from ryelever.coordination.relaying.waiting import MAX_WAIT
 from ryelever.state.routes import RouteKind
 
-from .relay_fakes import Relaying, head, table
+from .relay_fakes import Relaying, head, route_table
 
 SAFE, ONCE, STREAM = RouteKind.IDEMPOTENT, RouteKind.AT_MOST_ONCE, RouteKind.STREAM
 
@@ -88,7 +88,7 @@
     relaying.arrive(SAFE, number=2, key="wrong")
     relaying.arrive(SAFE, number=3)
     relaying.requests.caller_disconnected(3)
-    relaying.table = table()
+    relaying.route_table = route_table()
     relaying.requests.dispatch_waiting(now=0.1)
     assert [attempt.request_number for attempt in relaying.sent] == [1]
     assert relaying.out == [("refuse", 2, 401, None)]
--- a/tests/test_platform/test_documents.py
+++ b/tests/test_platform/test_documents.py
@@ -36,13 +36,13 @@
 }
 
 
-def _table(**changes: Any) -> RouteTable:
+def _route_table(**changes: Any) -> RouteTable:
     document = {"version": 7, "routes": [ROUTE], "services": [{"name": "s1"}]}
     return read_configuration(json.dumps(document | changes).encode(), peer="store").ok
 
 
 def test_times_are_seconds_and_hosts_lower_case() -> None:
-    route = _table().match(host="calls.example", path="/a/b")
+    route = _route_table().match(host="calls.example", path="/a/b")
     assert (route.timeout, route.latency_objective, route.pause_objective) == (
         8.0,
         0.5,
@@ -52,11 +52,11 @@
 
 def test_route_with_the_longest_prefix_matches() -> None:
     longer = ROUTE | {"name": "r2", "path_prefix": "/a/b/"}
-    table = _table(routes=[ROUTE, longer])
-    assert table.match(host="calls.example", path="/a/b/c").name == "r2"
-    assert table.match(host="calls.example", path="/a/bc").name == "r1"
-    assert table.match(host="calls.example", path="/b") is None
-    assert table.match(host="other.example", path="/a/b") is None
+    route_table = _route_table(routes=[ROUTE, longer])
+    assert route_table.match(host="calls.example", path="/a/b/c").name == "r2"
+    assert route_table.match(host="calls.example", path="/a/bc").name == "r1"
+    assert route_table.match(host="calls.example", path="/b") is None
+    assert route_table.match(host="other.example", path="/a/b") is None
 
 
 @pytest.mark.parametrize(
@@ -72,8 +72,8 @@
 def test_kind_of_a_route_determines_whether_requests_are_repeated(
     kind: str, resumable: bool, expected: RouteKind, repeatable: bool
 ) -> None:
-    table = _table(routes=[ROUTE | {"kind": kind, "resumable": resumable}])
-    route = table.match(host="calls.example", path="/a/")
+    route_table = _route_table(routes=[ROUTE | {"kind": kind, "resumable": resumable}])
+    route = route_table.match(host="calls.example", path="/a/")
     assert (route.kind, route.repeatable) == (expected, repeatable)
 
 
@@ -81,7 +81,7 @@
     split = [{"service": "s1", "weight": 90}, {"service": "s2", "weight": 10}]
     route = dict(ROUTE) | {"traffic_split": split}
     del route["service"]
-    found = _table(routes=[route]).match(host="calls.example", path="/a/")
+    found = _route_table(routes=[route]).match(host="calls.example", path="/a/")
     chosen = [found.service_of(f"request-{number}") for number in range(2000)]
     assert 0.07 < chosen.count("s2") / len(chosen) < 0.13
     assert found.service_of("request-1") == found.service_of("request-1")
@@ -89,11 +89,11 @@
 
 def test_api_keys_map_to_their_accounts() -> None:
     accounts = [{"name": "a", "api_keys": ["k1", "k2"], "priority": 3}]
-    table = _table(tenants=accounts)
-    assert table.requires_keys
-    assert table.account_by_key["k2"].name == "a"
-    assert table.account_by_key["k2"].priority == 3
-    assert not _table().requires_keys
+    route_table = _route_table(tenants=accounts)
+    assert route_table.requires_keys
+    assert route_table.account_by_key["k2"].name == "a"
+    assert route_table.account_by_key["k2"].priority == 3
+    assert not _route_table().requires_keys
 
 
 @pytest.mark.parametrize("data", [b"", b"{}", b"[1]", b'{"version": "x"}'])
@@ -228,6 +228,10 @@
 
 
 def test_rate_of_cold_servers_is_read_for_each_service() -> None:
-    table = _table(services=[{"name": "a", "cold_per_s": 17.0}, {"name": "b"}])
-    rates = {name: item.cold_rate for name, item in table.services_by_name.items()}
+    route_table = _route_table(
+        services=[{"name": "a", "cold_per_s": 17.0}, {"name": "b"}]
+    )
+    rates = {
+        name: item.cold_rate for name, item in route_table.services_by_name.items()
+    }
     assert rates == {"a": 17.0, "b": None}
