--- a/ryelever/coordination/relaying/unrouted.py
+++ b/ryelever/coordination/relaying/unrouted.py
@@ -36,11 +36,11 @@
         return len(self._arrivals_by_number)
 
     def add(self, number: int, arrival: RelayArrival) -> None:
-        """Hold a request."""
+        """Add a request that waits for the first configuration."""
         self._arrivals_by_number[number] = arrival
 
     def discard(self, number: int) -> None:
-        """Stop holding a request, if it is held."""
+        """Remove a request if it is waiting."""
         self._arrivals_by_number.pop(number, None)
 
     def pop_due(
--- a/ryelever/errors.py
+++ b/ryelever/errors.py
@@ -23,7 +23,7 @@
 
 
 class RunState(enum.Enum):
-    """Describe whether a backend server has run a request.
+    """Whether a backend server has run a request.
 
     ``NOT_RUN`` is a guarantee: no byte of the request was sent to a backend server,
     or the backend server refused the request.  Every less certain case is
--- a/ryelever/exit_codes.py
+++ b/ryelever/exit_codes.py
@@ -8,7 +8,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Describe how a command ended.
+    """How a command ended, as the exit code of the process.
 
     ``CUT_OFF``: an entry host stopped after cutting off requests at its deadline.
     ``UNREACHABLE``: the entry host at the given address did not answer.
--- a/ryelever/faults.py
+++ b/ryelever/faults.py
@@ -8,7 +8,7 @@
 
 
 class Fault(msgspec.Struct, kw_only=True, frozen=True):
-    """Describe one fault: its place, the expected value and how to correct it."""
+    """One fault: its place, the expected value and how to correct it."""
 
     place: str
     expected: str
