--- a/ryelever/coordination/admission/fair_admission.py
+++ b/ryelever/coordination/admission/fair_admission.py
@@ -28,7 +28,8 @@
 
 __all__ = ["FairAdmission"]
 
-#: Seconds between two calls after which the process itself must have been paused.
+#: Seconds between two calls of ``ready`` or ``expired`` after which the process itself
+#: must have been paused.
 PAUSE_THRESHOLD = 1.0
 
 #: Seconds between two checks for waiting requests that are certain to be late.
@@ -196,7 +197,7 @@
         slots = self._pools.slots(pool, now=now)
         queue = pool.queue
         if slots <= 0.0:
-            return self._pass_on_all(pool, now=now)
+            return self._admit_all_if_lost(pool, now=now)
         while queue.n_in_flight + 1 <= slots:
             flow = self._next_flow(queue, now=now)
             if flow is None:
@@ -204,7 +205,7 @@
             granted.append(self._pop(pool, flow, slots=slots, now=now))
         return granted
 
-    def _pass_on_all(self, pool: Pool, *, now: float) -> list[str]:
+    def _admit_all_if_lost(self, pool: Pool, *, now: float) -> list[str]:
         """Admit all waiting requests of a pool that has been without capacity too long.
 
         The router refuses each of these requests at once with a reason.  In the queue
--- a/ryelever/coordination/groups/adoption.py
+++ b/ryelever/coordination/groups/adoption.py
@@ -77,7 +77,11 @@
         return now - since <= self._stall_time + STALL_SLACK
 
     def _is_known(self, server: BackendServer) -> bool:
-        """Return whether a server's group is managed, or ended and was not revived."""
+        """Return whether a server's group needs no adoption.
+
+        The group is managed, or it has ended and the server doesn't report to be its
+        head again.
+        """
         report = server.group
         known = self._manager.knows(report.name, report.epoch)
         return known and not self._manager.heads_ended_group(server)
--- a/ryelever/coordination/groups/manager.py
+++ b/ryelever/coordination/groups/manager.py
@@ -47,10 +47,10 @@
 #: unreachable is usable again afterwards.
 PRESUMED_LOST_FOR = 5.0
 
-#: Seconds after a head was first seen to serve by which the server list shows the state
-#: that each member had when the head opened.  Entries are written at once and read
-#: within half a second, or within about two seconds of the store's return after an
-#: outage.
+#: Seconds for which a head must have been seen to serve before the server list is
+#: certain to show the members' states as of when the head opened.  Entries are written
+#: at once and read within half a second, or within about two seconds of the store's
+#: return after an outage.
 MEMBERS_LISTED_AFTER = 3.0
 
 
--- a/ryelever/coordination/groups/reshaping.py
+++ b/ryelever/coordination/groups/reshaping.py
@@ -2,9 +2,9 @@
 
 All planners see the same groups and the same demand, so every zone detects a shortage
 of groups at the same time.  If each zone disbanded a group of another model, that model
-would be short next: with three zones it lost three groups of five where one was needed.
-Each zone therefore announces its intention, and counts one group as already formed for
-each zone that is ahead of it.
+would be short next: with three zones, a model lost three of its five groups although
+only one group had to be disbanded.  Each zone therefore announces its intention, and
+counts one group as already formed for each zone that is ahead of it.
 """
 
 from __future__ import annotations
--- a/ryelever/coordination/groups/zone_planner.py
+++ b/ryelever/coordination/groups/zone_planner.py
@@ -388,8 +388,8 @@
             return
         if self._pending_append is not None or self._list_is_stale():
             # During an outage of the store no group can be formed from the freed
-            # members: three zones that ended one group each lost half of a model's
-            # groups until the store returned.
+            # members.  When each of three zones had ended a group, a model lacked half
+            # of its groups until the store returned.
             return
         if self.manager.disbanding() or self.manager.records(GroupPhase.FORMING):
             # Until the group that is being formed serves, other zones see fewer groups
--- a/ryelever/coordination/host_heartbeats.py
+++ b/ryelever/coordination/host_heartbeats.py
@@ -439,17 +439,18 @@
     ) -> bool:
         """Return whether this host is to plan for a zone.
 
-        A host that plans already continues, unless another host also plans and
-        either this host doesn't reach the store or the other one precedes it by name.
+        A host that plans already continues, unless another planner reaches the store
+        and either this host doesn't reach it or the other planner precedes it by name.
         A change of planner costs a second without repairs, and groups that lost a
         member must also be ended while the store is unreachable.  A host that could
         plan but doesn't yet is no reason to stop: it may lose the store before it
         starts, and the zone would have no planner.
 
-        A host that doesn't plan yet starts if no other host plans and it is the first
-        by name of the zone's hosts that reach the store.  If the zone has had no host
-        for ``ORPHANED_ZONE_DELAY``, the first host of all zones plans for it.  Two
-        hosts may plan at the same time; the store accepts the decisions of only one.
+        A host that doesn't plan yet starts if no planner reaches the store and this
+        host is the first by name of the zone's hosts that reach the store.  If the zone
+        has had no host for ``ORPHANED_ZONE_DELAY``, the first host of all zones plans
+        for it.  Stopping hosts are not counted.  Two hosts may plan at the same time;
+        the store accepts the decisions of only one.
 
         Parameters
         ----------
--- a/ryelever/coordination/lease.py
+++ b/ryelever/coordination/lease.py
@@ -26,9 +26,9 @@
 #: Terms without a change of the lease after which the log counts as unreachable.
 TERMS_BEFORE_LOG_UNREACHABLE = 2.0
 
-#: Terms without a change of the lease before a process takes it whose placement lacks
-#: records.  A process with all records takes the lease much sooner and knows the
-#: groups.
+#: Terms without a change of the lease after which it is taken by a process whose
+#: placement lacks records.  A process with all records takes the lease much sooner and
+#: knows the groups.
 TERMS_BEFORE_INCOMPLETE_TAKEOVER = 5.0
 
 #: Renewals of the lease in a term.
@@ -41,7 +41,7 @@
 
 
 class PlannerLease:
-    """Decide when to take, renew and return the lease, and whether this host holds it.
+    """Decide when to take, renew and release the lease, and whether this host holds it.
 
     Parameters
     ----------
@@ -75,13 +75,13 @@
         self._requested_at_by_id: dict[str, float] = {}
         self._valid_until = _NEVER
         self._tenure = -1
-        self._returned = False
+        self._released = False
         self.held_since = _NEVER
 
     def holds(self, placement: PlacementFold, *, now: float) -> bool:
         """Return whether this host holds a valid lease at the given time."""
         return (
-            not self._returned
+            not self._released
             and placement.lease is not None
             and placement.lease.holder == self._holder
             and now < self._valid_until
@@ -110,7 +110,7 @@
         if offset != self._lease_offset:
             self._lease_offset, self._lease_seen_at = offset, now
             self._update_validity(placement, now=now)
-        if self._returned or not can_plan or not self._is_due(placement, now=now):
+        if self._released or not can_plan or not self._is_due(placement, now=now):
             return []
         return [self._append_lease(offset, term=self._term, now=now)]
 
@@ -127,9 +127,9 @@
         return now >= since + self._term * TERMS_BEFORE_LOG_UNREACHABLE
 
     def release(self, placement: PlacementFold, *, now: float) -> list[Action]:
-        """Return the append that returns the lease; this host never holds it again."""
+        """Return the append that releases the lease; this host never holds it again."""
         held = self.holds(placement, now=now)
-        self._returned = True
+        self._released = True
         if not held:
             return []
         return [self._append_lease(placement.lease.offset, term=0.0, now=now)]
--- a/ryelever/coordination/planner/placement_history.py
+++ b/ryelever/coordination/planner/placement_history.py
@@ -1,4 +1,4 @@
-"""Keep a line with cause, decision and outcome for each change of placement.
+"""Keep a line with cause, decision and outcome of each change for the diagnostic dump.
 
 The lines come from the folded records, so every entry host shows the same lines,
 whichever host held the lease.  Only the outcome is this entry host's own observation.
--- a/ryelever/coordination/quarantine/quarantine.py
+++ b/ryelever/coordination/quarantine/quarantine.py
@@ -71,10 +71,10 @@
     else it stays a suspect for another run apart; and a request that completed recently
     is excused from one crash, which covers identical short prompts of many callers.
 
-    A suspect that ran past the position at which its first crash interrupted it is not
-    considered if another repeated suspect did not.  Once a request is condemned, it
-    explains the crashes in which it ran, and the other requests in them are no
-    suspects any more.
+    Repeated suspects that ran past the position at which their first crash interrupted
+    them are not considered if another repeated suspect did not run that far.  Once a
+    request is condemned, it explains the crashes in which it ran, and the other
+    requests in them are no suspects any more.
 
     Parameters
     ----------
--- a/ryelever/coordination/relaying/actions.py
+++ b/ryelever/coordination/relaying/actions.py
@@ -48,7 +48,7 @@
     request_id : str
         Id that the caller gave this transmission of the request.
     status : int
-        429 and 503 promise that the request was not run and never will be.
+        HTTP status; 503 promises that the request was not run and never will be.
     retry_after : float or None
         Seconds after which the caller should retry.
     """
--- a/ryelever/coordination/relaying/balance.py
+++ b/ryelever/coordination/relaying/balance.py
@@ -35,10 +35,10 @@
 UNREACHABLE_ZONE_PENALTY = 2.0
 
 #: Maximum number of backend servers that are all examined for a request. If there are
-#: more, all servers of this zone are examined, and a random sample of the others that
-#: makes up this number but has at least the minimum size. Examining a server takes
-#: processor time, and the sample shows as well where slots are free. If no examined
-#: server has a free slot, all servers are examined.
+#: more, all servers of this zone are examined, and a random sample of the others: as
+#: many as are missing from this number, but at least ``MIN_REMOTE_CANDIDATES``.
+#: Examining a server takes processor time, and the sample shows as well where slots are
+#: free. If no examined server has a free slot, all servers are examined.
 SAMPLING_THRESHOLD = 64
 MIN_REMOTE_CANDIDATES = 16
 
@@ -73,8 +73,8 @@
     server : BackendServer or None
         The incarnation to which the failures belong.
     stale_entry : BackendServer or None
-        The directory entry under which the server answered that it is another
-        incarnation or not the head of its group.
+        The directory entry under which a server answered that it isn't the server or
+        incarnation that the request names.
     stale_until : float
         Monotonic time until which that entry counts as stale.
     """
--- a/ryelever/coordination/relaying/messages.py
+++ b/ryelever/coordination/relaying/messages.py
@@ -70,7 +70,8 @@
     not_run : bool
         True if the server promises not to have run the request.
     wrong_server : bool
-        True if another server now has the address.
+        True if the answering server isn't the server or incarnation that the request
+        names (HTTP 421).
     encoded : bool
         True if an intermediary has changed the encoding of the body.
     headers : list of (bytes, bytes)
--- a/ryelever/coordination/relaying/waiting.py
+++ b/ryelever/coordination/relaying/waiting.py
@@ -67,7 +67,10 @@
 
 
 def seconds_to_slot(allowance: Allowance, *, n_ahead: int) -> float:
-    """Return the seconds until rate limits allow one more request.
+    """Return the seconds after which rate limits allow one more request at the latest.
+
+    The result is ``MAX_LIMITED_WAIT`` for any shorter time, and infinite if the limits
+    allow no more requests.
 
     Parameters
     ----------
--- a/ryelever/coordination/repairs.py
+++ b/ryelever/coordination/repairs.py
@@ -1,7 +1,8 @@
-"""Record each change of the placement with its cause, decision and outcome.
+"""Record repairs with cause, decision and outcome for the console's status page.
 
 The records in the log contain the decision and its cause.  Whether the decision worked
 is only known from later reports of the hosts.  Each entry host combines both.
+``planner/placement_history.py`` keeps similar lines for the diagnostic dump.
 """
 
 from __future__ import annotations
--- a/ryelever/coordination/requests/requests.py
+++ b/ryelever/coordination/requests/requests.py
@@ -5,8 +5,8 @@
 
 * A caller is answered ``not_run`` only if no byte of the request was sent to a backend
   server, or the backend server itself refused the request; with an idempotency key,
-  only if the log shows that this is also true of every earlier sending of the same
-  request.
+  only if the log shows that this is also true of every earlier request with the same
+  key.
 * A non-repeatable request is sent only after its claim was read back as the first
   claim of the key, and is never sent again once its first byte was sent.
 * Answers are matched by attempt: an answer to an attempt that has ended is dropped
--- a/ryelever/coordination/soft_state/deliveries.py
+++ b/ryelever/coordination/soft_state/deliveries.py
@@ -46,11 +46,13 @@
             or now - table_row.observed_at > ROW_EXPIRY
         ):
             continue
-        heartbeat = (
+        is_liveness_row = (
             isinstance(row, DemandRow) and row.client_account == LIVENESS_ACCOUNT
         )
-        if heartbeat and not single:
-            found += _split_heartbeats(row, observer, observed_at=table_row.observed_at)
+        if is_liveness_row and not single:
+            found += _split_liveness_row(
+                row, observer, observed_at=table_row.observed_at
+            )
             continue
         found.append(
             Delivery(observation=row, peer=observer, observed_at=table_row.observed_at)
@@ -58,7 +60,7 @@
     return found
 
 
-def _split_heartbeats(
+def _split_liveness_row(
     row: DemandRow, observer: str, *, observed_at: float
 ) -> Iterator[Delivery]:
     # The split of limits counts the hosts from which it receives rows.  If a zone's
--- a/ryelever/coordination/topic.py
+++ b/ryelever/coordination/topic.py
@@ -171,6 +171,9 @@
     def reread(self, *, now: float) -> None:
         """Read again immediately, also while a read is in flight.
 
+        Called when another host has announced a newer record, or when the connection
+        of another topic has gone silent.
+
         The read in flight may hang on a silent connection and would time out only
         seconds later.  It is therefore replaced unless it has just started.
         """
