--- a/ryelever/attempts.py
+++ b/ryelever/attempts.py
@@ -40,9 +40,9 @@
 #: Channel without a handler, for answers that are not needed.
 UNUSED_CHANNEL = "nobody"
 
-#: Code of errors after which the backend server counts as alive.  A stream that breaks
-#: with an error without a code of its own counts as the server's death; silence
-#: does not.
+#: Code of errors after which the backend server counts as alive.  A connection that
+#: breaks with an error whose code is only its category counts as the server's death; a
+#: timeout does not.
 BACKEND_ERROR = "backend_error"
 
 
--- a/ryelever/caller_answers.py
+++ b/ryelever/caller_answers.py
@@ -52,7 +52,7 @@
         self._fire = fire
         self._metrics = metrics
         self.arrivals_by_id: dict[str, Arrival] = {}
-        self._shapes_by_request: dict[str, ChatStreamEncoder] = {}
+        self._encoders_by_request: dict[str, ChatStreamEncoder] = {}
 
     def expect(self, arrival: Arrival) -> None:
         """Store a request whose answer will be sent later."""
@@ -61,24 +61,24 @@
     def forget(self, request_id: str) -> None:
         """Remove a request that was answered or whose caller has disconnected."""
         self.arrivals_by_id.pop(request_id, None)
-        self._shapes_by_request.pop(request_id, None)
+        self._encoders_by_request.pop(request_id, None)
 
     # Streams
 
     def stream_tokens(self, action: StreamTokens) -> None:
         """Send tokens to the caller."""
         request_id = action.request_id
-        data = self._shape(request_id).tokens(action.tokens)
+        data = self._encoder(request_id).tokens(action.tokens)
         self._fire(caller_stream_data(request_id, data), "callers")
 
-    def _shape(self, request_id: str) -> ChatStreamEncoder:
-        shape = self._shapes_by_request.get(request_id)
-        return shape or self._start_stream(request_id)
+    def _encoder(self, request_id: str) -> ChatStreamEncoder:
+        encoder = self._encoders_by_request.get(request_id)
+        return encoder or self._start_stream(request_id)
 
     def _start_stream(self, request_id: str) -> ChatStreamEncoder:
         arrival = self.arrivals_by_id[request_id]
         self._metrics.observe("first_token", time.monotonic() - arrival.arrived_at)
-        shape = ChatStreamEncoder(
+        encoder = ChatStreamEncoder(
             request_id=request_id,
             model=arrival.work.name,
             created=int(time.time()),
@@ -89,14 +89,14 @@
             "Cache-Control": "no-cache",
             "X-Request-Id": request_id,
         }
-        self._shapes_by_request[request_id] = shape
+        self._encoders_by_request[request_id] = encoder
         self._fire(caller_stream_start(request_id, headers), "callers")
-        self._fire(caller_stream_data(request_id, shape.started()), "callers")
-        return shape
+        self._fire(caller_stream_data(request_id, encoder.started()), "callers")
+        return encoder
 
     def stream_finished(self, action: StreamFinished) -> None:
         """Send the final events of a stream and end it."""
-        data = self._shape(action.request_id).finished(
+        data = self._encoder(action.request_id).finished(
             finish_reason=action.finish_reason, usage=action.usage
         )
         self._end_stream(action.request_id, data, outcome="answered")
--- a/ryelever/emulator/fleet.py
+++ b/ryelever/emulator/fleet.py
@@ -30,7 +30,7 @@
 #: Steps until the server list shows a change.  The list is read three times a second.
 LIST_LAG_STEPS = 3
 
-#: Seconds until the entry of a lost server expires: the time of three record renewals,
+#: Seconds until the record of a lost server expires: the time of three record renewals,
 #: which are 1.2 s apart.
 EXPIRY_TIME = 3.6
 
--- a/ryelever/entry_host.py
+++ b/ryelever/entry_host.py
@@ -15,7 +15,7 @@
     from .request_path import RequestPath
     from .serving import Serving
     from .settings import Settings
-    from .state.configuration import ConfigurationFold
+    from .state.configuration_fold import ConfigurationFold
     from .state.placement import PlacementFold
     from .streams import Streams
     from .timers import Timers
--- a/ryelever/fleet_watch.py
+++ b/ryelever/fleet_watch.py
@@ -207,7 +207,7 @@
             self.refused(pending.subject, at=time.monotonic())
 
     def refused(self, host: str, *, at: float) -> None:
-        """Record that a host cannot be connected to, to be reported to peers too."""
+        """Record and report to peers that this entry host cannot connect to a host."""
         self.confirmations.record_unreachable(host)
         self._local_reports_by_host[host] = LatestReport(
             report=HostReport(host=host, boot="", state=UNREACHABLE), requested_at=at
--- a/ryelever/group_planning.py
+++ b/ryelever/group_planning.py
@@ -145,11 +145,11 @@
 
     def _update_planner(self, zone: str) -> None:
         planning = zone in self.planners_by_zone
-        leads = self._plans_for(zone, planning)
-        if leads == planning:
+        should_plan = self._plans_for(zone, planning)
+        if should_plan == planning:
             return
-        log_event("planner_began" if leads else "planner_ended", zone=zone)
-        if not leads:
+        log_event("planner_began" if should_plan else "planner_ended", zone=zone)
+        if not should_plan:
             del self.planners_by_zone[zone]
             self._store.unfollow(self._followers_by_zone.pop(zone))
             return
--- a/ryelever/peer_requests.py
+++ b/ryelever/peer_requests.py
@@ -41,7 +41,8 @@
         Return the records of all backend servers, or None before they are known.
     changes : callable
         Return the backend servers' changes since an offset, given the offset and its
-        era, or None if this host has no complete record of the changes.
+        era; None if this host has no complete record of the changes, or none after the
+        offset.
     link_rate : float
         Capacity of this host's network link in bytes a second.
     """
--- a/ryelever/platform/__init__.py
+++ b/ryelever/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translate between the users' platform and the product, without any decisions."""
+"""Translate between the platform's formats and ryelever's, without any decisions."""
--- a/ryelever/protocol/host_messages.py
+++ b/ryelever/protocol/host_messages.py
@@ -87,8 +87,8 @@
 #: datagram.
 MAX_LISTED_SERVERS = 160
 
-#: Maximum number of servers with a rate limit in each such list of a heartbeat; they
-#: are sent in addition to the other servers.
+#: Maximum number of backend servers in each of the two lists of a heartbeat that
+#: concern rate limits.  They are sent in addition to the servers of the other lists.
 MAX_LIMITED_SERVERS = 32
 
 #: Encodes a missing number in fields whose values are otherwise positive.
@@ -217,7 +217,8 @@
     The failure of a fabric domain changes dozens of records at once.  If updates of
     this size were not sent between hosts, all hosts would read the store at the same
     moment.  Updates that need more than ``MAX_UPDATE_DATAGRAMS`` datagrams are replaced
-    by one datagram that tells the receivers to fetch the records.
+    by one datagram that tells the receivers to fetch the records.  Records that servers
+    have reported themselves are always sent.
     """
     parts: list[list[KeyedRecord]] = [[]]
     size = 0
--- a/ryelever/protocol/relaying.py
+++ b/ryelever/protocol/relaying.py
@@ -26,7 +26,8 @@
         Parameters
         ----------
         content : str
-            Hash of the content that is forwarded.
+            Hash of the request's method, target and body, by which repeated requests
+            are recognized.
         """
 
     def attempt_headers(
--- a/ryelever/relay_settings.py
+++ b/ryelever/relay_settings.py
@@ -21,8 +21,8 @@
     grace : float
         Time from the signal to stop until the process is killed.
     stall_time : float
-        Time for which a group stalls when it has lost a member, before the group
-        breaks off.
+        Time for which a group that has lost a member is stalled before its head
+        reports the group broken.
     repeat_ratio, repeat_window, repeat_slack : float
         Retry budget of all entry hosts together: in any window of ``repeat_window``
         seconds they may send ``repeat_ratio`` times the window's requests plus
--- a/ryelever/schema/host_words.capnp
+++ b/ryelever/schema/host_words.capnp
@@ -81,7 +81,7 @@
   # Era of the store to which the offsets belong.
   era @6 :UInt32;
   # True if the receiver must fetch the records from the sender because they are too
-  # many for a datagram.
+  # many for datagrams.
   toFetch @7 :Bool;
 }
 
--- a/ryelever/state/claims.py
+++ b/ryelever/state/claims.py
@@ -38,8 +38,9 @@
 #: may have acted on it; a resend that then ran would be a second booking.
 MAX_TIME_TO_FREE = 90.0
 
-#: ``_complete_since`` of a fold that has read no records yet.  A finite number, since
-#: JSON would encode infinity as null, which means that no record is missing.
+#: ``_complete_since`` of a fold that has read no records yet, or none since a loss of
+#: records.  A finite number, since JSON would encode infinity as null, which means that
+#: no record is missing.
 NO_HISTORY = 1e18
 
 #: Run state of an outcome that frees the claimed key.
--- a/ryelever/state/directory.py
+++ b/ryelever/state/directory.py
@@ -96,7 +96,7 @@
         All listed servers, including those that are leaving.
     last_seen_at_by_id : dict of str to float
         Monotonic time of the last sign of life of each server that was removed.  The
-        entry of a server lapses only some time after this moment.
+        record of a server expires only some time after this moment.
     cold_until_by_id : dict of str to float
         Monotonic time until which each cold server stays cold.
     listed_since_by_id : dict of str to float
@@ -150,7 +150,7 @@
         Parameters
         ----------
         last_renewed_at : float
-            Monotonic time at or before which the server last renewed its entry.
+            Monotonic time at or before which the server last renewed its record.
         """
         server = self.by_id.pop(server_id, None)
         if server is None:
--- a/ryelever/state/fold.py
+++ b/ryelever/state/fold.py
@@ -18,7 +18,8 @@
 __all__ = ["BaseFold", "Gap", "Ignored"]
 
 #: Seconds, by the log's time, for which a record id is remembered in order to drop
-#: repeated appends of the record.  A writer repeats an append for up to ten seconds.
+#: repeated appends of the record.  A writer repeats an append for up to ten seconds;
+#: only outcomes are repeated for longer, and ``ClaimsFold`` has its own value.
 REMEMBER_FOR = 3600.0
 
 #: Number of the newest ignored records that are kept for the operator.
--- a/ryelever/state/observations.py
+++ b/ryelever/state/observations.py
@@ -81,8 +81,8 @@
     ----------
     crash : str
         Identifier of a crash, the same on all entry hosts: the target and its fencing
-        number.  The crash is the one in which the request was involved again as a
-        suspect or, if there is none, the newest one.
+        number.  Of several crashes, it is one that happened when the request was
+        already a suspect; if there is none, the newest crash.
     repeated : bool
         True if the request was already a suspect when this crash happened.
     proved : bool
@@ -112,7 +112,7 @@
 
 
 class LeavingRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Report that a backend server is leaving, as this entry host has learned."""
+    """Announcement that a backend server is leaving, as this entry host has learned."""
 
     host: str
 
@@ -125,13 +125,13 @@
 
 
 class ReportRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Forward a host's report; its age counts from the request for the report."""
+    """Forwarded report of a host; its age counts from the request for the report."""
 
     report: HostReport
 
 
 class ConfigurationRow(msgspec.Struct, kw_only=True, frozen=True):
-    """Forward the configuration in force with its version."""
+    """The configuration in force with its version."""
 
     version: int
     author: str
--- a/ryelever/state/placement.py
+++ b/ryelever/state/placement.py
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class PlacementChange:
-    """Describe, for the operator, one decision that took effect.
+    """One decision that took effect, as shown to the operator.
 
     Attributes
     ----------
--- a/ryelever/streams.py
+++ b/ryelever/streams.py
@@ -44,8 +44,8 @@
 #: Seconds for which an append is retried, unless its action sets another time.
 APPEND_DEADLINE = 10.0
 
-#: Cost of one part of a snapshot, which may be a megabyte long, in the maximum total
-#: cost of an append.  Any other record costs 1.
+#: Cost of one part of a snapshot, counted towards the maximum total cost of an append.
+#: A part may be a megabyte long.  Any other record costs 1.
 SNAPSHOT_COST = 200
 
 #: Records since the last snapshot after which even a small state is written again.
--- a/ryelever/transport/callers_web.py
+++ b/ryelever/transport/callers_web.py
@@ -1,4 +1,4 @@
-"""Adapt ``circuits.web``, which composes the answers to callers' requests.
+"""Adapt ``circuits.web``, which parses request heads and composes the answers.
 
 The sockets belong to the ``callers`` module; this module contains only the parts that
 depend on ``circuits.web``.
