--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -87,7 +87,7 @@
     idle : float
         Slot-seconds that were free while requests were queued.
     slot_seconds : float
-        Slot-seconds of the run in all.
+        Slot-seconds of the run in total, free or not.
     regained_after : float or None
         Seconds from the lender's return until the lender holds 95% of its share.
     lender_slots : list of tuple of float and int
--- a/benchmarks/compare_days.py
+++ b/benchmarks/compare_days.py
@@ -56,7 +56,8 @@
     Attributes
     ----------
     worth : float or None
-        Score of the day; None if the day was not played to its end.
+        Score of the day, whose mean is the column "worth" of the table; None if the day
+        was not played to its end.
     breaks : dict of str to int
         Broken promises by name.
     credit : float
--- a/benchmarks/speed.py
+++ b/benchmarks/speed.py
@@ -169,7 +169,7 @@
 
 
 def percentile(values: list[float], part: float) -> float:
-    """Return a percentile of the values, given as a part from 0 to 1."""
+    """Return a percentile of the values, given as a fraction from 0 to 1."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
 
--- a/tests/relay_zone.py
+++ b/tests/relay_zone.py
@@ -1,4 +1,4 @@
-"""Run entry hosts that relay requests against simulated platform processes."""
+"""Run entry hosts that relay requests, with stand-ins of the platform."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class RelayZone:
-    """Start and control simulated platform processes and entry hosts."""
+    """Start and control entry hosts and the stand-ins of the platform."""
 
     directory: Path
     processes: list[Process] = field(default_factory=list)
@@ -90,7 +90,7 @@
     addresses: dict[str, str] = field(default_factory=dict)
 
     def start_platform(self, *, n_engines: int = 4, n_plain: int = 2) -> None:
-        """Start a process that simulates the store and the backend servers."""
+        """Start the stand-in of the store and the backend servers."""
         process = Process(
             name="platform",
             arguments=[
@@ -177,7 +177,7 @@
         httpx.post(url, json=body, timeout=5).raise_for_status()
 
     def platform_state(self) -> dict[str, Any]:
-        """Return the state that the simulated platform has recorded."""
+        """Return the state that the stand-in of the platform has recorded."""
         return httpx.get(f"http://{self.addresses['control']}/control").json()
 
     def servers(self) -> dict[str, Any]:
@@ -241,7 +241,7 @@
 
 
 def events_of_stream(n_events: int) -> str:
-    """Return a complete stream as the simulated backend servers send it."""
+    """Return a complete stream as the stand-in backend servers send it."""
     return "".join(
         f"id: {number}\ndata: piece {number}\n\n" for number in range(1, n_events + 1)
     )
--- a/tests/test_coordination/test_fan_out.py
+++ b/tests/test_coordination/test_fan_out.py
@@ -31,6 +31,6 @@
     rotation=st.integers(0, 10_000),
 )
 def test_only_live_hosts_forward_datagrams(live_hosts: set[str], rotation: int) -> None:
-    """Guard against a lost host that is to forward datagrams to other hosts."""
+    """Guard against a lost host that is chosen to forward datagrams to others."""
     for receiver in fan_out(HOSTS, live_hosts=live_hosts, rotation=rotation):
         assert not receiver.hosts or receiver.host in live_hosts
--- a/tests/test_coordination/test_groups/test_returns_explored.py
+++ b/tests/test_coordination/test_groups/test_returns_explored.py
@@ -53,7 +53,7 @@
 #: Seconds by which an append without an answer is executed late.
 APPEND_DELAY = 2.0
 
-EVENTS = ("copy", "restore", "lose", "replace-planner", "late-append")
+EVENTS = ("copy", "apply-copy", "lose", "replace-planner", "late-append")
 
 
 @dataclass(slots=True, kw_only=True)
@@ -94,7 +94,7 @@
         """Apply one of ``EVENTS`` now."""
         if event == "copy":
             self._copy = self._log.copy()
-        elif event == "restore":
+        elif event == "apply-copy":
             era = self._log.era + 1
             self._log = self._copy.copy()
             self._log.era = era
@@ -237,11 +237,11 @@
 
 #: A restore under a planner that knows the lost records, and under one that starts from
 #: the restored copy.
-WITH_PLANNER = [(2.0, "copy"), (3.0, "lose"), (7.0, "restore"), (8.0, "lose")]
+WITH_PLANNER = [(2.0, "copy"), (3.0, "lose"), (7.0, "apply-copy"), (8.0, "lose")]
 REPLACED = [*WITH_PLANNER, (7.1, "replace-planner")]
 
 #: The same with a copy that was made before the first group.
-EMPTY = [(-11.5, "copy"), (5.0, "restore"), (6.0, "lose")]
+EMPTY = [(-11.5, "copy"), (5.0, "apply-copy"), (6.0, "lose")]
 EMPTY_REPLACED = [*EMPTY, (5.1, "replace-planner")]
 
 
@@ -255,18 +255,18 @@
         pytest.param(
             [
                 *WITH_PLANNER,
-                (9.0, "restore"),
+                (9.0, "apply-copy"),
                 (10.0, "lose"),
-                (11.0, "restore"),
+                (11.0, "apply-copy"),
             ],
             id="three-in-series",
         ),
         pytest.param([*WITH_PLANNER, (6.9, "late-append")], id="late-append"),
-        pytest.param([(-11.0, "restore"), (-9.0, "restore")], id="at-the-start"),
+        pytest.param([(-11.0, "apply-copy"), (-9.0, "apply-copy")], id="at-the-start"),
     ],
 )
 def test_groups_serve_after_store_returns(events: list[tuple[float, str]]) -> None:
-    """Guard against a zone without groups or records after a restore of the store."""
+    """Guard against a zone without groups, or with unrecorded ones, after a restore."""
     _assert_sound(_play(events))
 
 
--- a/tests/test_coordination/test_host_heartbeats.py
+++ b/tests/test_coordination/test_host_heartbeats.py
@@ -143,8 +143,8 @@
 
     925 servers join groups, a hundred of them in a third of a second, and the reader
     sends their records to 38 hosts of its zone over a link of 10 Mbit/s.  Records of
-    450 bytes, most of them identical, add up to 1.7 MB in that time.  Hosts that
-    missed updates would each read the store.
+    450 bytes, which differ in a few bytes only, add up to 1.7 MB in that time if they
+    are not compressed.  Hosts that missed updates would each read the store.
     """
     value = b'{"service": "engines", "zone": "z", "slots": 11, "state": "ready",' * 6
     records = [
--- a/tests/test_coordination/test_planner/test_planner_machine.py
+++ b/tests/test_coordination/test_planner/test_planner_machine.py
@@ -95,8 +95,8 @@
         decider = next(
             process for process in self.zone.planners if process.name == self.holder
         )
-        heard_at = decider.last_report_at_by_host.get(record.host, 0.0)
-        silent_for = self.zone.now - heard_at
+        last_report_at = decider.last_report_at_by_host.get(record.host, 0.0)
+        silent_for = self.zone.now - last_report_at
         assert silent_for >= DEAD_AFTER or record.host in self._answering_hosts()
 
     def _answering_hosts(self) -> set[str]:
--- a/tests/test_coordination/test_planner/test_planner_outage.py
+++ b/tests/test_coordination/test_planner/test_planner_outage.py
@@ -87,8 +87,8 @@
     entry host pauses for longer than the log retains records, or starts after
     records have expired.  Because a record in between is missing, this host's fold
     never shows a renewal of the lease that it knows, if it knows any.  The fault
-    occurs if the host ignores the renewals, counts its own taking of the lease, or
-    treats the log as unavailable and its own outdated state as current.
+    occurs if the host ignores the renewals, accepts a lease record that it appended
+    itself, or treats the log as unavailable and its own outdated state as current.
     """
     zone = _make_zone()
     stale_process, other = zone.planners
--- a/tests/test_coordination/test_quarantine/test_quarantine.py
+++ b/tests/test_coordination/test_quarantine/test_quarantine.py
@@ -220,11 +220,12 @@
     Guards against a third group that dies of one request, and against a bystander that
     is quarantined.  A group dies while it runs a poison request of one entry host and a
     bystander of another.  The bystander then runs well past the position of that crash
-    on another group.  The poison request, which had to wait until it could run apart,
-    is sent to the same group, since the hosts' parts of the targets shifted when the
-    dead group was dissolved.  If the hosts report only that a suspect was in a second
-    crash, and not that it has proved itself, the host with the poison request considers
-    the bystander an equally likely cause and runs the poison request once more.
+    on another group.  The poison request, which had to wait until it could run at a
+    target without other suspects, is sent to the bystander's group after all, since the
+    hosts' shares of the targets shifted when the dead group was dissolved.  If the
+    hosts report only that a suspect was in a second crash, and not that it has proved
+    itself, the host with the poison request considers the bystander an equally likely
+    cause and runs the poison request once more.
     """
     first = Quarantine(settle=1.0, seed=1)
     second = Quarantine(settle=1.0, seed=1)
--- a/tests/test_coordination/test_racing_operators.py
+++ b/tests/test_coordination/test_racing_operators.py
@@ -14,27 +14,27 @@
 
 from ..memory_log import MemoryLog, new_reader, read_to_end
 
-#: Fate of an append: it takes effect and is answered, takes effect but its answer is
+#: Result of an append: it takes effect and is answered, takes effect but its answer is
 #: lost, or is lost itself.
-FATES = ("answered", "answer lost", "lost")
+APPEND_RESULTS = ("answered", "answer lost", "lost")
 
 
 @pytest.mark.parametrize(
-    "fates", list(itertools.product(FATES, repeat=4)), ids="-".join
+    "fates", list(itertools.product(APPEND_RESULTS, repeat=4)), ids="-".join
 )
 def test_one_operator_wins_and_both_are_notified(fates: tuple[str, ...]) -> None:
     """Guard against two operators, or none, whose change is reported as in force.
 
     Two documents are published on the same base version while answers to appends are
-    lost.  The first two appends of each operator have the fates of the row.  Each
+    lost.  The first two appends of each operator have the results of the row.  Each
     operator repeats the append until it is read back, so that a publication may be in
     the log four times.  An answer must not be taken for the outcome, nor a repeated
     append for a competing change.
     """
     log = MemoryLog()
-    fate_by_attempt = {
-        (name, attempt): fate
-        for name, attempt, fate in zip(
+    result_by_attempt = {
+        (name, attempt): result
+        for name, attempt, result in zip(
             ("ana", "ana", "bia", "bia"), (0, 1, 0, 1), fates, strict=True
         )
     }
@@ -49,13 +49,13 @@
         assert now < 60.0
         for name, writer in writers.items():
             for pending in writer.due(now=now):
-                fate = fate_by_attempt.get((name, n_sent[name]), "answered")
+                result = result_by_attempt.get((name, n_sent[name]), "answered")
                 n_sent[name] += 1
-                if fate != "lost":
+                if result != "lost":
                     log.append(pending.record, record_id=pending.record_id)
                     # The network duplicates the append.
                     log.append(pending.record, record_id=pending.record_id)
-                writer.answered() if fate == "answered" else writer.failed(now=now)
+                writer.answered() if result == "answered" else writer.failed(now=now)
         for name, reader in readers.items():
             for applied in read_to_end(reader, log):
                 writers[name].read_back(applied.entry.id)
--- a/tests/test_coordination/test_relaying/test_balance.py
+++ b/tests/test_coordination/test_relaying/test_balance.py
@@ -218,13 +218,13 @@
     assert _choose(balancer, now=0.2) == "a"
 
 
-# Entries that lapse during an outage of the store
+# Entries that expire during an outage of the store
 
 
 def test_removals_wait_for_entries_that_lapsed_in_an_outage() -> None:
     """Guard against removing all backend servers when the store returns.
 
-    The store is down for five seconds and entries lapse meanwhile. All entries return
+    The store is down for five seconds and entries expire meanwhile. All entries return
     within two seconds, but the removals are read first: without a delay, no backend
     server is known for two seconds after the outage.
     """
--- a/tests/test_coordination/test_soft_state/test_soft_state.py
+++ b/tests/test_coordination/test_soft_state/test_soft_state.py
@@ -327,10 +327,10 @@
     for _ in range(100):
         network.run(0.1)
         for node in network.nodes:
-            heard_at = {d.peer: d.observed_at for d in node.deliveries}
+            observed_at_by_peer = {d.peer: d.observed_at for d in node.deliveries}
             others = {other.name for other in network.nodes if other is not node}
-            assert heard_at.keys() == others
-            oldest = max(oldest, network.now - min(heard_at.values()))
+            assert observed_at_by_peer.keys() == others
+            oldest = max(oldest, network.now - min(observed_at_by_peer.values()))
     assert oldest < 3.0
     far = network.nodes[1]
     assert far.last(report("e000"), peer="e000") is None
--- a/tests/test_system/test_promises.py
+++ b/tests/test_system/test_promises.py
@@ -1,4 +1,4 @@
-"""Test guarantees that must hold when two faults coincide, with real processes."""
+"""Test promises that must hold when two faults coincide, with real processes."""
 
 from __future__ import annotations
 
