--- a/ryelever/coordination/actions.py
+++ b/ryelever/coordination/actions.py
@@ -93,7 +93,7 @@
     name : str
         Group name, or host name of a plain service.
     fencing : int
-        Fencing number of the group; -1 for a plain service.
+        Fencing token of the group; -1 for a plain service.
     hosts : tuple of str
         Members of the group, the head first; for a plain service only its host.
     """
--- a/ryelever/coordination/confirmation.py
+++ b/ryelever/coordination/confirmation.py
@@ -71,7 +71,7 @@
     def confirms(self, host: str, group: Group, *, now: float) -> bool:
         """Return whether the host reports that it serves in this group.
 
-        The report must bear the group's name and fencing number.
+        The report must bear the group's name and fencing token.
         """
         report = self.fresh(host, now=now)
         return (
--- a/ryelever/coordination/planner/orders.py
+++ b/ryelever/coordination/planner/orders.py
@@ -1,6 +1,6 @@
 """Order hosts to join and leave groups, and track when these orders expire.
 
-An engine that ignores fencing numbers executes an old order that arrives late.  Each
+An engine that ignores fencing tokens executes an old order that arrives late.  Each
 order therefore carries a deadline on the engine's own clock: the clock reading in the
 report that the order is based on, plus ``order_window``.  This clock was read before
 the order was sent.  The deadline has therefore passed on the engine's clock at
@@ -42,7 +42,7 @@
     ) -> bool:
         """Return whether no earlier order to join can still take effect at a host.
 
-        A host that checks fencing numbers refuses earlier orders.  For any other
+        A host that checks fencing tokens refuses earlier orders.  For any other
         host, the deadlines of this planner's orders and of those by earlier lease
         holders must have passed.  Otherwise the host could leave its new group for
         an old one, undetected.
--- a/ryelever/coordination/planner/outage.py
+++ b/ryelever/coordination/planner/outage.py
@@ -1,14 +1,14 @@
 """Restore groups during an outage of the log, by repeating their orders to join.
 
 Without the log no host may change its group.  A group whose member was restarted
-needs neither other hosts nor a new fencing number, only the order to join that its
+needs neither other hosts nor a new fencing token, only the order to join that its
 members already had.  This order is the same whichever entry hosts send it, and
 however often.
 
-Only engines that check fencing numbers receive the order, because this process may be
+Only engines that check fencing tokens receive the order, because this process may be
 the only one that is cut off from the log.  If the group was dissolved meanwhile, its
-hosts have a higher fencing number, from their order to leave or from their next group,
-and refuse.  A host that lost its fencing number in a restart may obey.  Such a host
+hosts have a higher fencing token, from their order to leave or from their next group,
+and refuse.  A host that lost its fencing token in a restart may obey.  Such a host
 then reports the dissolved group, is not counted as a member of any group, and is
 ordered to leave by the holder of the lease.  Every engine is in at most one group at
 any moment.
--- a/ryelever/coordination/planner/planner.py
+++ b/ryelever/coordination/planner/planner.py
@@ -106,7 +106,7 @@
         if not self.holds_lease(view, now=now):
             # A fold that lacks records sees no lease renewals, as if the log were
             # unavailable.  The groups of such a fold may have ended long ago, and a
-            # restarted engine, which has lost its fencing number, would join one of
+            # restarted engine, which has lost its fencing token, would join one of
             # these ended groups again and again.
             if view.placement.complete and self.lease.is_log_unreachable(now=now):
                 actions += self._outage.tick(view, now=now)
--- a/ryelever/coordination/planner/release.py
+++ b/ryelever/coordination/planner/release.py
@@ -5,7 +5,7 @@
 has held the lease, and for longer than any order can still be obeyed.  Two conditions
 keep a dead host that returns out of other groups.  A host is allocated only after a
 later report that it is in no group, and a group serves only while each member reports
-the group's fencing number.  A host that was only cut off still reports its old group
+the group's fencing token.  A host that was only cut off still reports its old group
 when it returns, and is ordered to leave.  Until it has left, this host counts neither
 as free nor as a serving member.
 """
@@ -86,8 +86,8 @@
                 group, host, view, held_since=held_since, now=now
             )
         if report.group == group.name:
-            # The fencing number of the dissolution is above that of the group, so an
-            # engine that checks fencing numbers refuses any order for the group that
+            # The fencing token of the dissolution is above that of the group, so an
+            # engine that checks fencing tokens refuses any order for the group that
             # is still in flight.
             return self._orders.leave(report, view, fencing=group.dissolved_at, now=now)
         if not self._orders.joins_expired(host, view, held_since=held_since, now=now):
--- a/ryelever/coordination/planner/view.py
+++ b/ryelever/coordination/planner/view.py
@@ -116,7 +116,7 @@
         return listed.fabric_domain if listed is not None else None
 
     def checks_fencing(self, host: str) -> bool:
-        """Return whether a host refuses orders with an old fencing number.
+        """Return whether a host refuses orders with an old fencing token.
 
         An unlisted host is assumed not to check.
         """
--- a/ryelever/state/fleet.py
+++ b/ryelever/state/fleet.py
@@ -43,7 +43,7 @@
     group : str
         Group that the host is a member of; empty when idle.
     fencing : int
-        Fencing number of the newest order that the host has obeyed.
+        Fencing token of the newest order that the host has obeyed.
     state : str
         ``"idle"``, ``"loading"``, ``"ready"``, ``"broken"`` or ``"leaving"``.
     clock_ms : int
--- a/ryelever/state/placement.py
+++ b/ryelever/state/placement.py
@@ -35,7 +35,7 @@
     Attributes
     ----------
     fencing : int
-        Fencing number: the offset of the record that formed the group.
+        Fencing token: the offset of the record that formed the group.
     unreleased : set of str
         Hosts that the group still claims; all members until the group is dissolved.
     draining_since : int
--- a/ryelever/state/records.py
+++ b/ryelever/state/records.py
@@ -1,7 +1,7 @@
 """Define the records of the platform's log, one class for each kind.
 
 Records are immutable.  The offset of a record in its stream gives its order and its
-version; for placement records, the offset is also the fencing number.
+version; for placement records, the offset is also the fencing token.
 """
 
 from __future__ import annotations
@@ -75,7 +75,7 @@
 class GroupFormed:
     """Formation of a replica group, which claims its hosts.
 
-    The offset of this record is the group's fencing number.
+    The offset of this record is the group's fencing token.
 
     Attributes
     ----------
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -143,10 +143,10 @@
         return web.json_response(self._report())
 
     async def order(self, request: web.Request) -> web.Response:
-        """Apply an order, unless it has expired or its fencing number is outdated.
+        """Apply an order, unless it has expired or its fencing token is outdated.
 
         An order has expired once the engine's own clock is past ``expires_ms``.  Only
-        an engine with ``checks_fencing`` checks fencing numbers.
+        an engine with ``checks_fencing`` checks fencing tokens.
         """
         order = await request.json()
         if self.order_delay:
@@ -456,7 +456,7 @@
     port : int
         Port; 0 picks a free one.
     checks_fencing : bool
-        Refuse orders with an outdated fencing number.
+        Refuse orders with an outdated fencing token.
     step_ms : float
         Duration of one step of the batch in milliseconds.
     load_ms : float
--- a/tests/test_coordination/test_log_reader.py
+++ b/tests/test_coordination/test_log_reader.py
@@ -341,7 +341,7 @@
 
 
 def test_truncated_stream_is_not_taken_for_the_one_read_before() -> None:
-    """Guard against repeated fencing numbers and versions.
+    """Guard against repeated fencing tokens and versions.
 
     The log service loses a stream and starts a new one, which ends before the offset
     that the reader has reached.  The reader must not continue as in the same stream.
--- a/tests/test_coordination/test_planner/test_fencing.py
+++ b/tests/test_coordination/test_planner/test_fencing.py
@@ -69,7 +69,7 @@
     ignoring: str,
     checks_fencing: bool,
 ) -> None:
-    """Deliver each row's orders to an engine that checks or ignores fencing numbers.
+    """Deliver each row's orders to an engine that checks or ignores fencing tokens.
 
     The planner relies on this behavior.
     """
--- a/tests/test_coordination/test_planner/test_planner_outage.py
+++ b/tests/test_coordination/test_planner/test_planner_outage.py
@@ -23,7 +23,7 @@
 
     Guards against a group that stays down for a whole outage of the log, such as an
     hour, although all its hosts are up.  This happens if a restarted member can only
-    serve again in a new group with a new fencing number.
+    serve again in a new group with a new fencing token.
     """
     zone = _make_zone(checks_fencing)
     zone.log_is_up = False
--- a/tests/test_coordination/test_planner/test_planner_repair.py
+++ b/tests/test_coordination/test_planner/test_planner_repair.py
@@ -207,7 +207,7 @@
     """Let a paused member return after it was replaced.
 
     Guards against one host in two groups: the member returns with its old boot id,
-    group and fencing number, since it received no message about its replacement.
+    group and fencing token, since it received no message about its replacement.
     """
     zone = _assert_formed_in_domain_a(_make_zone(a=5))
     _silence(zone, "a-3")
--- a/tests/test_system/test_repair.py
+++ b/tests/test_system/test_repair.py
@@ -17,7 +17,7 @@
 def zone(fleet: Fleet, request: pytest.FixtureRequest) -> Fleet:
     """Start one group, a spare host and two entry hosts.
 
-    The engines check fencing numbers unless a test passes False as parameter.
+    The engines check fencing tokens unless a test passes False as parameter.
     """
     fleet.start_platform()
     checks_fencing = getattr(request, "param", True)
@@ -167,7 +167,7 @@
 
     Guards against a healthy host that leaves a complete group.  An order is delayed on
     its way, its group is dissolved, the host joins another group, and the order
-    arrives.  An engine obeys the order that arrives last, unless the fencing number or
+    arrives.  An engine obeys the order that arrives last, unless the fencing token or
     the expiry time shows that the order is outdated.
     """
     flag = "--checks-fencing" if checks_fencing else "--no-checks-fencing"
--- a/tests/zone.py
+++ b/tests/zone.py
@@ -65,7 +65,7 @@
         return not self.refuses
 
     def execute(self, order: SendOrder, *, now: float) -> bool:
-        """Execute an order unless it has expired or its fencing number is too old.
+        """Execute an order unless it has expired or its fencing token is too old.
 
         Returns
         -------
