--- a/ryelever/coordination/log_reader.py
+++ b/ryelever/coordination/log_reader.py
@@ -16,7 +16,7 @@
 * A record that cannot be decoded is passed to the fold (protocol/log.py).
 * A stream that ends before an offset that was already read is another stream.  None
   of its records is applied, since its offsets, and therefore its versions and fencing
-  numbers, would contradict those in force; an operator has to intervene.
+  tokens, would contradict those in force; an operator has to intervene.
 """
 
 from __future__ import annotations
--- a/ryelever/state/observations.py
+++ b/ryelever/state/observations.py
@@ -81,7 +81,7 @@
     ----------
     crash : str
         Identifier of a crash, the same on all entry hosts: the target and its fencing
-        number.  Of several crashes, it is one that happened when the request was
+        token.  Of several crashes, it is one that happened when the request was
         already a suspect; if there is none, the newest crash.
     repeated : bool
         True if the request was already a suspect when this crash happened.
--- a/tests/test_coordination/test_planner/test_fencing.py
+++ b/tests/test_coordination/test_planner/test_fencing.py
@@ -24,7 +24,7 @@
 
 
 #: Orders with their delivery times, the final group of an engine that checks fencing
-#: numbers, and that of an engine that ignores them.  The engine's clock reads 1,000 s
+#: tokens, and that of an engine that ignores them.  The engine's clock reads 1,000 s
 #: at time 0.
 CASES = {
     "in order": ([(0, OLD_JOIN)], "old", "old"),
--- a/tests/test_coordination/test_planner/test_planner_machine.py
+++ b/tests/test_coordination/test_planner/test_planner_machine.py
@@ -49,7 +49,7 @@
         Entry host that holds the lease according to the log.
     in_group_at : dict of (str, str, int) to float
         Latest time at which a host was ready in a group, by group, host and fencing
-        number.
+        token.
     out_of_group_at : dict of (str, str) to float
         Latest time at which a host was not in a group, by group and host.
     """
