--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -57,7 +57,7 @@
     text = path.read_text() if path.exists() else ""
     known = [_known_red(line) for line in text.splitlines() if line.strip()]
     if len(known) > MAX_KNOWN_RED:
-        raise pytest.UsageError(f"{path.name} holds more than {MAX_KNOWN_RED} lines")
+        raise pytest.UsageError(f"{path.name} has more than {MAX_KNOWN_RED} lines")
     return known
 
 
@@ -92,5 +92,7 @@
 def _known_red(line: str) -> KnownRed:
     test, _, reason = line.partition(", ")
     if ", " not in reason:
-        raise pytest.UsageError(f"{KNOWN_RED.name}: a cause or an issue lacks: {line}")
+        raise pytest.UsageError(
+            f"{KNOWN_RED.name}: line without a cause or an issue: {line}"
+        )
     return KnownRed(test=test.strip(), reason=reason.strip())
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -209,6 +209,7 @@
         self.waiting.clear()
 
     async def _load_and_watch(self, group: str, fencing: int) -> None:
+        """Load the model, then watch the other members and abort when one is gone."""
         async with aiohttp.ClientSession() as session:
             if self.weight_store:
                 path = f"/v1/weights/{self.model}/{self.version}"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -48,7 +48,12 @@
         ([], "test_red", 1, "FAILED test_suite.py::test_red*the fault*"),
         ([GOOD, RED, OTHER, COMMA], "", 4, "*more than 3 lines*"),
         (["test_suite.py::test_gone, it fails, 7"], "", 4, "*there is no test*_gone*"),
-        (["test_suite.py::test_red, no issue"], "", 4, "*a cause or an issue lacks*"),
+        (
+            ["test_suite.py::test_red, no issue"],
+            "",
+            4,
+            "*line without a cause or an issue*",
+        ),
     ],
 )
 def test_only_listed_failures_are_expected(
--- a/tests/test_system/test_claims.py
+++ b/tests/test_system/test_claims.py
@@ -57,14 +57,14 @@
     fleet.processes_by_name["e1"].kill()
     fleet.control("log", hold_reads=False)
     assert first.wait() is None
-    _wait_claim_known(fleet)
+    _wait_until_claim_is_read(fleet)
     answer = caller.book(fleet.entries_by_name["e2"], key)
     assert answer.status_code == 409
     assert error_of(answer)["run_state"] == "outcome_unknown"
     assert fleet.n_runs() == []
 
 
-def _wait_claim_known(fleet: Fleet) -> None:
+def _wait_until_claim_is_read(fleet: Fleet) -> None:
     entry = fleet.entries_by_name["e2"]
 
     def n_read() -> int:
@@ -118,7 +118,7 @@
     paused = fleet.processes_by_name["e1"]
     paused.send(signal.SIGSTOP)
     fleet.control("log", hold_reads=False)
-    _wait_claim_known(fleet)
+    _wait_until_claim_is_read(fleet)
     meanwhile = caller.book(fleet.entries_by_name["e2"], key)
     assert error_of(meanwhile)["run_state"] == "outcome_unknown"
     # The pause itself is the fault under test: it has to outlast claim_timeout.
--- a/tests/test_system/test_silent.py
+++ b/tests/test_system/test_silent.py
@@ -131,7 +131,7 @@
     return sock
 
 
-def _n_busy(fleet: Fleet) -> int:
+def _n_unfinished(fleet: Fleet) -> int:
     counts = fleet.counts("d0-0")
     return counts["n_running"] + counts["n_waiting"]
 
@@ -154,7 +154,7 @@
             what="the caller is marked as stalled",
         )
         wait_until(lambda: not entry.dump()["requests"], what="the request ends")
-        wait_until(lambda: not _n_busy(fleet), what="the engine stops")
+        wait_until(lambda: not _n_unfinished(fleet), what="the engine stops")
         wait_until(
             lambda: not any(caller["stalled"] for caller in _callers(fleet)),
             what="the connection is closed",
@@ -177,10 +177,11 @@
     fleet.start_world(entries=("e1",), cut=("d0-0",))
     with contextlib.closing(_connect(fleet)) as sock:
         _send_request(fleet, sock, n_tokens=30_000)
-        wait_until(lambda: _n_running_directly(fleet), what="the engine generates")
+        wait_until(lambda: _n_running_at_engine(fleet), what="the engine generates")
         fleet.control("d0-0-cut", silence=True)
-    wait_until(lambda: not _n_running_directly(fleet), what="the engine stops")
+    wait_until(lambda: not _n_running_at_engine(fleet), what="the engine stops")
 
 
-def _n_running_directly(fleet: Fleet) -> int:
+def _n_running_at_engine(fleet: Fleet) -> int:
+    # Read from the engine itself, because the forwarder before it is silent.
     return fleet.counts("d0-0-direct")["n_running"]
