--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,4 +1,4 @@
-"""Demonstrate both programs on one machine, end to end: ``make demo``.
+"""Demonstrate both kinds of entry host on one machine, end to end: ``make demo``.
 
 The first part starts stand-ins of the backend servers and three entry hosts in two
 availability zones.  It streams a chat answer, sends the same booking to two entry
--- a/ryelever/emulator/__init__.py
+++ b/ryelever/emulator/__init__.py
@@ -1,8 +1,8 @@
 """Run the planners' own code against emulated backend servers in simulated time.
 
 The emulation uses no sockets, threads or clocks: a day of sixty servers takes about a
-second, and the same seed gives the same day on every machine.  The serving programs do
-not import this package.
+second, and the same seed gives the same day on every machine.  Entry hosts do not
+import this package.
 """
 
 from .day import DayResult, LossPattern, simulate_day
--- a/ryelever/emulator/day.py
+++ b/ryelever/emulator/day.py
@@ -10,7 +10,8 @@
 
 __all__ = ["DayResult", "LossPattern", "simulate_day"]
 
-#: Simulated seconds of a day, during which requests arrive.
+#: Duration of a simulated day in simulated seconds.  A day is one run after its
+#: warm-up, and requests arrive throughout.
 DAY_DURATION = 34.0
 
 #: Highest utilization of a group, the work that arrives divided by its capacity, at
--- a/ryelever/emulator/fleet.py
+++ b/ryelever/emulator/fleet.py
@@ -234,9 +234,9 @@
         }
 
     def _run_planners(self) -> None:
-        suspects = self._suspects()
+        stalled_heads = self._stalled_heads()
         for zone, planner in self.planners_by_zone.items():
-            planner.manager.set_stalled_heads(suspects)
+            planner.manager.set_stalled_heads(stalled_heads)
             orders, append = planner.run_planning_pass(now=self.now)
             for order in orders:
                 self._execute_order(zone, order)
@@ -275,10 +275,10 @@
         answer = _PendingOutcome(step=step, zone=zone, order=order, outcome=outcome)
         self._pending_outcomes.append(answer)
 
-    def _suspects(self) -> set[str]:
+    def _stalled_heads(self) -> set[str]:
         """Return the heads whose groups are detected as stalled."""
         detected_before = self.now - STALL_DETECTION_TIME
-        suspects = set()
+        stalled_heads = set()
         for server in self.servers_by_id.values():
             report = server.entry.group
             if report is None or report.rank or report.state is not GroupState.OPEN:
@@ -287,5 +287,5 @@
                 server.lost_at is not None and server.lost_at <= detected_before
             )
             if server.stalled_since <= detected_before or is_lost_for_long:
-                suspects.add(server.id)
-        return suspects
+                stalled_heads.add(server.id)
+        return stalled_heads
--- a/ryelever/fleet_directory.py
+++ b/ryelever/fleet_directory.py
@@ -44,12 +44,12 @@
 #: Minimum number of record renewals that a server has missed when its record expires.
 #: The store waits for three; half an interval is allowed for the store's clock and
 #: for the time in which the last renewal was on its way.
-LAPSED_RENEWALS = 2.5
+MIN_MISSED_RENEWALS = 2.5
 
 #: Seconds without an answered read of the backend servers' records, by this host or
 #: by a host that forwards them, after which servers' own reports take precedence over
-#: the list.  Reads are answered within 0.2 s; until then the list is newer than a
-#: report, which is some tenths of a second old.
+#: the list.  Reads are answered within 0.2 s, so before this time has passed the list
+#: is newer than a report, which is some tenths of a second old.
 LIST_STALE_AFTER = 1.0
 
 #: Seconds after the store's return from an older copy within which all servers that
@@ -319,11 +319,12 @@
 
         A newer version binds all hosts, but the store may refuse this host's reads, or
         a read may hang on a silent connection.  The host therefore reads the store
-        again at once.  A host whose reading is suspended, however, first requests a
-        configuration of up to ``MAX_FETCHED_CONFIGURATION`` bytes from the other host
-        if that host is of its zone, and waits otherwise.  If the host has lacked the
-        newer version for more than ``FALLBACK_DELAY`` (in host_fetch), it reads the
-        store and also requests the configuration from the other host, of any zone.
+        again at once.  The exception is a host whose reading is suspended, if the
+        configuration has at most ``MAX_FETCHED_CONFIGURATION`` bytes: this host
+        requests the configuration from the other host if both are of the same zone,
+        and waits otherwise.  A host that has lacked the newer version for more than
+        ``FALLBACK_DELAY`` (in host_fetch) always reads the store and also requests the
+        configuration from the other host, of any zone.
         """
         if heartbeat.configuration_version <= self.version:
             return
@@ -408,11 +409,14 @@
     def _trusted_records(
         self, records: list[KeyedRecord], *, now: float
     ) -> list[KeyedRecord]:
-        """Return listed records, without those that are older than this host's.
-
-        Shortly after the store's return from an older copy, even records of unknown
-        servers are ignored, as such a server may be gone since the copy was made.  A
-        host that knows no servers has no better source and trusts the copy.
+        """Return the listed records that this host can trust.
+
+        Shortly after the store's return from an older copy, no listed record is
+        trusted: a record may be older than this host's, and a server that this host
+        doesn't know may be gone since the copy was made.  Later, only the records of
+        servers that this host knew at the store's return and that haven't renewed them
+        since are left out.  A host that knows no servers has no better source and
+        trusts the copy.
         """
         if self._has_returned(now=now) and self._data_by_server:
             return []
@@ -682,7 +686,7 @@
     def _remove(self, server_id: str, *, now: float) -> None:
         self._newer_than_copy.discard(server_id)
         self._data_by_server.pop(server_id, None)
-        last_renewal_at = now - LAPSED_RENEWALS * self._settings.heartbeat_interval
+        last_renewal_at = now - MIN_MISSED_RENEWALS * self._settings.heartbeat_interval
         if self._directory.remove(server_id, last_renewed_at=last_renewal_at):
             log_event("server_gone", server=server_id)
             self.fire(directory_changed(), "relay")
--- a/ryelever/log_table.py
+++ b/ryelever/log_table.py
@@ -82,7 +82,10 @@
     "n_by_state": "number of servers by state in their group; empty for none",
     "n_crashes": "crashes of backend servers that the request was in, over all hosts",
     "n_groups": "groups that serve or are being formed, by model",
-    "n_by_reason": "number of servers by phase of their group or models they can join",
+    "n_by_reason": (
+        "number of servers, by the phase of their group or by the models that they "
+        "can join"
+    ),
     "n_in_all": "total number since the start of the process",
     "n_parts": "parts of a snapshot",
     "n_sent": "attempts to send the request so far",
--- a/ryelever/platform/wire_names.py
+++ b/ryelever/platform/wire_names.py
@@ -60,6 +60,6 @@
 #: Contains each backend server's record under its id; written by the servers.
 SERVERS_TOPIC = "keyed.servers"
 
-#: Topics of the project itself: entry hosts by name, and groups by name.
+#: Topics written by the entry hosts: entry hosts by name, and groups by name.
 HOSTS_TOPIC = "keyed.hosts"
 GROUPS_TOPIC = "keyed.groups"
--- a/ryelever/schema/host_words.capnp
+++ b/ryelever/schema/host_words.capnp
@@ -50,7 +50,8 @@
   address @12 :Text;
   # Seconds until the sender's next heartbeat.
   interval @13 :Float32;
-  # True if the sender represents its zone, and the number of hosts that are covered.
+  # True if the sender represents its zone, and the number of hosts that the
+  # heartbeat covers.
   forZone @14 :Bool;
   nHosts @15 :UInt16;
   # True if another host forwards the heartbeat.
--- a/ryelever/schema/soft_state.capnp
+++ b/ryelever/schema/soft_state.capnp
@@ -1,6 +1,7 @@
 @0xd1b9a3f24c7e5a11;
 # Datagrams that entry hosts exchange over UDP; docs/PEERS.md describes the exchange.
-# Ages and holds are durations on the sender's monotonic clock, never dates.
+# Ages and holdMs, the time from receiving the echoed datagram to sending this one, are
+# durations on the sender's monotonic clock, never dates.
 
 struct Message {
   sender @0 :Text;
--- a/ryelever/streams.py
+++ b/ryelever/streams.py
@@ -244,8 +244,8 @@
         if not isinstance(record, Claim) or record.owner != self._claims.owner:
             return
         # A claim is reported only once, since its request may be running from then
-        # on.  The request table would take a second report for the claim of a request
-        # that has ended without running, and free its key.
+        # on.  On a second report, the request table would find no request waiting for
+        # the claim, conclude that the request ended without running, and free its key.
         if applied.repeated or applied.seen_before:
             return
         self._check_clock(entry.time)
