--- a/ryelever/coordination/groups/forming.py
+++ b/ryelever/coordination/groups/forming.py
@@ -144,9 +144,9 @@
 ) -> list[tuple[BackendServer, ModelProfile]]:
     """Return the free servers that are to stage weights, each with the model.
 
-    In each domain, these are the servers that lack only the weights to form a group of
-    the neediest overloaded model for which at most half of the members would have to
-    stage them.
+    In each domain, weights are staged for a group of the neediest overloaded model for
+    which the domain has enough free servers and at most half of the group's members
+    lack the weights.  The result contains the members that lack them.
     """
     chosen: list[tuple[BackendServer, ModelProfile]] = []
     for servers in by_domain(free).values():
--- a/ryelever/coordination/groups/order_queue.py
+++ b/ryelever/coordination/groups/order_queue.py
@@ -17,7 +17,8 @@
 #: link of 20 Mbit/s, and members whose answers come late would be treated as silent.
 MAX_IN_FLIGHT = 64
 
-#: Orders that free servers are sent first, then orders that make groups serve.
+#: Kinds of orders by descending priority: first those that release servers, then those
+#: that make groups serve.
 _KINDS_BY_PRIORITY = (
     OrderKind.LEAVE,
     OrderKind.CLOSE,
--- a/ryelever/coordination/host_heartbeats.py
+++ b/ryelever/coordination/host_heartbeats.py
@@ -371,9 +371,9 @@
         }
 
     def moving(self, *, now: float) -> set[str]:
-        """Return the heads in doubt whose streams progress at other hosts.
+        """Return the heads reported as stalled whose streams progress at other hosts.
 
-        Heads in doubt are those that some host reported as stalled.
+        Any host may have reported the stall.
         """
         return {
             head
@@ -440,7 +440,8 @@
         """Return whether this host is to plan for a zone.
 
         A host that plans already continues, unless another planner reaches the store
-        and either this host doesn't reach it or the other planner precedes it by name.
+        and either this host doesn't reach the store or the other planner's name sorts
+        first.
         A change of planner costs a second without repairs, and groups that lost a
         member must also be ended while the store is unreachable.  A host that could
         plan but doesn't yet is no reason to stop: it may lose the store before it
--- a/ryelever/coordination/limits/limits.py
+++ b/ryelever/coordination/limits/limits.py
@@ -61,7 +61,10 @@
 
 
 class AccountLimits:
-    """Compute this host's share of every limit; a source and sink of rows.
+    """Compute this host's share of every limit.
+
+    ``observations`` returns the rows for the other hosts, and ``observed`` records
+    the rows of the other hosts.
 
     Parameters
     ----------
--- a/ryelever/coordination/planner/capacity.py
+++ b/ryelever/coordination/planner/capacity.py
@@ -48,11 +48,12 @@
     def n_spare_hosts(self, domain: str, model: Model, view: PlannerView) -> int:
         """Return how many hosts of a domain an extra group must leave idle.
 
-        An extra group of the same size is a better reserve than an idle host: it
-        already serves while another group is repaired, and its hosts can still be
-        used elsewhere.  A smaller extra group only occupies a host with which a
-        larger group could be repaired at once.  The declared weights determine
-        whether this host stays idle or serves until it is needed.
+        An extra group that is at least as large as the other groups of the domain is
+        a better reserve than an idle host: it already serves while another group is
+        repaired, and its hosts can still be used elsewhere.  A smaller extra group
+        only occupies a host with which a larger group could be repaired at once.  The
+        declared weights determine whether this host stays idle or serves until it is
+        needed.
         """
         if self.prefers_utilization(view):
             return 0
--- a/ryelever/coordination/planner/formation.py
+++ b/ryelever/coordination/planner/formation.py
@@ -1,4 +1,4 @@
-"""Form declared groups, extra groups on idle hosts, and drain groups for others."""
+"""Form declared groups and, on idle hosts, extra groups; drain groups to make room."""
 
 from __future__ import annotations
 
--- a/ryelever/coordination/quarantine/quarantine.py
+++ b/ryelever/coordination/quarantine/quarantine.py
@@ -66,10 +66,11 @@
     completes.
 
     A bystander may run in two crashes by chance.  Three rules keep it from being
-    condemned: suspects run apart from one another (``is_suspect``, used in routing); a
-    repeated suspect is condemned only if it is the only repeated suspect of the crash,
-    else it stays a suspect for another run apart; and a request that completed recently
-    is excused from one crash, which covers identical short prompts of many callers.
+    condemned, that is, held to be the cause and quarantined: suspects run apart from
+    one another (``is_suspect``, used in routing); a repeated suspect is condemned only
+    if it is the only repeated suspect of the crash, else it stays a suspect for another
+    run apart; and a request that completed recently is excused from one crash, which
+    covers identical short prompts of many callers.
 
     Repeated suspects that ran past the position at which their first crash interrupted
     them are not considered if another repeated suspect did not run that far.  Once a
--- a/ryelever/coordination/relaying/balance.py
+++ b/ryelever/coordination/relaying/balance.py
@@ -37,8 +37,8 @@
 #: Maximum number of backend servers that are all examined for a request. If there are
 #: more, all servers of this zone are examined, and a random sample of the others: as
 #: many as are missing from this number, but at least ``MIN_REMOTE_CANDIDATES``.
-#: Examining a server takes processor time, and the sample shows as well where slots are
-#: free. If no examined server has a free slot, all servers are examined.
+#: Examining a server takes processor time, and a sample is enough to find free slots.
+#: If no examined server has a free slot, all servers are examined.
 SAMPLING_THRESHOLD = 64
 MIN_REMOTE_CANDIDATES = 16
 
--- a/ryelever/coordination/relaying/crashes.py
+++ b/ryelever/coordination/relaying/crashes.py
@@ -62,7 +62,10 @@
     def failed(
         self, request: RelayRequest, *, server_id: str, reason: str, now: float
     ) -> None:
-        """Record a failed attempt; every attempt that a crash breaks off reports it."""
+        """Record a failed attempt.
+
+        Each attempt that a crash breaks off records the same crash again.
+        """
         if reason in CRASH_REASONS:
             self._quarantine.crashed(server_id, {_fingerprint(request)}, now=now)
 
--- a/ryelever/coordination/relaying/limit_shares.py
+++ b/ryelever/coordination/relaying/limit_shares.py
@@ -137,8 +137,9 @@
 
     The number of hosts that get a share is at most half of the server's requests a
     second, but at least one. The bursts that these hosts may send beside their rates
-    then add up to at most half of what the server takes in a second. All hosts that
-    receive each other's heartbeats select the same hosts.
+    then add up to at most half of what the server takes in a second, or to one request
+    if that is more. All hosts that receive each other's heartbeats select the same
+    hosts.
 
     Parameters
     ----------
--- a/ryelever/coordination/relaying/requests.py
+++ b/ryelever/coordination/relaying/requests.py
@@ -1,8 +1,9 @@
 """Handle relayed requests from their arrival to their final answer.
 
 The answer to a request is either the complete and unchanged answer of a backend server,
-or an answer that the entry host generates. Only this module can promise a caller that a
-request was not run, and only while no attempt can have run it.
+or an answer that the entry host generates. This module records whether an attempt may
+have run a request. Only while no attempt may have run it, ``Refusals`` promises the
+caller that the request was not run.
 """
 
 from __future__ import annotations
@@ -400,8 +401,9 @@
         allowance = self._balancer.limited_allowance(
             service, model, excluded=request.tried, seconds=MAX_LIMITED_WAIT, now=now
         )
-        # A stream that has already started is worth waiting for a slot that becomes
-        # free by chance.
+        # A stream that has already started waits, however long the expected wait is,
+        # because a slot may become free by chance.  Ending the request here would break
+        # the stream off.
         if allowance is None or request.phase is RequestPhase.STREAMING:
             self._waiting.add(request, now=now)
             return
--- a/ryelever/coordination/reported_records.py
+++ b/ryelever/coordination/reported_records.py
@@ -48,7 +48,10 @@
     def add(
         self, records: list[KeyedRecord], *, known_by_id: Mapping[str, BackendServer]
     ) -> None:
-        """Add reported records, which keep precedence until ``due`` releases the list.
+        """Add reported records.
+
+        They keep precedence until ``due`` returns the listed records that are held
+        back.
 
         Parameters
         ----------
--- a/ryelever/coordination/routing/feedback.py
+++ b/ryelever/coordination/routing/feedback.py
@@ -164,9 +164,9 @@
         self._stragglers.ended(target.name, failed=True, between_tokens=None, now=now)
         if is_crash(error, refused=refused):
             if target.fencing >= 0:
-                # The host's last report still says that it is ready; it gets no new
-                # requests until a newer report.  A plain service is excluded here: it
-                # may have closed only this one connection.
+                # The last report of the host still says that the host is ready.  The
+                # host gets no new requests until a newer report.  A plain service is
+                # excluded here: it may have closed only this one connection.
                 self._departures.refused(target.hosts[0], connection=False, now=now)
             crash = f"{target.name}#{target.fencing}"
             self._quarantine.crashed(crash, in_flight, now=now)
--- a/ryelever/coordination/soft_state/tables.py
+++ b/ryelever/coordination/soft_state/tables.py
@@ -90,7 +90,7 @@
     ----------
     complete_until : float
         Time on this host's monotonic clock up to which the owner has reported all its
-        observations.  This is the time of the owner's last sign of life but one, since
+        observations.  This is the time of the owner's second newest sign of life, since
         an owner may send a sign of life before it has read the data in its sockets.
     """
 
