--- a/benchmarks/host_cost.py
+++ b/benchmarks/host_cost.py
@@ -67,7 +67,8 @@
     FleetSize(n_hosts=392, n_zones=11, n_servers=780),
 )
 
-#: Name of the measured host by role; it sorts after or before all simulated hosts.
+#: Name of the measured host by role: a resting host sorts after all simulated hosts, a
+#: leading host before them.
 NAMES_BY_ROLE = {"rests": "zz", "leads": "aa"}
 
 #: Seconds between two record renewals of one backend server.
@@ -187,7 +188,7 @@
     def _heartbeat(self, host: str, zone: str, *, n_ticks: int) -> bytes:
         first = zone != "z0" or (host == "h001" and not self._leads)
         loads = N_LOADED if zone == "z0" else self._size.n_servers // 16
-        # Each host reports other servers, the same ones in each run.
+        # Different hosts report different servers; each run uses the same ones.
         first_loaded = zlib.crc32(host.encode())
         heartbeat = HostHeartbeat(
             host=host,
--- a/benchmarks/retry.py
+++ b/benchmarks/retry.py
@@ -116,11 +116,11 @@
 def poison(*, baseline: bool, n_groups: int, n_streams: int, seed: int) -> PoisonResult:
     """Simulate 30 s in which a caller sends a poison request to ten entry hosts.
 
-    The caller sends the request ten times, 1 s after each failure, to the entry hosts
-    in turn.  ``n_streams`` bystanders run at any time.  A crash breaks off all requests
-    at the crashed group, and each of them is retried.  Crashed groups return after
-    20 s.  Entry hosts exchange soft state every 0.5 s.  With ``baseline`` the entry
-    hosts route round robin and without quarantine.
+    The caller sends the request ten times, once a second from 5 s on, to the entry
+    hosts in turn.  ``n_streams`` bystanders run at any time.  A crash breaks off all
+    requests at the crashed group, and each of them is retried.  Crashed groups return
+    after 20 s.  Entry hosts exchange soft state every 0.5 s.  With ``baseline`` the
+    entry hosts route round robin and without quarantine.
     """
     fleets = [FakeFleet(zones={"a": n_groups}) for _ in range(10)]
     routers = [
@@ -133,7 +133,8 @@
     running: dict[str, tuple[int, object, object, float, int]] = {}
     dead_until: dict[str, float] = {}
     serial = 0
-    # Time of the next poison request, number left, and entry host of the last one.
+    # Time of the next poison request, number of poison requests left to send, and index
+    # of the entry host that received the previous one.
     resend_at, sends_left, at = 5.0, 10, 0
     # Time, index of the entry host, arrival, and names of the targets tried.
     retries: list[tuple[float, int, object, tuple[str, ...]]] = []
--- a/tests/test_coordination/test_admission/test_admission_capacity.py
+++ b/tests/test_coordination/test_admission/test_admission_capacity.py
@@ -115,8 +115,8 @@
     """Refresh the capacity of 800 groups repeatedly while 600 of them are lost.
 
     Guards against admission that takes milliseconds per request.  In a large fleet,
-    requests arrive at longer intervals than a computed capacity is reused, and each
-    refresh would check all groups.
+    requests arrive more than ``REFRESH_INTERVAL`` apart, no computed capacity is
+    reused, and each refresh would check all groups.
     """
     view = FakeTargets(
         [Target(name=f"g{n}", address="", hosts=(f"h{n}",)) for n in range(800)]
--- a/tests/test_coordination/test_log_reader.py
+++ b/tests/test_coordination/test_log_reader.py
@@ -162,7 +162,7 @@
 
 
 def test_configuration_is_kept_when_its_record_and_all_snapshots_expired() -> None:
-    """Guard against a host that stops serving or applies a change others rejected.
+    """Guard against a host that stops serving or applies a change that others reject.
 
     An entry host pauses for longer than the retention time, the log expires records
     that the host had not read, and an operator publishes a change based on the version
--- a/tests/test_coordination/test_quarantine/test_quarantine.py
+++ b/tests/test_coordination/test_quarantine/test_quarantine.py
@@ -393,7 +393,7 @@
         for host in hosts:
             assert [host.verdict(name, now=now) for name in "pb"] == [None, None]
     assert hosts[0].is_suspect("p", now=12.0) and hosts[1].is_suspect("b", now=12.0)
-    # Another run apart from each other distinguishes the two.
+    # One more run of each, on separate targets, shows which of the two is the cause.
     hosts[1].completed("b", now=13.0)
     hosts[0].crashed("g3", "p", now=14.0)
     for now in (14.4, 16.0):
--- a/tests/test_coordination/test_racing_operators.py
+++ b/tests/test_coordination/test_racing_operators.py
@@ -20,9 +20,9 @@
 
 
 @pytest.mark.parametrize(
-    "fates", list(itertools.product(APPEND_RESULTS, repeat=4)), ids="-".join
+    "results", list(itertools.product(APPEND_RESULTS, repeat=4)), ids="-".join
 )
-def test_one_operator_wins_and_both_are_notified(fates: tuple[str, ...]) -> None:
+def test_one_operator_wins_and_both_are_notified(results: tuple[str, ...]) -> None:
     """Guard against two operators, or none, whose change is reported as in force.
 
     Two documents are published on the same base version while answers to appends are
@@ -35,7 +35,7 @@
     result_by_attempt = {
         (name, attempt): result
         for name, attempt, result in zip(
-            ("ana", "ana", "bia", "bia"), (0, 1, 0, 1), fates, strict=True
+            ("ana", "ana", "bia", "bia"), (0, 1, 0, 1), results, strict=True
         )
     }
     writers = {name: LogWriter() for name in ("ana", "bia")}
--- a/tests/test_coordination/test_relaying/test_balance.py
+++ b/tests/test_coordination/test_relaying/test_balance.py
@@ -221,7 +221,7 @@
 # Entries that expire during an outage of the store
 
 
-def test_removals_wait_for_entries_that_lapsed_in_an_outage() -> None:
+def test_removals_wait_for_entries_that_expired_in_an_outage() -> None:
     """Guard against removing all backend servers when the store returns.
 
     The store is down for five seconds and entries expire meanwhile. All entries return
@@ -321,7 +321,7 @@
 
 
 def _spread(n_hosts: int, *, interval: float) -> int:
-    """Return the largest number of hosts with outdated loads that chose one server."""
+    """Return how many hosts chose the most popular server, given outdated loads."""
     chosen: Counter[str] = Counter()
     for seed in range(n_hosts):
         directory = Directory()
--- a/tests/test_coordination/test_relaying/test_demand.py
+++ b/tests/test_coordination/test_relaying/test_demand.py
@@ -10,9 +10,10 @@
 
 from ..test_groups.test_group_forming import ENGINE
 
-#: Two kinds of requests, whose answers have 29 and 4 events on average, arrive three
-#: times a second at one host, as in a fleet that gets thirty requests a second.
+#: Requests a second at one host, as in a fleet that gets thirty requests a second.
 RATE = 3.0
+#: Mean numbers of events after the first one in the answers to two equally frequent
+#: kinds of requests.
 MEANS = (29.0, 4.0)
 SECONDS_AN_EVENT = 0.05
 
--- a/tests/test_coordination/test_relaying/test_server_rate_limits.py
+++ b/tests/test_coordination/test_relaying/test_server_rate_limits.py
@@ -185,7 +185,7 @@
     assert limits.announced_limits(now=later) == ()
 
 
-def test_limit_outlives_a_lapsed_entry(
+def test_limit_outlives_an_expired_entry(
     directory: Directory, limits: ServerRateLimits
 ) -> None:
     """Guard against losing all limits in an outage of the store."""
--- a/tests/test_coordination/test_requests/request_fakes.py
+++ b/tests/test_coordination/test_requests/request_fakes.py
@@ -30,7 +30,10 @@
 
 
 class FakeAdmission:
-    """Admit all requests unless ``decision`` is set; hold those not yet released."""
+    """Admit all requests unless ``decision`` is set.
+
+    ``admitted`` contains the IDs of the admitted requests that are not yet released.
+    """
 
     def __init__(self) -> None:
         self.admitted: set[str] = set()
--- a/tests/test_coordination/test_soft_state/test_soft_state.py
+++ b/tests/test_coordination/test_soft_state/test_soft_state.py
@@ -403,7 +403,7 @@
 def test_a_clock_that_runs_differently_makes_no_row_younger(
     hold: float, age: float, since_sending: float, since_observation: float
 ) -> None:
-    """Allow for clocks whose rates differ by half a hundredth."""
+    """Allow for clocks whose rates differ by 0.5%."""
     peer = Peer(address="p", draw=lambda: 5)
     sequence = peer.next_sequence(now=100.0)
     now = 100.0 + since_sending
--- a/tests/test_families.py
+++ b/tests/test_families.py
@@ -1,4 +1,4 @@
-"""Check that subpackages of ryelever.coordination are used only by their interfaces.
+"""Check that subpackages of ryelever.coordination are used only via their interfaces.
 
 A subpackage is called a family; its interface is the ``__init__.py``.
 """
--- a/tests/test_relay_host.py
+++ b/tests/test_relay_host.py
@@ -59,9 +59,10 @@
 def test_host_imports_only_what_it_needs() -> None:
     """Guard against callers that are refused for 1.3 s after all hosts lost power.
 
-    Hosts start on half a core each, and listen only when all imports are done.  Half
-    of the imported modules would be unneeded, 613 where 410 suffice: the command line
-    parser, the OpenAI interface and modules that libraries import without need.
+    Hosts start on half a core each, and listen only when all imports are done.  A third
+    of the imported modules would be unneeded (613 are imported where 410 suffice): the
+    command line parser, the OpenAI interface and modules that libraries import without
+    need.
     """
     imported = set(_started(IMPORT_ALL).stdout.split())
     assert "ryelever.relay_application" in imported
--- a/tests/test_system/test_faults.py
+++ b/tests/test_system/test_faults.py
@@ -1,4 +1,7 @@
-"""Test the failure of backend servers while streams are open."""
+"""Test the failure of backend servers while streams are open.
+
+The leader of a group is its member of rank 0, which receives the group's requests.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_system/test_silent.py
+++ b/tests/test_system/test_silent.py
@@ -10,6 +10,7 @@
 from ..callers import Answer, Caller, new_key
 from ..processes import WAIT_TIMEOUT, Fleet, wait_until
 
+#: Members of rank 0, which receive their groups' requests.
 LEADERS = ("d0-0", "d1-0")
 
 
--- a/tests/test_transport/test_relay_callers.py
+++ b/tests/test_transport/test_relay_callers.py
@@ -133,10 +133,10 @@
 ) -> None:
     """Refuse with the same status as ``Callers``, and close the connection.
 
-    Guards against relaying a request of which the backend server sees the end
-    elsewhere, or a head beyond the operator's limit.  h11 applies its limit only to
-    heads that arrive in parts, not in a single read, and checks neither HTTP versions
-    nor methods.  The connection is closed so that no bytes are parsed twice.
+    Guards against relaying a request whose end the backend server would find at another
+    byte, or a head beyond the operator's limit.  h11 applies its limit only to heads
+    that arrive in parts, not in a single read, and checks neither HTTP versions nor
+    methods.  The connection is closed so that no bytes are parsed twice.
     """
     with _connect(listener) as sock:
         sender = threading.Thread(target=_send_all, args=(sock, data))
